--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -130,7 +130,7 @@
             }
             Line::Heard(_, server, _, tries, unanswered, _, latency, busy, held, service) => {
                 let Some((server, ..)) = servers.get(server) else { continue };
-                let report = LoadReport { busy: *busy, held: *held, service: service.map(nanos) };
+                let report = LoadReport { busy: *busy, in_flight: *held, service_time: service.map(nanos) };
                 let (tries, unanswered, latency) = (*tries, *unanswered, nanos(*latency));
                 steer.met(now, server, &Met { tries, unanswered, latency, report });
             }
--- a/crates/craneknot-coordinator/src/book.rs
+++ b/crates/craneknot-coordinator/src/book.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct Table {
     lines: BTreeMap<ServerId, f64>,
-    levels: BTreeMap<usize, (f64, FurtherTries)>,
+    levels: BTreeMap<usize, (f64, Retries)>,
     users: BTreeMap<ProxyId, u32>,
     endpoints: Option<Bytes>,
     routes: Option<Bytes>,
@@ -182,7 +182,7 @@
                         at.endpoints.insert(*table);
                     }
                 }
-                Order::Level { table, classes, level, tries } => {
+                Order::Level { table, classes, level, retries: tries } => {
                     let held = self.tables.entry(*table).or_default();
                     held.routes = None;
                     for class in (0..self.classes.len()).filter(|class| classes.has(ClassId(*class as u8))) {
@@ -289,7 +289,7 @@
             return text.clone();
         }
         self.encoded += 1;
-        let admission = |(class, (level, tries)): (&usize, &(f64, FurtherTries))| {
+        let admission = |(class, (level, tries)): (&usize, &(f64, Retries))| {
             (classes[*class].as_str(), Admission { level: Some(*level), unit, tries: *tries })
         };
         let made =
--- a/crates/craneknot-coordinator/src/desk.rs
+++ b/crates/craneknot-coordinator/src/desk.rs
@@ -509,7 +509,7 @@
             let class = self.names.class(class).map(|class| ClassId(class as u8));
             let table = table.as_str().and_then(table_of).map(TableId);
             if let (Some(class), Some(table)) = (class, table) {
-                self.events.push(Event::ProxyHolds { proxy, class, table });
+                self.events.push(Event::ExistingBinding { proxy, class, table });
             }
         }
         Ok(())
@@ -542,7 +542,7 @@
     }
 
     pub fn probed(&mut self, server: ServerId, outcome: ProbeOutcome, took: Nanos, report: LoadReport) {
-        self.events.push(Event::Probed { server, outcome, took, report });
+        self.events.push(Event::Probed { server, outcome, latency: took, report });
     }
 
     /// Lets the decisions act on what has come, carries out what they order, and gives what the owner is to do.
--- a/crates/craneknot-coordinator/src/intake.rs
+++ b/crates/craneknot-coordinator/src/intake.rs
@@ -156,7 +156,7 @@
     /// What was gathered since the last time, as the decisions hear it.
     pub fn flush(&mut self) -> Vec<Event> {
         let met = std::mem::take(&mut self.met).into_iter().filter(|(_, met)| met.tries > 0);
-        let heard = met.map(|((server, zone), met)| Event::Heard {
+        let heard = met.map(|((server, zone), met)| Event::TriesReported {
             server,
             zone,
             tries: met.tries,
@@ -165,8 +165,8 @@
             latency: Nanos::from_secs(met.good_ms / (met.good.max(1) as f64) / 1e3),
             report: LoadReport {
                 busy: met.busy,
-                held: met.held,
-                service: met.service.map(|ms| Nanos::from_secs(ms / 1e3)),
+                in_flight: met.held,
+                service_time: met.service.map(|ms| Nanos::from_secs(ms / 1e3)),
             },
         });
         let came = std::mem::take(&mut self.came).into_iter().map(|((proxy, class), came)| Event::Demand {
@@ -223,7 +223,9 @@
         assert_eq!(intake.take(ProxyId(1), ZoneId(0), &report(900, 8, 2, 1.0)), Err(Unheard::Repeated));
         assert_eq!(intake.take(ProxyId(2), ZoneId(0), &report(1_000, 4, 0, 1.0)), Ok(()));
         let events = intake.flush();
-        let Event::Heard { tries, unanswered, latency, .. } = &events[0] else { panic!("{events:?}") };
+        let Event::TriesReported { tries, unanswered, latency, .. } = &events[0] else {
+            panic!("{events:?}")
+        };
         assert_eq!((*tries, *unanswered, *latency), (14, 2, Nanos::from_millis(20)));
         assert_eq!(events.len(), 3);
         assert!(intake.flush().is_empty());
--- a/crates/craneknot-coordinator/src/ledger.rs
+++ b/crates/craneknot-coordinator/src/ledger.rs
@@ -203,7 +203,7 @@
                     self.zone_of.remove(proxy);
                     joined = true;
                 }
-                Event::Heard { server, zone, tries, unanswered, span, latency, report } => {
+                Event::TriesReported { server, zone, tries, unanswered, span, latency, report } => {
                     let server = self.number(server, "", "");
                     self.lines.push(Line::Heard(
                         at,
@@ -214,8 +214,8 @@
                         micros(*span),
                         micros(*latency),
                         report.busy,
-                        report.held,
-                        report.service.map(micros),
+                        report.in_flight,
+                        report.service_time.map(micros),
                     ));
                 }
                 Event::Demand { proxy, class, arrived, unanswered, span } => {
@@ -223,7 +223,7 @@
                     let sum = came.entry((*zone, *class)).or_default();
                     *sum = (sum.0 + arrived, sum.1 + unanswered, sum.2 + micros(*span), sum.3 + 1);
                 }
-                Event::Probed { server, outcome, took, .. } => {
+                Event::Probed { server, outcome, latency: took, .. } => {
                     let server = self.number(server, "", "");
                     let outcome = match outcome {
                         ProbeOutcome::Answered => Probe::Answered,
@@ -232,12 +232,12 @@
                     };
                     self.lines.push(Line::Probed(at, server, outcome, micros(*took)));
                 }
-                Event::ProxyHolds { .. }
+                Event::ExistingBinding { .. }
                 | Event::Applied { .. }
                 | Event::OrderRefused { .. }
                 | Event::Woken
-                | Event::PeerSaid { .. }
-                | Event::SliceGiven { .. }
+                | Event::PeerMessage { .. }
+                | Event::SliceAssigned { .. }
                 | Event::SliceLine { .. }
                 | Event::SliceDemand { .. } => {}
             }
@@ -538,7 +538,7 @@
         };
         vec![
             Event::ProxyJoined { proxy: ProxyId(number), zone: ZoneId(0), usual_rate: 1.0 },
-            Event::Heard {
+            Event::TriesReported {
                 server: server(number),
                 zone: ZoneId(0),
                 tries: 7,
--- a/crates/craneknot-coordinator/src/probes.rs
+++ b/crates/craneknot-coordinator/src/probes.rs
@@ -64,8 +64,8 @@
     let named = |name: &str| report.named_metrics.get(name).copied();
     LoadReport {
         busy: report.cpu_utilization,
-        held: named("inflight"),
-        service: named("service_ms").map(|ms| Nanos::from_secs(ms / 1e3)),
+        in_flight: named("inflight"),
+        service_time: named("service_ms").map(|ms| Nanos::from_secs(ms / 1e3)),
     }
 }
 
--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -110,8 +110,8 @@
 fn coarse_report(report: &LoadReport) -> LoadReport {
     LoadReport {
         busy: report.busy.map(rounded),
-        held: report.held.map(rounded),
-        service: report.service.map(micros),
+        in_flight: report.in_flight.map(rounded),
+        service_time: report.service_time.map(micros),
     }
 }
 
@@ -128,17 +128,19 @@
             *entries = entries.iter().map(entry).collect();
         }
         Event::ProxyJoined { usual_rate, .. } => *usual_rate = rounded(*usual_rate),
-        Event::Heard { span, latency, report, .. } => {
+        Event::TriesReported { span, latency, report, .. } => {
             (*span, *latency, *report) = (micros(*span), micros(*latency), coarse_report(report));
         }
         Event::Demand { span, .. } => *span = micros(*span),
-        Event::Probed { took, report, .. } => (*took, *report) = (micros(*took), coarse_report(report)),
+        Event::Probed { latency: took, report, .. } => {
+            (*took, *report) = (micros(*took), coarse_report(report))
+        }
         Event::ProxyLeft { .. } | Event::Applied { .. } | Event::Woken => {}
         // A shared fleet's, and key ranges': the lines have no words for the first, the coordinator no use for the others.
-        Event::ProxyHolds { .. }
+        Event::ExistingBinding { .. }
         | Event::OrderRefused { .. }
-        | Event::PeerSaid { .. }
-        | Event::SliceGiven { .. }
+        | Event::PeerMessage { .. }
+        | Event::SliceAssigned { .. }
         | Event::SliceLine { .. }
         | Event::SliceDemand { .. } => return None,
     }
@@ -242,7 +244,7 @@
         json!({
             "name": class_name(place),
             "aim": class.latency_goal.secs(),
-            "deadline": class.hard_stop.secs(),
+            "deadline": class.deadline.secs(),
             "worth": class.importance,
             "semantics": semantics,
             "only-zones": class.only_zones.iter().copied().map(zone_name).collect::<Vec<String>>(),
@@ -258,11 +260,11 @@
         "stop-sending-within": settings.drain_grace.secs(),
         "cold-share": settings.cold_share,
         "ramp-time": settings.warm_after.secs(),
-        "fall-multiple": settings.fall_multiple,
-        "fall": settings.fall_window.secs(),
+        "fall-multiple": settings.overload_multiple,
+        "fall": settings.overload_window.secs(),
     });
-    if settings.ask_within < Nanos(u64::MAX) {
-        rules["ask-within"] = settings.ask_within.secs().into();
+    if settings.list_known_within < Nanos(u64::MAX) {
+        rules["ask-within"] = settings.list_known_within.secs().into();
     }
     json!({
         "localities": (0..PLACES).map(|place| zone_name(ZoneId(place))).collect::<Vec<String>>(),
@@ -276,7 +278,7 @@
         "extra": {
             "home-only": settings.classes.iter().map(|class| class.home_only).collect::<Vec<bool>>(),
             "data-plane-size": settings.proxies,
-            "bare": settings.bare_limit.secs(),
+            "bare": settings.no_line_limit.secs(),
             "admission": admission,
             "egress-per-s": settings.channel_lines_per_second,
             "queue-cap": settings.channel_lines_limit,
@@ -290,7 +292,7 @@
 }
 
 fn report(report: &LoadReport) -> Value {
-    json!([report.busy, report.held, report.service.map(|span| span.secs() * 1e3)])
+    json!([report.busy, report.in_flight, report.service_time.map(|span| span.secs() * 1e3)])
 }
 
 /// An event in the words of the lines.
@@ -326,7 +328,7 @@
             lines.push(json!(["ENROLLED", INSTANCE, proxy.0, zone_name(*zone), usual_rate, false]));
         }
         Event::ProxyLeft { proxy } => lines.push(json!(["LEFT", INSTANCE, proxy.0])),
-        Event::Heard { server, zone, tries, unanswered, span, latency, report: load } => {
+        Event::TriesReported { server, zone, tries, unanswered, span, latency, report: load } => {
             let (span, latency) = (span.secs(), latency.secs());
             let (server, zone) = (&*server.0, zone_name(*zone));
             lines.push(json!([
@@ -345,7 +347,7 @@
             let class = class_name(usize::from(class.0));
             lines.push(json!(["OFFERED_LOAD", INSTANCE, proxy.0, class, arrived, unanswered, span.secs()]));
         }
-        Event::Probed { server, outcome, took, report: load } => {
+        Event::Probed { server, outcome, latency: took, report: load } => {
             let how = match outcome {
                 ProbeOutcome::Answered => 0,
                 ProbeOutcome::TurnedAway => 254,
@@ -356,10 +358,10 @@
         Event::Applied { proxy, mark } => lines.push(json!(["RECEIPT", INSTANCE, proxy.0, mark])),
         Event::Woken => lines.push(json!(["TIMEOUT_FIRED", INSTANCE, "turn"])),
         // Left out by `coarse`.
-        Event::ProxyHolds { .. }
+        Event::ExistingBinding { .. }
         | Event::OrderRefused { .. }
-        | Event::PeerSaid { .. }
-        | Event::SliceGiven { .. }
+        | Event::PeerMessage { .. }
+        | Event::SliceAssigned { .. }
         | Event::SliceLine { .. }
         | Event::SliceDemand { .. } => {}
     }
@@ -393,11 +395,11 @@
         "ALLOW" => Order::Level {
             classes: ClassSet(whole(2)?),
             level: number(3)?,
-            tries: match whole(4)? {
-                0 => FurtherTries::Never,
-                1 => FurtherTries::Unrun,
-                2 => FurtherTries::Once,
-                3 => FurtherTries::Twice,
+            retries: match whole(4)? {
+                0 => Retries::Never,
+                1 => Retries::IfNotExecuted,
+                2 => Retries::Once,
+                3 => Retries::Twice,
                 _ => return Err(strange()),
             },
             table: TableId(small(5)?),
--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use craneknot::interface::*;
-use craneknot::{Controller, State, Transition};
+use craneknot::{Controller, ServerState, Transition};
 use craneknot_platform::config::Config;
 use craneknot_platform::discovery::{self, Roster};
 use craneknot_platform::news::News;
@@ -257,7 +257,12 @@
         } else if let Some((server, took)) = self.probes.end(now, link) {
             self.todo.acts.push(Act::Drop { link });
             let report = probe::report(body, &self.names);
-            self.events.push(Event::Probed { server, outcome: probes::outcome(status), took, report });
+            self.events.push(Event::Probed {
+                server,
+                outcome: probes::outcome(status),
+                latency: took,
+                report,
+            });
         } else if self.streams.has(link) {
             self.drop_event_stream(now, link, "the relay has ended its news");
         }
@@ -286,7 +291,7 @@
 
     fn probe_failed(&mut self, server: ServerId, took: Nanos) {
         let report = LoadReport::default();
-        self.events.push(Event::Probed { server, outcome: ProbeOutcome::Failed, took, report });
+        self.events.push(Event::Probed { server, outcome: ProbeOutcome::Failed, latency: took, report });
     }
 
     fn list_failed(&mut self, cause: &str) {
@@ -484,7 +489,7 @@
         }
         for transition in self.controller.take_transitions() {
             if let Transition::Server { server, to, .. } = &transition {
-                self.coverage.set_shut_out(server, *to == State::Out);
+                self.coverage.set_shut_out(server, *to == ServerState::Out);
             }
             self.todo.log.push(LogEvent::Decision(transition));
         }
@@ -499,7 +504,7 @@
                 *weight <= 0.0 || listed.is_some_and(|(listing, _)| listing.readiness == Readiness::Ready)
             }
             Order::Bind { proxy, .. } => self.streams.is_told(*proxy),
-            Order::Level { classes, tries: FurtherTries::Once | FurtherTries::Twice, .. } => {
+            Order::Level { classes, retries: Retries::Once | Retries::Twice, .. } => {
                 let named = (0u8..).zip(&self.repeats).filter(|(class, _)| classes.has(ClassId(*class)));
                 named.into_iter().all(|(_, repeats)| *repeats == Repeats::Safe)
             }
--- a/crates/craneknot-node/src/coverage.rs
+++ b/crates/craneknot-node/src/coverage.rs
@@ -147,7 +147,7 @@
         Coverage {
             classes: settings.classes.clone(),
             warm_after: settings.warm_after,
-            limit: settings.bare_limit,
+            limit: settings.no_line_limit,
             proxies: BTreeMap::new(),
             tables: BTreeMap::new(),
             ordered_lines: BTreeMap::new(),
--- a/crates/craneknot-node/src/log_event.rs
+++ b/crates/craneknot-node/src/log_event.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use craneknot::interface::{Nanos, ProxyId, Readiness, ServerId, TableId, ZoneId};
-use craneknot::{Sign, State, Transition};
+use craneknot::{ServerState, ServerTrigger, Transition};
 use tracing::{info, warn};
 
 use crate::clients::ClientId;
@@ -176,7 +176,7 @@
             LogEvent::ClientRejected { client, cause } | LogEvent::ClientClosed { client, cause } => {
                 info!(client = client.0, cause = cut(cause), "{kind}");
             }
-            LogEvent::Decision(Transition::Server { server, from, to, sign }) => {
+            LogEvent::Decision(Transition::Server { server, from, to, trigger: sign }) => {
                 write_server_state(server, *from, *to, *sign, kind);
             }
             LogEvent::Decision(Transition::Group { group, from, to, limit }) => {
@@ -188,7 +188,13 @@
     }
 }
 
-fn write_server_state(server: &ServerId, from: State, to: State, sign: Sign, kind: &str) {
+fn write_server_state(
+    server: &ServerId,
+    from: ServerState,
+    to: ServerState,
+    sign: ServerTrigger,
+    kind: &str,
+) {
     info!(server = cut_name(&server.0), ?from, ?to, ?sign, "{kind}");
 }
 
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -385,10 +385,10 @@
             return;
         }
         let controller = self.coordinator.controller();
-        debug!(best_yield = controller.best_yield(), "beliefs");
-        for (number, group) in controller.beliefs().iter().enumerate() {
+        debug!(best_yield = controller.best_throughput_per_weight(), "beliefs");
+        for (number, group) in controller.group_statuses().iter().enumerate() {
             debug!(
-                number, zone = ?group.zone, load = ?group.load, limit = group.limit, arrives = group.arrives,
+                number, zone = ?group.zone, load = ?group.load, limit = group.limit, arrives = group.arrival_rate,
                 handled = group.handled, wait = group.wait, unanswered = group.unanswered, busy = group.busy,
                 weight = group.weight, listed = group.listed, "group"
             );
--- a/crates/craneknot-node/tests/coordinator.rs
+++ b/crates/craneknot-node/tests/coordinator.rs
@@ -328,11 +328,11 @@
         table: TableId(0),
         classes: ClassSet::of(ClassId(class)),
         level: 1.0,
-        tries,
+        retries: tries,
     };
     // The second class must not run twice.
-    assert!(permits(level(0, FurtherTries::Once)) && permits(level(1, FurtherTries::Unrun)));
-    assert!(!permits(level(1, FurtherTries::Once)) && !permits(level(1, FurtherTries::Twice)));
+    assert!(permits(level(0, Retries::Once)) && permits(level(1, Retries::IfNotExecuted)));
+    assert!(!permits(level(1, Retries::Once)) && !permits(level(1, Retries::Twice)));
 }
 
 /// A wall clock that is an hour behind makes each start that discovery tells lie in the future: that says nothing of the
--- a/crates/craneknot-node/tests/observability.rs
+++ b/crates/craneknot-node/tests/observability.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use craneknot::interface::*;
-use craneknot::{Load, Sign, State, Transition};
+use craneknot::{LoadState, ServerState, ServerTrigger, Transition};
 use craneknot_node::clients::ClientId;
 use craneknot_node::coverage::{BareWarning, Coverage, CoverageFigures, Lapse, Supply, WaitingFor, Worst};
 use craneknot_node::log_event::{EventLog, LogEvent};
@@ -111,14 +111,14 @@
         LogEvent::ClientClosed { client: ClientId(u64::MAX), cause: long.clone() },
         LogEvent::Decision(Transition::Server {
             server: server(),
-            from: State::Doubted,
-            to: State::Cold,
-            sign: Sign::Unlisted,
+            from: ServerState::Doubted,
+            to: ServerState::Cold,
+            trigger: ServerTrigger::Unlisted,
         }),
         LogEvent::Decision(Transition::Group {
             group: 1_000,
-            from: Load::Shedding,
-            to: Load::Shedding,
+            from: LoadState::Shedding,
+            to: LoadState::Shedding,
             limit: f64::MAX,
         }),
         LogEvent::Decision(Transition::TableEmptied { table }),
--- a/crates/craneknot-platform/src/lines.rs
+++ b/crates/craneknot-platform/src/lines.rs
@@ -112,7 +112,7 @@
             load(names, |name| metrics.number(name, LOAD_MOST).ok())
         }
     };
-    Ok(Event::Heard {
+    Ok(Event::TriesReported {
         zone,
         server: ServerId(Arc::from(object.text("endpoint")?)),
         tries,
--- a/crates/craneknot-platform/src/relay.rs
+++ b/crates/craneknot-platform/src/relay.rs
@@ -18,12 +18,12 @@
         Order::Bind { proxy, classes: set, table } => {
             Some(format!("bind,{},{},{}", proxy.0, table.0, classes(*set)))
         }
-        Order::Level { table, classes: set, level, tries } => {
+        Order::Level { table, classes: set, level, retries: tries } => {
             let how = match tries {
-                FurtherTries::Never => 0,
-                FurtherTries::Unrun => 1,
-                FurtherTries::Once => 2,
-                FurtherTries::Twice => 3,
+                Retries::Never => 0,
+                Retries::IfNotExecuted => 1,
+                Retries::Once => 2,
+                Retries::Twice => 3,
             };
             Some(format!("admit,{},{},{level},{how}", table.0, classes(*set)))
         }
--- a/crates/craneknot-platform/tests/messages.rs
+++ b/crates/craneknot-platform/tests/messages.rs
@@ -106,10 +106,10 @@
         let line = json!({"type": "upstream_stats", "locality": "a", "endpoint": "s-1", "total": 212, "errors": 3,
                           "rtt": 41.7, "interval": 1000.0, "metrics": metrics});
         let Ok(Message::Report(heard)) = read(&names, &line) else { panic!("{line}") };
-        let Event::Heard { zone, tries, unanswered, span, latency, report, .. } = heard else {
+        let Event::TriesReported { zone, tries, unanswered, span, latency, report, .. } = heard else {
             panic!("{line}")
         };
-        assert_eq!((report.busy, report.held), (Some(0.92), Some(3.5)));
+        assert_eq!((report.busy, report.in_flight), (Some(0.92), Some(3.5)));
         assert_eq!((tries, unanswered, zone), (212, 3, ZoneId(0)));
         assert_eq!((latency.0, span.secs()), (41_700_000, 1.0));
     }
@@ -181,7 +181,12 @@
         (Order::Line { table, server: server.clone(), weight: 1.5 }, "share,4,s-5be2a07c,1.5"),
         (Order::Bind { proxy: ProxyId(17), classes: both, table }, "bind,17,4,lookup+issue"),
         (
-            Order::Level { table, classes: ClassSet::of(ClassId(0)), level: 0.9, tries: FurtherTries::Unrun },
+            Order::Level {
+                table,
+                classes: ClassSet::of(ClassId(0)),
+                level: 0.9,
+                retries: Retries::IfNotExecuted,
+            },
             "admit,4,lookup,0.9,1",
         ),
         (Order::Mark { mark: 905 }, "mark,905,0"),
--- a/crates/craneknot-rehearsal/src/chooser.rs
+++ b/crates/craneknot-rehearsal/src/chooser.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use craneknot::interface::{FurtherTries, LevelUnit, Nanos};
+use craneknot::interface::{LevelUnit, Nanos, Retries};
 use craneknot_xds::discovery::{epoch_of, read_file, FileFault, Kind};
 use craneknot_xds::meaning::{self, Admission};
 use craneknot_xds::resources::{Cluster, ClusterLoadAssignment, RouteConfiguration};
@@ -206,9 +206,9 @@
     /// Whether another try may follow the last one; `tries` were made.
     pub fn may_try_again(&self, class: usize, tried: Tried, tries: usize) -> bool {
         match (self.admission(class).tries, tried) {
-            (_, Tried::Good) | (FurtherTries::Never, _) | (FurtherTries::Unrun, Tried::Failed) => false,
-            (FurtherTries::Unrun | FurtherTries::Once, _) => tries < 2,
-            (FurtherTries::Twice, _) => tries < 3,
+            (_, Tried::Good) | (Retries::Never, _) | (Retries::IfNotExecuted, Tried::Failed) => false,
+            (Retries::IfNotExecuted | Retries::Once, _) => tries < 2,
+            (Retries::Twice, _) => tries < 3,
         }
     }
 }
@@ -238,13 +238,13 @@
         chooser
     }
 
-    fn all(tries: FurtherTries) -> Admission {
+    fn all(tries: Retries) -> Admission {
         Admission { level: None, unit: LevelUnit::Ignored, tries }
     }
 
     #[test]
     fn servers_are_picked_by_weight_and_left_alone_after_failures() {
-        let mut chooser = chooser(all(FurtherTries::Never));
+        let mut chooser = chooser(all(Retries::Never));
         let picked = (0..4_000).filter(|_| chooser.pick(Nanos(0), 0, &[]) == Ok(1)).count();
         assert!((2_850..3_150).contains(&picked), "{picked}");
         chooser.note(Nanos(0), 1, Tried::Failed);
@@ -256,7 +256,7 @@
 
     #[test]
     fn a_rate_lets_in_what_it_says_and_tells_when_to_come_back() {
-        let rate = Admission { level: Some(4.0), unit: LevelUnit::Rate, tries: FurtherTries::Never };
+        let rate = Admission { level: Some(4.0), unit: LevelUnit::Rate, tries: Retries::Never };
         let mut chooser = chooser(rate);
         let second = |second: u64, k: u64| Nanos::from_millis(10_000 + second * 1_000 + k * 10);
         let mut let_in = 0;
@@ -270,8 +270,10 @@
 
     #[test]
     fn another_try_only_as_told() {
-        use FurtherTries::*;
-        for (tries, unrun, failed) in [(Never, false, false), (Unrun, true, false), (Once, true, true)] {
+        use Retries::*;
+        for (tries, unrun, failed) in
+            [(Never, false, false), (IfNotExecuted, true, false), (Once, true, true)]
+        {
             let chooser = chooser(all(tries));
             let may = |tried| chooser.may_try_again(0, tried, 1);
             assert_eq!((may(Tried::Unrun), may(Tried::Failed), may(Tried::Good)), (unrun, failed, false));
--- a/crates/craneknot-settings/src/given.rs
+++ b/crates/craneknot-settings/src/given.rs
@@ -40,8 +40,8 @@
         };
         LoadReport {
             busy: value("busy"),
-            held: value("rif"),
-            service: value("lat_ms").map(|ms| Nanos::from_secs(ms / 1e3)),
+            in_flight: value("rif"),
+            service_time: value("lat_ms").map(|ms| Nanos::from_secs(ms / 1e3)),
         }
     }
 
@@ -84,7 +84,7 @@
         names.names.classes.push(text("name")?.to_owned());
         classes.push(ClassSettings {
             latency_goal: Nanos::from_secs(number("aim")?),
-            hard_stop: Nanos::from_secs(number("deadline")?),
+            deadline: Nanos::from_secs(number("deadline")?),
             importance: number("worth")?,
             repeats: match text("semantics")? {
                 "free" => Repeats::Safe,
@@ -106,13 +106,13 @@
             "on_request" => true,
             other => return Err(format!("setting registry-mode: unknown {other}")),
         },
-        ask_within: time("rules.ask-within").unwrap_or(Nanos(u64::MAX)),
+        list_known_within: time("rules.ask-within").unwrap_or(Nanos(u64::MAX)),
         drain_grace: time("rules.stop-sending-within")?,
         cold_share: number("rules.cold-share")?,
         warm_after: time("rules.ramp-time")?,
-        fall_multiple: number("rules.fall-multiple")?,
-        fall_window: time("rules.fall")?,
-        bare_limit: time("extra.bare")?,
+        overload_multiple: number("rules.fall-multiple")?,
+        overload_window: time("rules.fall")?,
+        no_line_limit: time("extra.bare")?,
         level_unit: match text("extra.admission")? {
             "ratio" => LevelUnit::Share,
             "rps" => LevelUnit::Rate,
--- a/crates/craneknot-solver/src/estimate.rs
+++ b/crates/craneknot-solver/src/estimate.rs
@@ -260,7 +260,7 @@
         batch.unanswered += unanswered;
         batch.good += good;
         batch.latency += met.latency.secs() * good as f64;
-        if let (Some(busy), Some(held)) = (met.report.busy, met.report.held) {
+        if let (Some(busy), Some(held)) = (met.report.busy, met.report.in_flight) {
             if busy.is_finite() && held.is_finite() && good > 0 {
                 batch.told += good;
                 batch.busy += busy * good as f64;
--- a/crates/craneknot-solver/src/steer.rs
+++ b/crates/craneknot-solver/src/steer.rs
@@ -205,7 +205,7 @@
                 Event::ProxyLeft { proxy } => {
                     self.proxies.remove(proxy);
                 }
-                Event::Heard { server, tries, unanswered, latency, report, .. } => {
+                Event::TriesReported { server, tries, unanswered, latency, report, .. } => {
                     let (tries, unanswered, latency, report) = (*tries, *unanswered, *latency, *report);
                     self.met(now, server, &Met { tries, unanswered, latency, report });
                 }
@@ -214,13 +214,13 @@
                         self.came(now, zone, *class, *arrived);
                     }
                 }
-                Event::ProxyHolds { .. }
+                Event::ExistingBinding { .. }
                 | Event::Probed { .. }
                 | Event::Applied { .. }
                 | Event::OrderRefused { .. }
                 | Event::Woken
-                | Event::PeerSaid { .. }
-                | Event::SliceGiven { .. }
+                | Event::PeerMessage { .. }
+                | Event::SliceAssigned { .. }
                 | Event::SliceLine { .. }
                 | Event::SliceDemand { .. } => {}
             }
--- a/crates/craneknot-solver/tests/fleet.rs
+++ b/crates/craneknot-solver/tests/fleet.rs
@@ -154,7 +154,7 @@
 fn estimates_of_four_tries_stay_wide() {
     let mut estimator = Estimator::new(WARM);
     estimator.list(Nanos(0), &id(0), told(0, 1.0, None));
-    let report = LoadReport { busy: Some(0.1), held: Some(0.2), service: None };
+    let report = LoadReport { busy: Some(0.1), in_flight: Some(0.2), service_time: None };
     let met = Met { tries: 4, unanswered: 0, latency: Nanos::from_millis(20), report };
     estimator.hear(Nanos::from_secs(0.5), &id(0), &met);
     estimator.observe(Nanos::from_secs(2.6));
@@ -165,7 +165,7 @@
 fn settings(zones: usize) -> Settings {
     let class = |importance, only: &[u16]| ClassSettings {
         latency_goal: Nanos::from_millis(400),
-        hard_stop: Nanos::from_millis(1_500),
+        deadline: Nanos::from_millis(1_500),
         importance,
         repeats: Repeats::Safe,
         only_zones: only.iter().map(|zone| ZoneId(*zone)).collect(),
@@ -233,7 +233,7 @@
         let mut events = Vec::new();
         for (number, queue) in queues.iter_mut().enumerate() {
             let met = queue.play(at, rate * held.0[&id(number)] / sum, rng);
-            events.extend(met.map(|met| Event::Heard {
+            events.extend(met.map(|met| Event::TriesReported {
                 server: id(number),
                 zone: ZoneId(0),
                 tries: met.tries,
@@ -373,7 +373,7 @@
                         unanswered: 0,
                         span: Nanos(rng.random_range(0..2_000_000_000)),
                     },
-                    _ => Event::Heard {
+                    _ => Event::TriesReported {
                         server: id(number),
                         zone: ZoneId(0),
                         tries: rng.random_range(0..200),
@@ -382,8 +382,8 @@
                         latency: Nanos(rng.random_range(0..2_000_000_000)),
                         report: LoadReport {
                             busy: Some(wild(&mut rng)),
-                            held: Some(wild(&mut rng)),
-                            service: None,
+                            in_flight: Some(wild(&mut rng)),
+                            service_time: None,
                         },
                     },
                 };
--- a/crates/craneknot-solver/tests/queue/mod.rs
+++ b/crates/craneknot-solver/tests/queue/mod.rs
@@ -88,8 +88,8 @@
         }
         let report = LoadReport {
             busy: (self.tells && good > 0).then(|| busy / good as f64),
-            held: (self.tells && good > 0).then(|| held / good as f64),
-            service: None,
+            in_flight: (self.tells && good > 0).then(|| held / good as f64),
+            service_time: None,
         };
         let latency = Nanos::from_secs(time / tries.max(1) as f64);
         (tries > 0).then_some(Met { tries, unanswered: lost, latency, report })
--- a/crates/craneknot-wirehost/src/wire.rs
+++ b/crates/craneknot-wirehost/src/wire.rs
@@ -203,7 +203,7 @@
             usual_rate: fields.number(4)?,
         },
         "LEFT" => Event::ProxyLeft { proxy: ProxyId(fields.small(2)?) },
-        "OBSERVED" => Event::Heard {
+        "OBSERVED" => Event::TriesReported {
             tries: fields.whole(2)?,
             unanswered: fields.whole(3)?,
             server: fields.server(4)?,
@@ -229,16 +229,18 @@
                 254 => ProbeOutcome::TurnedAway,
                 _ => ProbeOutcome::Failed,
             },
-            took: fields.time(4)?,
+            latency: fields.time(4)?,
             report: report(names, fields.values.get(5)),
         },
         "RECEIPT" => Event::Applied { proxy: ProxyId(fields.small(2)?), mark: fields.small(3)? },
         "TIMEOUT_FIRED" => Event::Woken,
-        "MAIL" => Event::PeerSaid {
+        "MAIL" => Event::PeerMessage {
             peer: PeerId(fields.whole(2)? as u32),
             body: bytes(fields.text(3)?).ok_or_else(|| fields.wrong(3, "hex digits"))?,
         },
-        "ASSIGNED_TO_ME" => Event::SliceGiven { slice: SliceId(fields.small(2)?), given: fields.truth(3)? },
+        "ASSIGNED_TO_ME" => {
+            Event::SliceAssigned { slice: SliceId(fields.small(2)?), assigned: fields.truth(3)? }
+        }
         "ON_RECORD" => Event::SliceLine {
             slice: SliceId(fields.small(2)?),
             server: fields.server(3)?,
@@ -274,12 +276,12 @@
         Order::Bind { proxy, classes, table } => {
             json!(["HAND_TABLE", instance, classes.0, proxy.0, table.0])
         }
-        Order::Level { table, classes, level, tries } => {
+        Order::Level { table, classes, level, retries: tries } => {
             let how = match tries {
-                FurtherTries::Never => 0,
-                FurtherTries::Unrun => 1,
-                FurtherTries::Once => 2,
-                FurtherTries::Twice => 3,
+                Retries::Never => 0,
+                Retries::IfNotExecuted => 1,
+                Retries::Once => 2,
+                Retries::Twice => 3,
             };
             json!(["ALLOW", instance, classes.0, level, how, table.0])
         }
--- a/crates/craneknot-xds/src/meaning.rs
+++ b/crates/craneknot-xds/src/meaning.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use craneknot::interface::{FurtherTries, LevelUnit};
+use craneknot::interface::{LevelUnit, Retries};
 
 use crate::discovery::{Kind, Locality};
 use crate::load::Seconds;
@@ -25,12 +25,12 @@
     /// Operations a second at each proxy, or a share; nothing: all.
     pub level: Option<f64>,
     pub unit: LevelUnit,
-    pub tries: FurtherTries,
+    pub tries: Retries,
 }
 
 impl Admission {
     pub fn all(unit: LevelUnit) -> Self {
-        Admission { level: None, unit, tries: FurtherTries::Never }
+        Admission { level: None, unit, tries: Retries::Never }
     }
 }
 
@@ -96,13 +96,13 @@
     }
 }
 
-fn retry_policy(tries: FurtherTries) -> Option<RetryPolicy> {
+fn retry_policy(tries: Retries) -> Option<RetryPolicy> {
     let (retry_on, num_retries) = match tries {
-        FurtherTries::Never => return None,
+        Retries::Never => return None,
         // Conditions under which the server surely never began.
-        FurtherTries::Unrun => ("connect-failure,refused-stream", 1),
-        FurtherTries::Once => ("5xx,reset,connect-failure,refused-stream", 1),
-        FurtherTries::Twice => ("5xx,reset,connect-failure,refused-stream", 2),
+        Retries::IfNotExecuted => ("connect-failure,refused-stream", 1),
+        Retries::Once => ("5xx,reset,connect-failure,refused-stream", 1),
+        Retries::Twice => ("5xx,reset,connect-failure,refused-stream", 2),
     };
     let retry_host_predicate = vec![Named { name: "envoy.retry_host_predicates.previous_hosts".to_owned() }];
     Some(RetryPolicy { retry_on: retry_on.to_owned(), num_retries, retry_host_predicate })
@@ -184,11 +184,11 @@
     let conditions = || policy.retry_on.split(',').map(str::trim).filter(|condition| !condition.is_empty());
     let unrun = |condition: &str| matches!(condition, "connect-failure" | "refused-stream");
     admission.tries = match policy.num_retries {
-        0 => FurtherTries::Never,
-        _ if conditions().next().is_none() => FurtherTries::Never,
-        _ if conditions().all(unrun) => FurtherTries::Unrun,
-        1 => FurtherTries::Once,
-        _ => FurtherTries::Twice,
+        0 => Retries::Never,
+        _ if conditions().next().is_none() => Retries::Never,
+        _ if conditions().all(unrun) => Retries::IfNotExecuted,
+        1 => Retries::Once,
+        _ => Retries::Twice,
     };
     Ok(admission)
 }
@@ -207,11 +207,11 @@
         let text = serde_json::to_string(&table("t1", &lines_in)).unwrap();
         let back: ClusterLoadAssignment = serde_json::from_str(&text).unwrap();
         assert_eq!(lines(&back), [("127.0.0.1:81".to_owned(), 1.5), ("[::1]:82".to_owned(), 0.0001)]);
-        use FurtherTries::*;
+        use Retries::*;
         for (level, unit) in
             [(Some(0.25), LevelUnit::Share), (Some(7.5), LevelUnit::Rate), (Some(0.4), LevelUnit::Rate)]
         {
-            for tries in [Never, Unrun, Once, Twice] {
+            for tries in [Never, IfNotExecuted, Once, Twice] {
                 let said = Admission { level, unit, tries };
                 let text = serde_json::to_string(&routes("t1", [("read", said)].into_iter())).unwrap();
                 let back: RouteConfiguration = serde_json::from_str(&text).unwrap();
@@ -226,7 +226,7 @@
     #[test]
     fn extremes_of_levels_are_borne() {
         let read = |level, unit| {
-            let said = Admission { level: Some(level), unit, tries: FurtherTries::Never };
+            let said = Admission { level: Some(level), unit, tries: Retries::Never };
             admission(&routes("t", [("read", said)].into_iter()).virtual_hosts[0].routes[0]).unwrap().level
         };
         assert_eq!(read(1.0, LevelUnit::Share), None);
--- a/src/cold_placements.rs
+++ b/src/cold_placements.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 use crate::levels::even_cap;
 use crate::policy::BUSY_UNTOLD;
-use crate::state::State::Cold;
+use crate::state::ServerState::Cold;
 use crate::state::*;
 
 const SURE: f64 = 0.75; // share counted on of the best that servers have shown lately: the best of noisy sums
@@ -58,7 +58,7 @@
     }
 
     /// Levels of a table to cold servers alone: what these can surely do, the most important class first.
-    pub(crate) fn cold_levels(&self, group: usize, place: usize) -> BTreeMap<usize, (f64, FurtherTries)> {
+    pub(crate) fn cold_levels(&self, group: usize, place: usize) -> BTreeMap<usize, (f64, Retries)> {
         let best = self.best_yield.read(self.now);
         let usual = UNPROVEN * self.usual / BUSY_UNTOLD / self.most_listed.max(1.0);
         let each = if best > 0.0 { SURE * best * self.own_part() } else { usual };
@@ -72,13 +72,13 @@
         };
         let shares = self.shares_within(able, &arrivals);
         let levels = shares.into_iter().map(|(class, share)| (class, level(class, share)));
-        levels.map(|(class, level)| (class, (level, FurtherTries::Never))).collect()
+        levels.map(|(class, level)| (class, (level, Retries::Never))).collect()
     }
 
     /// The highest rate at each proxy at which cold servers do not fall, neither by what passes steadily nor by what passes
     /// at once: a proxy that has let nothing pass for a while lets its next operation pass whatever its rate.
     fn safe_rate(&self, able: f64, arrivals: &[f64]) -> f64 {
-        let (multiple, window) = (self.settings.fall_multiple, self.settings.fall_window.secs());
+        let (multiple, window) = (self.settings.overload_multiple, self.settings.overload_window.secs());
         let budget = BURST * multiple * able * window;
         let at_once = |rate: f64| -> f64 {
             arrivals.iter().map(|arrived| (arrived * window).min(1.0 + rate * window)).sum()
--- a/src/health.rs
+++ b/src/health.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::*;
 use crate::policy::{BUSY_UNTOLD, EVIDENCE, HEARD, ODD_SHARE, STEP, STEPS};
-use crate::state::State::{Away, Cold, Doubted, Open, Out};
+use crate::state::ServerState::{Away, Cold, Doubted, Open, Out};
 use crate::state::*;
 
 const JOIN_SHARE: f64 = 0.5; // share of its weight with which a server joins; the design's
@@ -24,15 +24,15 @@
 const FORGET: Nanos = Nanos::from_millis(60_000); // ms; a server gone for so long comes back as a new one
 
 /// A server's states, sign, next state, effect. The first sign that holds and has a row is taken.
-const SERVER_MOVES: &[(&[State], Sign, State, Effect)] = &[
-    (&[Cold, Open, Doubted, Out], Sign::Unlisted, Away, Effect::Leave),
-    (&[Away, Open, Doubted, Out, Cold], Sign::Started, Cold, Effect::Join),
-    (&[Away], Sign::Warm, Open, Effect::Join),
-    (&[Cold], Sign::Warm, Open, Effect::Nothing),
-    (&[Cold, Open, Doubted], Sign::Broken, Out, Effect::Expel),
-    (&[Open], Sign::Odd, Doubted, Effect::Nothing),
-    (&[Doubted], Sign::Sound, Open, Effect::Nothing),
-    (&[Out], Sign::Cleared, Open, Effect::Return),
+const SERVER_MOVES: &[(&[ServerState], ServerTrigger, ServerState, Effect)] = &[
+    (&[Cold, Open, Doubted, Out], ServerTrigger::Unlisted, Away, Effect::Leave),
+    (&[Away, Open, Doubted, Out, Cold], ServerTrigger::Started, Cold, Effect::Join),
+    (&[Away], ServerTrigger::Warm, Open, Effect::Join),
+    (&[Cold], ServerTrigger::Warm, Open, Effect::Nothing),
+    (&[Cold, Open, Doubted], ServerTrigger::Broken, Out, Effect::Eject),
+    (&[Open], ServerTrigger::Odd, Doubted, Effect::Nothing),
+    (&[Doubted], ServerTrigger::Sound, Open, Effect::Nothing),
+    (&[Out], ServerTrigger::Cleared, Open, Effect::Return),
 ];
 
 impl Server {
@@ -96,7 +96,7 @@
 }
 
 impl Controller {
-    pub(crate) fn sign_of(&self, server: &Server) -> Option<(Sign, State, Effect)> {
+    pub(crate) fn sign_of(&self, server: &Server) -> Option<(ServerTrigger, ServerState, Effect)> {
         let (now, seen) = (self.now, server.seen(self.now));
         let (tries, share) = (seen.tries, seen.share());
         let cold = !server.warm(now, &self.settings);
@@ -104,22 +104,24 @@
         let group = &self.groups[server.group];
         let own = share > OWN_FAULT * group.better;
         let room = group.weight - FLOOR * group.listed;
-        let strained = group.load == Load::Shedding && server.probes_bad == 0;
+        let strained = group.load == LoadState::Shedding && server.probes_bad == 0;
         let failing = tries >= EVIDENCE && share >= BROKEN_SHARE && own && !strained;
         let silent = server.probes_bad >= BAD_PROBES && (share > ODD_SHARE || tries < 1.0);
         let rested = now - server.since >= DOUBT_ENDS && share < ODD_SHARE;
         let needed = CLEARING << server.relapses.saturating_sub(1).min(3);
         let waited = now - server.since >= Nanos(PROBE_EVERY.0 * u64::from(needed));
-        let holds = |sign: Sign| match sign {
-            Sign::Unlisted => !server.ready(),
-            Sign::Started => server.ready() && cold && (server.state == Away || server.fresh),
-            Sign::Warm => server.ready() && !cold,
-            Sign::Broken => (failing || silent) && server.listed_weight() <= room,
-            Sign::Odd => share * tries >= EVIDENCE / 2.0 && share >= ODD_SHARE && own,
-            Sign::Sound => rested || server.state == Doubted && server.probes_good >= CLEARING,
-            Sign::Cleared => waited && (server.probes_good >= needed || !self.settings.probes),
+        let holds = |sign: ServerTrigger| match sign {
+            ServerTrigger::Unlisted => !server.ready(),
+            ServerTrigger::Started => server.ready() && cold && (server.state == Away || server.fresh),
+            ServerTrigger::Warm => server.ready() && !cold,
+            ServerTrigger::Broken => (failing || silent) && server.listed_weight() <= room,
+            ServerTrigger::Odd => share * tries >= EVIDENCE / 2.0 && share >= ODD_SHARE && own,
+            ServerTrigger::Sound => rested || server.state == Doubted && server.probes_good >= CLEARING,
+            ServerTrigger::Cleared => waited && (server.probes_good >= needed || !self.settings.probes),
+        };
+        let row = |row: &&(&[ServerState], ServerTrigger, ServerState, Effect)| {
+            row.0.contains(&server.state) && holds(row.1)
         };
-        let row = |row: &&(&[State], Sign, State, Effect)| row.0.contains(&server.state) && holds(row.1);
         SERVER_MOVES.iter().find(row).map(|(_, sign, next, effect)| (*sign, *next, *effect))
     }
 
@@ -132,7 +134,7 @@
         for (id, _) in order {
             let Some((sign, next, effect)) = self.sign_of(&self.servers[&id]) else { continue };
             let from = self.servers[&id].state;
-            self.note_transition(Transition::Server { server: id.clone(), from, to: next, sign });
+            self.note_transition(Transition::Server { server: id.clone(), from, to: next, trigger: sign });
             let Some(server) = self.servers.get_mut(&id) else { continue };
             (server.state, server.since, server.fresh) = (next, now, false);
             (server.probes_good, server.probes_bad) = (0, 0);
@@ -142,12 +144,12 @@
                 Effect::Join => (server.joined, server.relapses) = ((now > self.born).then_some(now), 0),
                 Effect::Leave => self.next_step = now,
                 Effect::Return => server.joined = Some(now),
-                Effect::Expel => {
+                Effect::Eject => {
                     server.relapses += 1;
                     self.groups[server.group].weight -= server.listed_weight();
                 }
             }
-            if effect != Effect::Expel {
+            if effect != Effect::Eject {
                 (server.near, server.far, server.pace) = (Met::default(), Met::default(), 1.0);
             }
             self.steps_left = STEPS;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
     pub latency_goal: Nanos,
-    pub hard_stop: Nanos,
+    pub deadline: Nanos,
     pub importance: f64,
     pub repeats: Repeats,
     /// The only zones it may run in; empty: any.
@@ -136,16 +136,16 @@
     /// The list comes only when asked for.
     pub list_on_request: bool,
     /// Without a standing request, how long until the controller is held to know the list.
-    pub ask_within: Nanos,
+    pub list_known_within: Nanos,
     pub drain_grace: Nanos,
     /// A server starts at this share of its capacity or more.
     pub cold_share: f64,
     /// It is warm no later than this after its start.
     pub warm_after: Nanos,
-    pub fall_multiple: f64,
-    pub fall_window: Nanos,
+    pub overload_multiple: f64,
+    pub overload_window: Nanos,
     /// How long a proxy may lack a line.
-    pub bare_limit: Nanos,
+    pub no_line_limit: Nanos,
     pub level_unit: LevelUnit,
     pub channel_lines_per_second: f64,
     pub channel_lines_limit: f64,
@@ -200,9 +200,9 @@
     /// Busy share of its cores.
     pub busy: Option<f64>,
     /// Operations it holds.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Recent service time without waiting.
-    pub service: Option<Nanos>,
+    pub service_time: Option<Nanos>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -226,7 +226,7 @@
         usual_rate: f64,
     },
     /// A proxy that has joined already follows that table of a former controller's.
-    ProxyHolds {
+    ExistingBinding {
         proxy: ProxyId,
         class: ClassId,
         table: TableId,
@@ -235,7 +235,7 @@
         proxy: ProxyId,
     },
     /// What proxies of a zone met at a server.
-    Heard {
+    TriesReported {
         server: ServerId,
         zone: ZoneId,
         tries: u64,
@@ -255,7 +255,7 @@
     Probed {
         server: ServerId,
         outcome: ProbeOutcome,
-        took: Nanos,
+        latency: Nanos,
         report: LoadReport,
     },
     /// An order was not carried out, and will not be: the proxies hold what they held before.
@@ -269,13 +269,13 @@
     },
     /// A time asked for with `Order::Wake` has come.
     Woken,
-    PeerSaid {
+    PeerMessage {
         peer: PeerId,
         body: Vec<u8>,
     },
-    SliceGiven {
+    SliceAssigned {
         slice: SliceId,
-        given: bool,
+        assigned: bool,
     },
     /// A line of a slice's table, as stored.
     SliceLine {
@@ -294,10 +294,10 @@
 
 /// When a proxy tries another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FurtherTries {
+pub enum Retries {
     Never,
     /// Once, when the first is proven never to have run.
-    Unrun,
+    IfNotExecuted,
     /// Once, after any failure.
     Once,
     /// Twice, after any failure.
@@ -322,7 +322,7 @@
         table: TableId,
         classes: ClassSet,
         level: f64,
-        tries: FurtherTries,
+        retries: Retries,
     },
     Probe {
         server: ServerId,
--- a/src/levels.rs
+++ b/src/levels.rs
@@ -26,11 +26,11 @@
 const RATE_ALL: f64 = 1e6; // operations a second; more than any proxy carries: a level that lets all in
 
 /// A group's state, strain, next state, effect on the limit of what it takes in.
-const GROUP_MOVES: &[(Load, Strain, Load, Limit)] = &[
-    (Load::Calm, Strain::Over, Load::Shedding, Limit::Cut),
-    (Load::Shedding, Strain::Over, Load::Shedding, Limit::Cut),
-    (Load::Shedding, Strain::Light, Load::Shedding, Limit::Grow),
-    (Load::Shedding, Strain::Idle, Load::Calm, Limit::Lift),
+const GROUP_MOVES: &[(LoadState, LoadTrigger, LoadState, LimitChange)] = &[
+    (LoadState::Calm, LoadTrigger::Overloaded, LoadState::Shedding, LimitChange::Cut),
+    (LoadState::Shedding, LoadTrigger::Overloaded, LoadState::Shedding, LimitChange::Cut),
+    (LoadState::Shedding, LoadTrigger::Light, LoadState::Shedding, LimitChange::Grow),
+    (LoadState::Shedding, LoadTrigger::Idle, LoadState::Calm, LimitChange::Remove),
 ];
 
 impl Controller {
@@ -51,19 +51,21 @@
                 && group.seen.tries >= EVIDENCE
                 && group.busy.is_none()
             {
-                Some(Strain::Over)
+                Some(LoadTrigger::Overloaded)
             } else if answer < WAIT_LIGHT && group.limit > LIFT * arrived && group.cold.is_none() {
-                Some(Strain::Idle)
+                Some(LoadTrigger::Idle)
             } else {
-                (answer < WAIT_LIGHT).then_some(Strain::Light)
+                (answer < WAIT_LIGHT).then_some(LoadTrigger::Light)
             };
             let row = GROUP_MOVES.iter().find(|row| row.0 == group.load && Some(row.1) == strain);
             let Some((_, _, next, effect)) = row else { continue };
             match effect {
-                Limit::Cut if rested >= CUT_EVERY => group.limit = full.clamp(CUT_MOST * most, CUT * most),
-                Limit::Grow if rested >= GROW_EVERY => group.limit = (group.limit * GROWTH).max(proven),
-                Limit::Lift if rested >= GROW_EVERY => group.limit = f64::INFINITY,
-                Limit::Cut | Limit::Grow | Limit::Lift => continue,
+                LimitChange::Cut if rested >= CUT_EVERY => {
+                    group.limit = full.clamp(CUT_MOST * most, CUT * most)
+                }
+                LimitChange::Grow if rested >= GROW_EVERY => group.limit = (group.limit * GROWTH).max(proven),
+                LimitChange::Remove if rested >= GROW_EVERY => group.limit = f64::INFINITY,
+                LimitChange::Cut | LimitChange::Grow | LimitChange::Remove => continue,
             }
             let (from, limit) = (group.load, group.limit);
             (group.load, group.changed) = (*next, self.now);
@@ -122,7 +124,7 @@
     }
 
     /// Levels of a group's classes: the limit goes to the most important first.
-    pub(crate) fn wanted_levels(&self, index: usize) -> BTreeMap<usize, (f64, FurtherTries)> {
+    pub(crate) fn wanted_levels(&self, index: usize) -> BTreeMap<usize, (f64, Retries)> {
         let group = &self.groups[index];
         // What its members can do beside what others send: a standing ceiling where busy shares are told,
         // else while some member is cold, or nothing is known yet but usual traffic and what was listed.
@@ -144,9 +146,9 @@
                 LevelUnit::Rate => RATE_ALL,
                 LevelUnit::Ignored => 1.0,
             };
-            let calm = group.load == Load::Calm && group.cold.is_none() && share >= 1.0;
+            let calm = group.load == LoadState::Calm && group.cold.is_none() && share >= 1.0;
             // Further tries are more load; only those that surely ran nowhere are safe for every class.
-            let tries = if calm { FurtherTries::Unrun } else { FurtherTries::Never };
+            let tries = if calm { Retries::IfNotExecuted } else { Retries::Never };
             levels.insert(class, (level, tries));
         }
         levels
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,4 +12,4 @@
 mod sender;
 mod state;
 
-pub use state::{Controller, Load, Sign, State, Transition};
+pub use state::{Controller, LoadState, ServerState, ServerTrigger, Transition};
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -16,7 +16,7 @@
 use rand::Rng;
 
 use crate::interface::*;
-use crate::state::State::Cold;
+use crate::state::ServerState::Cold;
 use crate::state::*;
 
 pub(crate) const TURN: Nanos = Nanos::from_millis(250); // ms; looks round unasked: well under a report's delay
@@ -92,7 +92,7 @@
                 self.proxies.insert(*proxy, joined);
                 self.steps_left = STEPS;
             }
-            Event::ProxyHolds { proxy, class, table } => {
+            Event::ExistingBinding { proxy, class, table } => {
                 // A takeover is no change of membership: bindings stay where they stand.
                 let group = Some(usize::from(table.0) / PLACES).filter(|group| *group < self.groups.len());
                 let bindings = self.proxies.get_mut(proxy).map(|proxy| &mut proxy.bindings);
@@ -104,12 +104,12 @@
                 self.proxies.remove(proxy);
                 self.steps_left = STEPS;
             }
-            Event::Heard { server, zone, tries, unanswered, latency, report, span } => {
+            Event::TriesReported { server, zone, tries, unanswered, latency, report, span } => {
                 let Some(server) = self.servers.get_mut(server) else { return };
                 // Where lines wait their turn a report covers more, and must last until the next one.
                 let half = (*span).clamp(HALF_LIFE, LASTING);
                 server.busy.hear(now, half, report.busy);
-                server.held.hear(now, half, report.held);
+                server.held.hear(now, half, report.in_flight);
                 // A try without an answer weighs as much as the slowest that is of use.
                 let (tries, failed) = (*tries as f64, *tries.min(unanswered) as f64);
                 let answering = (tries - failed) * latency.secs();
@@ -146,8 +146,8 @@
                 }
             }
             Event::Applied { mark, .. } => self.channel.applied(*mark),
-            Event::Woken | Event::PeerSaid { .. } => {}
-            Event::SliceGiven { .. } | Event::SliceLine { .. } | Event::SliceDemand { .. } => {}
+            Event::Woken | Event::PeerMessage { .. } => {}
+            Event::SliceAssigned { .. } | Event::SliceLine { .. } | Event::SliceDemand { .. } => {}
         }
     }
 
--- a/src/sender.rs
+++ b/src/sender.rs
@@ -4,7 +4,7 @@
 
 use crate::interface::*;
 use crate::policy::{LEAST, ODD_SHARE, PLACES, TURN};
-use crate::state::State::Cold;
+use crate::state::ServerState::Cold;
 use crate::state::*;
 
 const CHANGE: f64 = 0.12; // share by which a line or level must move: less is not worth the channel
@@ -99,13 +99,14 @@
                 (rank, Order::Line { table, server, weight })
             };
             let lines = held.changes(&wanted, CHANGE).into_iter().map(line);
-            let level = |(class, (level, tries)): (usize, (f64, FurtherTries))| {
+            let level = |(class, (level, tries)): (usize, (f64, Retries))| {
                 let old = held.levels.get(&class);
                 let differs = |old: &(f64, _)| tries != old.1 || (level - old.0).abs() > CHANGE * old.0;
                 let is_lower = old.is_none_or(|old| level < old.0);
                 let rank = if is_cold && is_lower { 1 } else { rank(4) };
                 let classes = ClassSet::of(ClassId(class as u8));
-                old.is_none_or(differs).then_some((rank, Order::Level { table, classes, level, tries }))
+                old.is_none_or(differs)
+                    .then_some((rank, Order::Level { table, classes, level, retries: tries }))
             };
             let levels = levels.into_iter().filter_map(level);
             // What cold servers can't do is kept off before they get a line.
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -4,33 +4,33 @@
 
 use crate::interface::*;
 use crate::state::decay::Seen;
-use crate::state::server::State;
+use crate::state::server::ServerState;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Load {
+pub enum LoadState {
     Calm,
     Shedding,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strain {
-    Over,
+pub enum LoadTrigger {
+    Overloaded,
     Light,
     Idle,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum LimitChange {
     Cut,
     Grow,
-    Lift,
+    Remove,
 }
 
 pub struct Group {
     pub members: BTreeSet<ServerId>,
     /// The zone of its servers, where all are of one.
     pub zone: Option<ZoneId>,
-    pub load: Load,
+    pub load: LoadState,
     /// Operations a second it takes in at most.
     pub limit: f64,
     pub changed: Nanos,
@@ -57,7 +57,7 @@
         Group {
             members: BTreeSet::new(),
             zone,
-            load: Load::Calm,
+            load: LoadState::Calm,
             limit: f64::INFINITY,
             changed: Nanos(0),
             seen: Seen::default(),
@@ -75,12 +75,12 @@
 
 /// What a controller believes of a group, for whoever looks on.
 #[derive(Clone, Debug)]
-pub struct GroupView {
+pub struct GroupStatus {
     pub zone: Option<ZoneId>,
-    pub load: Load,
+    pub load: LoadState,
     pub limit: f64,
     /// Operations a second that arrive for it, and that its members handle.
-    pub arrives: f64,
+    pub arrival_rate: f64,
     pub handled: f64,
     /// Mean wait, unanswered share, and busy share of its members in no doubt.
     pub wait: f64,
@@ -90,5 +90,5 @@
     pub weight: f64,
     pub listed: f64,
     /// Its members' names, states, and weights against the listed ones.
-    pub members: Vec<(ServerId, State, f64)>,
+    pub members: Vec<(ServerId, ServerState, f64)>,
 }
--- a/src/state/holdings.rs
+++ b/src/state/holdings.rs
@@ -54,7 +54,7 @@
                 }
                 (1, users.get(table).cloned().unwrap_or_default())
             }
-            Order::Level { table, classes, level, tries } => {
+            Order::Level { table, classes, level, retries: tries } => {
                 let class = classes.0.trailing_zeros() as usize;
                 self.tables.entry(*table).or_default().levels.insert(class, (*level, *tries));
                 (1, users.get(table).cloned().unwrap_or_default())
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -19,9 +19,9 @@
 pub use binding::{Binding, Candidate, GroupLoads, Proxy};
 pub use channel::Channel;
 pub use decay::{Decay, Met, Seen};
-pub use group::{Group, GroupView, Limit, Load, Strain};
+pub use group::{Group, GroupStatus, LimitChange, LoadState, LoadTrigger};
 pub use placement::{ClassRow, Placement};
-pub use server::{Effect, Server, Sign, State};
+pub use server::{Effect, Server, ServerState, ServerTrigger};
 pub use table::{Refusal, Subject, Table};
 
 const TRANSITIONS_KEPT: usize = 1_024; // between two looks: a fleet of that many servers may change at once
@@ -31,15 +31,15 @@
 pub enum Transition {
     Server {
         server: ServerId,
-        from: State,
-        to: State,
-        sign: Sign,
+        from: ServerState,
+        to: ServerState,
+        trigger: ServerTrigger,
     },
     /// `limit`: operations a second that the group takes in at most.
     Group {
         group: usize,
-        from: Load,
-        to: Load,
+        from: LoadState,
+        to: LoadState,
         limit: f64,
     },
     /// A table has lost its last line.
@@ -138,12 +138,12 @@
     }
 
     /// What is believed of load and health, to be held against what passes.
-    pub fn beliefs(&self) -> Vec<GroupView> {
-        let view = |group: &Group| GroupView {
+    pub fn group_statuses(&self) -> Vec<GroupStatus> {
+        let view = |group: &Group| GroupStatus {
             zone: group.zone,
             load: group.load,
             limit: group.limit,
-            arrives: group.arrivals.iter().flatten().sum(),
+            arrival_rate: group.arrivals.iter().flatten().sum(),
             handled: group.seen.handled,
             wait: group.seen.wait(),
             unanswered: group.seen.share(),
@@ -160,12 +160,12 @@
     }
 
     /// Servers that are remembered, those lately gone included.
-    pub fn servers_known(&self) -> usize {
+    pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
     /// Operations a second that a unit of listed weight could do, at its best lately.
-    pub fn best_yield(&self) -> f64 {
+    pub fn best_throughput_per_weight(&self) -> f64 {
         self.best_yield.read(self.now)
     }
 
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -4,7 +4,7 @@
 use crate::state::decay::{Mean, Met};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// Not listed ready: in no table.
     Away,
     /// Started lately: its weight grows with what it can surely do.
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ServerTrigger {
     Unlisted,
     Started,
     Warm,
@@ -35,7 +35,7 @@
     /// It leaves all tables; bindings settle.
     Leave,
     /// As Leave, and its next return takes longer.
-    Expel,
+    Eject,
     /// It returns, and what was measured before no longer holds; bindings settle.
     Return,
 }
@@ -43,7 +43,7 @@
 pub struct Server {
     pub listing: Listing,
     pub group: usize,
-    pub state: State,
+    pub state: ServerState,
     pub since: Nanos,
     /// When it last entered its group; nothing: with the first list.
     pub joined: Option<Nanos>,
@@ -68,7 +68,7 @@
         Server {
             listing,
             group,
-            state: State::Away,
+            state: ServerState::Away,
             since: Nanos(0),
             joined: None,
             fresh: false,
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Default)]
 pub struct Table {
     pub lines: BTreeMap<ServerId, f64>,
-    pub levels: BTreeMap<usize, (f64, FurtherTries)>,
+    pub levels: BTreeMap<usize, (f64, Retries)>,
 }
 
 impl Table {
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -34,7 +34,7 @@
 pub fn class(repeats: Repeats, importance: f64, only_zones: &[u16]) -> ClassSettings {
     ClassSettings {
         latency_goal: secs(1.0),
-        hard_stop: secs(3.0),
+        deadline: secs(3.0),
         importance,
         repeats,
         only_zones: only_zones.iter().map(|zone| ZoneId(*zone)).collect(),
@@ -53,13 +53,13 @@
         controllers: 1,
         proxies: 6,
         list_on_request: true,
-        ask_within: secs(10.0),
+        list_known_within: secs(10.0),
         drain_grace: secs(2.0),
         cold_share: 0.2,
         warm_after: secs(16.0),
-        fall_multiple: 3.0,
-        fall_window: secs(3.0),
-        bare_limit: secs(2.0),
+        overload_multiple: 3.0,
+        overload_window: secs(3.0),
+        no_line_limit: secs(2.0),
         level_unit,
         channel_lines_per_second: 3_000.0,
         channel_lines_limit: 4_000.0,
@@ -82,7 +82,7 @@
     /// Joined proxies, and since when.
     pub joined: BTreeMap<ProxyId, Nanos>,
     pub tables: BTreeMap<TableId, BTreeMap<ServerId, f64>>,
-    pub levels: BTreeMap<(TableId, usize), (f64, FurtherTries)>,
+    pub levels: BTreeMap<(TableId, usize), (f64, Retries)>,
     pub bound: BTreeMap<(ProxyId, usize), TableId>,
     pub orders: Vec<Order>,
     /// What proxies answer to marks, told with the next step.
@@ -134,14 +134,14 @@
         let report = LoadReport { busy, ..LoadReport::default() };
         let zone = ZoneId((number % 2) as u16);
         let (server, span, latency) = (server(number), secs(1.0), secs(latency));
-        Event::Heard { server, zone, tries, unanswered, span, latency, report }
+        Event::TriesReported { server, zone, tries, unanswered, span, latency, report }
     }
 
     /// A report of a server that does well, half busy, and holds so many operations.
     pub fn heard_holding(number: usize, tries: u64, held: f64) -> Event {
-        let report = LoadReport { busy: Some(0.5), held: Some(held), ..LoadReport::default() };
+        let report = LoadReport { busy: Some(0.5), in_flight: Some(held), ..LoadReport::default() };
         let (server, zone, span) = (server(number), ZoneId((number % 2) as u16), secs(1.0));
-        Event::Heard { server, zone, tries, unanswered: 0, span, latency: secs(0.3), report }
+        Event::TriesReported { server, zone, tries, unanswered: 0, span, latency: secs(0.3), report }
     }
 
     /// The lines a proxy picks from for a class.
@@ -209,7 +209,7 @@
                     lines.retain(|_, weight| *weight > 0.0);
                     reached
                 }
-                Order::Level { table, classes, level, tries } => {
+                Order::Level { table, classes, level, retries: tries } => {
                     assert!(*level >= 0.0 && level.is_finite(), "a level of {level}");
                     for class in (0..self.settings.classes.len()).filter(|k| classes.has(ClassId(*k as u8))) {
                         self.levels.insert((*table, class), (*level, *tries));
@@ -270,7 +270,7 @@
             if due && lines.is_empty() {
                 let since = *bare.entry((proxy, class)).or_insert(self.now);
                 assert!(
-                    self.now - since <= self.settings.bare_limit,
+                    self.now - since <= self.settings.no_line_limit,
                     "rule 1: {proxy:?} has no line for {class}"
                 );
             } else {
@@ -298,8 +298,8 @@
                     );
                 }
             }
-            let tries = self.levels.get(&(*table, class)).map_or(FurtherTries::Never, |(_, tries)| *tries);
-            let twice = matches!(tries, FurtherTries::Once | FurtherTries::Twice);
+            let tries = self.levels.get(&(*table, class)).map_or(Retries::Never, |(_, tries)| *tries);
+            let twice = matches!(tries, Retries::Once | Retries::Twice);
             assert!(row.repeats == Repeats::Safe || !twice, "rule 2: class {class} may run twice");
         }
         self.bare = bare;
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -35,7 +35,7 @@
 }
 
 fn probed(number: usize, outcome: ProbeOutcome) -> Event {
-    Event::Probed { server: server(number), outcome, took: secs(0.1), report: LoadReport::default() }
+    Event::Probed { server: server(number), outcome, latency: secs(0.1), report: LoadReport::default() }
 }
 
 fn level(world: &World, proxy: u16, class: usize) -> f64 {
@@ -225,7 +225,7 @@
         assert!(level(&world, 1, 0) < 0.9 * whole, "{unit:?}: class 0 at {}", level(&world, 1, 0));
         assert!(level(&world, 0, 2) >= whole.min(2.0), "{unit:?}: class 2 at {}", level(&world, 0, 2));
         let tries = world.levels[&(world.bound[&(ProxyId(1), 0)], 0)].1;
-        assert_eq!(tries, FurtherTries::Never, "no further tries under strain");
+        assert_eq!(tries, Retries::Never, "no further tries under strain");
         pass(&mut world, 40, &[], 9, busy.map(|_| 0.5));
         assert!(level(&world, 1, 0) >= whole.min(9.0), "{unit:?}: all are let in again");
     }
@@ -304,12 +304,12 @@
     world.step(1.0, &[Event::Woken]);
     let first = table_of(&world, 0).unwrap();
     // The next one would go to another group, since the first is loaded; it holds the first's table and keeps it.
-    let holds = Event::ProxyHolds { proxy: ProxyId(2), class: ClassId(0), table: first };
+    let holds = Event::ExistingBinding { proxy: ProxyId(2), class: ClassId(0), table: first };
     world.step(0.1, &[World::join(2), holds]);
     world.step(1.0, &[Event::Woken]);
     assert_eq!(table_of(&world, 2), Some(first));
     // A table that no group has is of no use: the proxy is bound as any other.
-    let nowhere = Event::ProxyHolds { proxy: ProxyId(4), class: ClassId(0), table: TableId(60_000) };
+    let nowhere = Event::ExistingBinding { proxy: ProxyId(4), class: ClassId(0), table: TableId(60_000) };
     world.step(0.1, &[World::join(4), nowhere]);
     world.step(1.0, &[Event::Woken]);
     assert!(table_of(&world, 4).is_some_and(|table| table != TableId(60_000)));
@@ -345,7 +345,7 @@
             world.step(1.0, &[World::change(number - 10, None, Readiness::Removed)]);
         }
         pass(&mut world, 1, &[], 9, Some(0.5));
-        most = most.max(world.controller.servers_known());
+        most = most.max(world.controller.known_servers());
     }
     assert!(most <= 50, "{most} are remembered, 20 of them listed and some 15 lately gone");
     assert!(most >= 30, "{most}: who comes back soon is known");
@@ -484,9 +484,9 @@
     let start = world.now;
     world.step(0.1, &[World::change(0, Some(start), Readiness::Ready)]);
     assert_eq!(world.lines(0, 2).len(), 1);
-    let (capacity, window) = (16.0, world.settings.fall_window.secs());
+    let (capacity, window) = (16.0, world.settings.overload_window.secs());
     let level = world.levels[&(world.bound[&(ProxyId(0), 2)], 2)].0;
     let at_once = f64::from(proxies) * window.min(1.0 + level * window);
-    let most = world.settings.fall_multiple * capacity * warmed(&world, start) * window;
+    let most = world.settings.overload_multiple * capacity * warmed(&world, start) * window;
     assert!(level == 0.0 || at_once <= most, "{level}: {at_once} may come at once, {most} push it over");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -101,7 +101,7 @@
         Happening::Probed(number, good) => Event::Probed {
             server: server(*number),
             outcome: if *good { ProbeOutcome::Answered } else { ProbeOutcome::Failed },
-            took: secs(0.1),
+            latency: secs(0.1),
             report: LoadReport::default(),
         },
         Happening::Unknown => World::heard(99, 3, 3, 1.0, None),
