--- a/src/cold_placements.rs
+++ b/src/cold_placements.rs
@@ -19,7 +19,7 @@
     /// Finds the placements that have servers listed as ready, none of which is in use or may be warm.
     pub(crate) fn find_cold_placements(&mut self) {
         let is_cold = |placement: &Placement| {
-            let ready = || self.servers.values().filter(|s| s.ready() && placement.allows(&s.listing));
+            let ready = || self.servers.values().filter(|s| s.is_ready() && placement.allows(&s.listing));
             let can_serve = |s: &Server| s.in_use() || s.may_be_warm(self.now, &self.settings);
             ready().next().is_some() && !ready().any(can_serve)
         };
@@ -36,9 +36,9 @@
     /// Cold servers of a group that a placement allows, with what each can surely do; those that were shut out only where
     /// there is no other.
     pub(crate) fn cold_weights(&self, group: usize, placement: &Placement) -> Vec<(&Server, f64)> {
-        let fits = |s: &&Server| s.ready() && placement.allows(&s.listing);
+        let fits = |s: &&Server| s.is_ready() && placement.allows(&s.listing);
         let members = || self.groups[group].members.iter().map(|id| &self.servers[id]).filter(fits);
-        let weigh = |s| (s, Server::listed_weight(s) * s.warmed(self.now, &self.settings));
+        let weigh = |s| (s, Server::listed_weight(s) * s.warm_share(self.now, &self.settings));
         let sound: Vec<_> = members().filter(|s| s.state == Cold).map(weigh).collect();
         if sound.is_empty() {
             members().map(weigh).collect()
@@ -59,8 +59,8 @@
 
     /// Levels of a table to cold servers alone: what these can surely do, the most important class first.
     pub(crate) fn cold_levels(&self, group: usize, place: usize) -> BTreeMap<usize, (f64, Retries)> {
-        let best = self.best_yield.read(self.now);
-        let usual = UNPROVEN * self.usual / BUSY_UNTOLD / self.most_listed.max(1.0);
+        let best = self.best_throughput_per_weight.read(self.now);
+        let usual = UNPROVEN * self.usual_rate / BUSY_UNTOLD / self.max_listed_weight.max(1.0);
         let each = if best > 0.0 { SURE * best * self.own_part() } else { usual };
         let weights = self.cold_weights(group, &self.placements[place]);
         let able = each * weights.iter().map(|(_, weight)| weight).sum::<f64>();
@@ -106,7 +106,7 @@
         let mut arrivals = vec![Vec::new(); self.classes.len()];
         for proxy in self.proxies.values() {
             for (class, binding) in proxy.bindings.iter().enumerate() {
-                if binding.group.is_some_and(|group| self.table_of(group, binding.place) == table) {
+                if binding.group.is_some_and(|group| self.table_of(group, binding.placement) == table) {
                     arrivals[class].push(self.arrival_rate(proxy, class));
                 }
             }
--- a/src/levels.rs
+++ b/src/levels.rs
@@ -39,20 +39,23 @@
     pub(crate) fn move_groups(&mut self) {
         for index in 0..self.groups.len() {
             let arrived: f64 = self.groups[index].arrivals.iter().flatten().sum();
-            let best = self.best_yield.read(self.now) * BUSY_UNTOLD * self.own_part();
+            let best = self.best_throughput_per_weight.read(self.now) * BUSY_UNTOLD * self.own_part();
             let group = &mut self.groups[index];
-            let proven = PROVEN * best * group.weight;
+            let proven = PROVEN * best * group.weight_in_use;
             // Tries that fail while the others are answered fast are lost, not crowded out.
-            let (wait, answer) = (group.seen.wait() / self.goals.0, group.seen.answer_wait() / self.goals.0);
-            let rested = self.now - group.changed;
-            let (full, most) = (CUT * group.seen.handled, group.limit.min(arrived));
+            let (wait, answer) = (
+                group.outcomes.mean_wait() / self.latency_goal_range.0,
+                group.outcomes.mean_answer_wait() / self.latency_goal_range.0,
+            );
+            let rested = self.now - group.changed_at;
+            let (full, most) = (CUT * group.outcomes.handled_rate, group.limit.min(arrived));
             let strain = if wait > WAIT_OVER
                 && answer > WAIT_LIGHT
-                && group.seen.tries >= EVIDENCE
+                && group.outcomes.tries >= EVIDENCE
                 && group.busy.is_none()
             {
                 Some(LoadTrigger::Overloaded)
-            } else if answer < WAIT_LIGHT && group.limit > LIFT * arrived && group.cold.is_none() {
+            } else if answer < WAIT_LIGHT && group.limit > LIFT * arrived && group.cold_outcomes.is_none() {
                 Some(LoadTrigger::Idle)
             } else {
                 (answer < WAIT_LIGHT).then_some(LoadTrigger::Light)
@@ -68,9 +71,9 @@
                 LimitChange::Cut | LimitChange::Grow | LimitChange::Remove => continue,
             }
             let (from, limit) = (group.load, group.limit);
-            (group.load, group.changed) = (*next, self.now);
+            (group.load, group.changed_at) = (*next, self.now);
             if from != *next {
-                self.note_transition(Transition::Group { group: index, from, to: *next, limit });
+                self.record_transition(Transition::Group { group: index, from, to: *next, limit });
             }
         }
     }
@@ -89,23 +92,23 @@
             for (class, binding) in proxy.bindings.iter().enumerate() {
                 let Some(group) = binding.group else { continue };
                 let rate = self.arrival_rate(proxy, class);
-                settled[group] += if self.now - proxy.joined >= STEP { rate } else { 0.0 };
+                settled[group] += if self.now - proxy.joined_at >= STEP { rate } else { 0.0 };
                 arrivals[group][class].push(rate);
             }
         }
         for (group, (arrivals, settled)) in self.groups.iter_mut().zip(arrivals.into_iter().zip(settled)) {
-            group.settled = settled / arrivals.iter().flatten().sum::<f64>().max(1e-9);
+            group.settled_share = settled / arrivals.iter().flatten().sum::<f64>().max(1e-9);
             group.arrivals = arrivals;
         }
-        self.usual = self.proxies.values().map(|proxy| proxy.usual_rate).sum();
+        self.usual_rate = self.proxies.values().map(|proxy| proxy.usual_rate).sum();
     }
 
     /// What comes of a class to a proxy, per second; of one that joined lately and is unheard, the usual.
     pub(crate) fn arrival_rate(&self, proxy: &Proxy, class: usize) -> f64 {
         let binding = &proxy.bindings[class];
-        let age = self.now - proxy.joined;
-        let heard = !binding.recent.is_empty() || age >= LASTING;
-        let rate = heard.then(|| binding.recent.rate(self.now, age.max(LEAST_AGE)));
+        let age = self.now - proxy.joined_at;
+        let heard = !binding.recent_demand.is_empty() || age >= LASTING;
+        let rate = heard.then(|| binding.recent_demand.rate(self.now, age.max(LEAST_AGE)));
         rate.unwrap_or_else(|| self.demand(proxy, class))
     }
 
@@ -113,11 +116,11 @@
     /// shows a queue before its answers come late. An operation refused at once has its answer; one that waits may have
     /// none in time.
     pub(crate) fn crowded_limit(&self, group: &Group) -> f64 {
-        let handled = group.seen.handled + group.cold.map_or(0.0, |cold| cold.handled);
+        let handled = group.outcomes.handled_rate + group.cold_outcomes.map_or(0.0, |cold| cold.handled_rate);
         // Sums hold what has been here for long; servers tell what they hold of all controllers' proxies.
-        let (handled, own) = (handled / group.settled.max(SETTLED), group.held * self.own_part());
-        let excess = own / handled.max(HEARD) / (HELD_LONG * self.goals.0);
-        if group.settled < SETTLED || handled < 1.0 || excess <= 1.0 {
+        let (handled, own) = (handled / group.settled_share.max(SETTLED), group.in_flight * self.own_part());
+        let excess = own / handled.max(HEARD) / (HELD_LONG * self.latency_goal_range.0);
+        if group.settled_share < SETTLED || handled < 1.0 || excess <= 1.0 {
             return f64::INFINITY;
         }
         handled * HELD_CUT * excess.powf(-0.5).max(HELD_CUT_MOST)
@@ -128,13 +131,15 @@
         let group = &self.groups[index];
         // What its members can do beside what others send: a standing ceiling where busy shares are told,
         // else while some member is cold, or nothing is known yet but usual traffic and what was listed.
-        let best = self.best_yield.read(self.now);
-        let usual = self.usual / BUSY_UNTOLD / self.most_listed.max(1.0);
+        let best = self.best_throughput_per_weight.read(self.now);
+        let usual = self.usual_rate / BUSY_UNTOLD / self.max_listed_weight.max(1.0);
         let each = if best > 0.0 { best * self.own_part() } else { usual };
-        let fresh = (self.weight_of(index, &self.placements[0]) - group.weight).max(0.0);
+        let fresh = (self.weight_of(index, &self.placements[0]) - group.weight_in_use).max(0.0);
         let able = match group.busy.filter(|_| best > 0.0) {
-            Some(busy) => group.seen.handled + each * ((BUSY_GOAL - busy) * group.weight + fresh),
-            None if group.cold.is_some() || best == 0.0 => each * (group.weight + fresh),
+            Some(busy) => {
+                group.outcomes.handled_rate + each * ((BUSY_GOAL - busy) * group.weight_in_use + fresh)
+            }
+            None if group.cold_outcomes.is_some() || best == 0.0 => each * (group.weight_in_use + fresh),
             None => f64::INFINITY,
         };
         let limit = group.limit.min(able).min(self.crowded_limit(group));
@@ -146,7 +151,7 @@
                 LevelUnit::Rate => RATE_ALL,
                 LevelUnit::Ignored => 1.0,
             };
-            let calm = group.load == LoadState::Calm && group.cold.is_none() && share >= 1.0;
+            let calm = group.load == LoadState::Calm && group.cold_outcomes.is_none() && share >= 1.0;
             // Further tries are more load; only those that surely ran nowhere are safe for every class.
             let tries = if calm { Retries::IfNotExecuted } else { Retries::Never };
             levels.insert(class, (level, tries));
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -61,16 +61,16 @@
         } else if !events.iter().any(news) {
             return orders;
         }
-        if self.ask_at.is_some_and(|at| at <= now) {
-            self.ask_at = None;
+        if self.list_request_at.is_some_and(|at| at <= now) {
+            self.list_request_at = None;
             orders.push(Order::WatchList);
         }
-        self.look_over();
-        self.move_servers();
+        self.evaluate_groups();
+        self.update_server_states();
         self.forget_servers();
-        self.probe(&mut orders);
+        self.probe_servers(&mut orders);
         if self.settings.slices == 0 {
-            self.follow_pace();
+            self.update_weight_factors();
             self.find_cold_placements();
             self.bind();
             self.count_arrivals();
@@ -85,12 +85,13 @@
         match event {
             Event::List { scope, entries } => self.take_list(*scope, entries),
             Event::ProxyJoined { proxy, zone, usual_rate } => {
-                let places = (0..self.classes.len()).map(|class| self.place_of(class, *zone));
-                let bindings = places.map(|place| Binding { place, ..Binding::default() }).collect();
-                self.refused.remove(&Subject::Bind(*proxy));
-                let joined = Proxy { zone: *zone, usual_rate: *usual_rate, joined: now, bindings };
+                let places = (0..self.classes.len()).map(|class| self.placement_index(class, *zone));
+                let bindings =
+                    places.map(|place| Binding { placement: place, ..Binding::default() }).collect();
+                self.refusals.remove(&Subject::Bind(*proxy));
+                let joined = Proxy { zone: *zone, usual_rate: *usual_rate, joined_at: now, bindings };
                 self.proxies.insert(*proxy, joined);
-                self.steps_left = STEPS;
+                self.binding_steps_left = STEPS;
             }
             Event::ExistingBinding { proxy, class, table } => {
                 // A takeover is no change of membership: bindings stay where they stand.
@@ -102,47 +103,58 @@
             }
             Event::ProxyLeft { proxy } => {
                 self.proxies.remove(proxy);
-                self.steps_left = STEPS;
+                self.binding_steps_left = STEPS;
             }
             Event::TriesReported { server, zone, tries, unanswered, latency, report, span } => {
                 let Some(server) = self.servers.get_mut(server) else { return };
                 // Where lines wait their turn a report covers more, and must last until the next one.
                 let half = (*span).clamp(HALF_LIFE, LASTING);
-                server.busy.hear(now, half, report.busy);
-                server.held.hear(now, half, report.in_flight);
+                server.busy.add(now, half, report.busy);
+                server.in_flight.add(now, half, report.in_flight);
                 // A try without an answer weighs as much as the slowest that is of use.
                 let (tries, failed) = (*tries as f64, *tries.min(unanswered) as f64);
                 let answering = (tries - failed) * latency.secs();
-                let waited = answering + failed * self.goals.1;
-                let met = if *zone == server.listing.zone { &mut server.near } else { &mut server.far };
-                met.add(now, half, Seen { tries, failed, waited, answering, ..Seen::default() });
+                let waited = answering + failed * self.latency_goal_range.1;
+                let met =
+                    if *zone == server.listing.zone { &mut server.own_zone } else { &mut server.other_zones };
+                met.add(
+                    now,
+                    half,
+                    Outcomes {
+                        tries,
+                        failed,
+                        waited_secs: waited,
+                        answered_secs: answering,
+                        ..Outcomes::default()
+                    },
+                );
             }
             Event::Demand { proxy, class, arrived, span, .. } => {
                 let Some(proxy) = self.proxies.get_mut(proxy) else { return };
                 let Some(binding) = proxy.bindings.get_mut(usize::from(class.0)) else { return };
-                binding.lasting.add(now, LASTING, *arrived as f64);
-                binding.recent.add(now, (*span).clamp(HALF_LIFE, LASTING), *arrived as f64);
+                binding.long_term_demand.add(now, LASTING, *arrived as f64);
+                binding.recent_demand.add(now, (*span).clamp(HALF_LIFE, LASTING), *arrived as f64);
                 // A joining is complete once the proxy's own traffic is known.
-                if !binding.heard && now - proxy.joined > STEP {
-                    binding.heard = true;
-                    self.steps_left = STEPS;
+                if !binding.is_demand_known && now - proxy.joined_at > STEP {
+                    binding.is_demand_known = true;
+                    self.binding_steps_left = STEPS;
                 }
             }
             Event::Probed { server, outcome, report, .. } => {
                 let Some(server) = self.servers.get_mut(server) else { return };
-                server.busy.hear(now, HALF_LIFE, report.busy);
-                (server.probes_good, server.probes_bad) = match outcome {
-                    ProbeOutcome::Answered => (server.probes_good + 1, 0),
-                    ProbeOutcome::TurnedAway => (server.probes_good, server.probes_bad),
-                    ProbeOutcome::Failed => (0, server.probes_bad + 1),
+                server.busy.add(now, HALF_LIFE, report.busy);
+                (server.probes_answered, server.probes_failed) = match outcome {
+                    ProbeOutcome::Answered => (server.probes_answered + 1, 0),
+                    ProbeOutcome::TurnedAway => (server.probes_answered, server.probes_failed),
+                    ProbeOutcome::Failed => (0, server.probes_failed + 1),
                 };
             }
             Event::OrderRefused { order } => {
-                self.note_refused(order);
+                self.record_refusal(order);
                 if let Some(subject) = Subject::of(order) {
-                    let times = self.refused.get(&subject).map_or(0, |refusal| refusal.times);
+                    let times = self.refusals.get(&subject).map_or(0, |refusal| refusal.count);
                     let wait = Nanos(REFUSED_AGAIN.0 << times.min(REFUSED_DOUBLINGS));
-                    self.refused.insert(subject, Refusal { times: times + 1, until: now + wait });
+                    self.refusals.insert(subject, Refusal { count: times + 1, retry_at: now + wait });
                 }
             }
             Event::Applied { mark, .. } => self.channel.applied(*mark),
@@ -155,8 +167,10 @@
         match scope {
             ListScope::Failed => {
                 let jitter = 1.0 + self.rng.random::<f64>();
-                self.ask_wait = (self.ask_wait + self.ask_wait).clamp(ASK_AGAIN, ASK_AGAIN_MOST);
-                self.ask_at = Some(self.now + Nanos::from_secs(self.ask_wait.secs() * jitter));
+                self.list_retry_delay =
+                    (self.list_retry_delay + self.list_retry_delay).clamp(ASK_AGAIN, ASK_AGAIN_MOST);
+                self.list_request_at =
+                    Some(self.now + Nanos::from_secs(self.list_retry_delay.secs() * jitter));
                 return;
             }
             ListScope::Changes => {}
@@ -164,18 +178,18 @@
                 self.servers.values_mut().for_each(|server| server.listing.readiness = Readiness::Removed);
             }
         }
-        self.ask_wait = Nanos(0);
+        self.list_retry_delay = Nanos(0);
         if self.groups.is_empty() {
             self.deal(entries);
         }
         let mut sizes = vec![0; self.groups.len()];
-        self.servers.values().filter(|server| server.ready()).for_each(|server| sizes[server.group] += 1);
+        self.servers.values().filter(|server| server.is_ready()).for_each(|server| sizes[server.group] += 1);
         let mut entries: Vec<&Listing> = entries.iter().collect();
         entries.sort_by(|a, b| a.server.cmp(&b.server));
         for entry in entries {
             let known = self.servers.get(&entry.server);
             if let Some(known) = known {
-                sizes[known.group] -= usize::from(known.ready());
+                sizes[known.group] -= usize::from(known.is_ready());
                 self.groups[known.group].members.remove(&entry.server);
             }
             let stays = known.filter(|known| known.listing.zone == entry.zone).map(|known| known.group);
@@ -184,7 +198,7 @@
             self.groups[group].members.insert(entry.server.clone());
             let server =
                 self.servers.entry(entry.server.clone()).or_insert_with(|| Server::new(entry.clone(), group));
-            server.fresh |= server.listing.started != entry.started;
+            server.restarted |= server.listing.started != entry.started;
             (server.listing, server.group) = (entry.clone(), group);
         }
     }
@@ -233,16 +247,19 @@
     /// Weight of each server of a group that a placement allows; if none warm may be used, of any one that is
     /// listed ready and may be warm, however it seems: a proxy must have a line while there is one.
     pub(crate) fn weights_of(&self, group: usize, placement: &Placement) -> Vec<(&Server, f64)> {
-        let fits = |s: &&Server| s.ready() && placement.allows(&s.listing);
+        let fits = |s: &&Server| s.is_ready() && placement.allows(&s.listing);
         let members = || self.groups[group].members.iter().map(|id| &self.servers[id]).filter(fits);
-        let held_back = self.groups[group].held_back();
-        let weigh = |s: &Server| s.listed_weight() * s.share(self.now, self.born, &self.settings, held_back);
+        let held_back = self.groups[group].min_warm_share();
+        let weigh = |s: &Server| {
+            s.listed_weight() * s.usable_share(self.now, self.started_at, &self.settings, held_back)
+        };
         let mut open: Vec<_> = members().map(|s| (s, weigh(s))).filter(|(_, weight)| *weight > 0.0).collect();
         if open.iter().all(|(s, _)| s.state == Cold) {
             let used: BTreeSet<&ServerId> = open.iter().map(|(s, _)| &s.listing.server).collect();
             let unused = members().filter(|s| !used.contains(&s.listing.server));
             let last = unused.filter(|s| s.may_be_warm(self.now, &self.settings));
-            let weigh = |s: &Server| s.listed_weight() * LAST_RESORT.min(s.warmed(self.now, &self.settings));
+            let weigh =
+                |s: &Server| s.listed_weight() * LAST_RESORT.min(s.warm_share(self.now, &self.settings));
             let last: Vec<_> = last.map(|s| (s, weigh(s))).collect();
             open.extend(last);
         }
@@ -256,18 +273,18 @@
     /// A proxy's lasting traffic of a class, in operations a second; unheard, the average of its kind.
     pub(crate) fn demand(&self, proxy: &Proxy, class: usize) -> f64 {
         let binding = &proxy.bindings[class];
-        let age = (self.now - proxy.joined).max(LEAST_AGE);
-        let heard = binding.heard.then(|| binding.lasting.rate(self.now, age));
+        let age = (self.now - proxy.joined_at).max(LEAST_AGE);
+        let heard = binding.is_demand_known.then(|| binding.long_term_demand.rate(self.now, age));
         heard.unwrap_or(proxy.usual_rate / self.classes.len() as f64).max(0.01)
     }
 
     /// Binds what is unbound to the least loaded group, and in a step moves what meets too much load: of the
     /// most loaded group first, the busiest binding first.
     fn bind(&mut self) {
-        let due = self.steps_left > 0 && self.now >= self.next_step;
+        let due = self.binding_steps_left > 0 && self.now >= self.next_binding_step;
         if due {
-            self.steps_left -= 1;
-            self.next_step = self.now + STEP;
+            self.binding_steps_left -= 1;
+            self.next_binding_step = self.now + STEP;
         }
         let weigh = |place| (0..self.groups.len()).map(|g| self.binding_weight(g, place)).collect();
         let weights: Vec<Vec<f64>> = (0..self.placements.len()).map(weigh).collect();
@@ -309,9 +326,9 @@
             };
             let known = others
                 .iter()
-                .filter(|group| Some(**group) != candidate.from && open(candidate.place, **group));
+                .filter(|group| Some(**group) != candidate.from && open(candidate.placement, **group));
             let known = known.map(|group| (self.groups[*group].zone, *group));
-            let least = group_loads.least(candidate.place, candidate.from).chain(known).map(cost);
+            let least = group_loads.least_loaded(candidate.placement, candidate.from).chain(known).map(cost);
             let Some((to, new)) = least.min_by(|a, b| a.1.total_cmp(&b.1)) else { continue };
             let old = |from: usize| group_loads.load(from) * factor(self.groups[from].zone, from);
             if candidate.from.is_some_and(|from| old(from) <= MOVE_GAIN * new) {
@@ -331,9 +348,9 @@
             .iter()
             .flat_map(|(id, proxy)| (0..proxy.bindings.len()).map(move |k| (id, proxy, k)));
         let candidate = |(id, proxy, class): (&ProxyId, &Proxy, usize)| {
-            let Binding { place, group, .. } = proxy.bindings[class];
+            let Binding { placement: place, group, .. } = proxy.bindings[class];
             let (from, demand) = (group.filter(|group| open(place, *group)), self.demand(proxy, class));
-            Candidate { proxy: *id, zone: proxy.zone, class, demand, place, from }
+            Candidate { proxy: *id, zone: proxy.zone, class, demand, placement: place, from }
         };
         all.map(candidate).collect()
     }
--- a/src/sender.rs
+++ b/src/sender.rs
@@ -27,19 +27,21 @@
         let placement = &self.placements[place];
         if self.is_cold_table(group, place) {
             let line = |(server, weight): (&Server, f64)| {
-                (server.listing.server.clone(), told_weight(weight * server.pace.min(1.0)))
+                (server.listing.server.clone(), told_weight(weight * server.weight_factor.min(1.0)))
             };
             return self.cold_weights(group, placement).into_iter().map(line).collect();
         }
         // Where tries fail more are made, and proxies that avoid failing servers send all to one that has not
         // failed them yet: a cold server gets less, and, beside servers that fail, nothing.
-        let (open, cold) = (&self.groups[group].seen, self.groups[group].cold.unwrap_or_default());
-        let answered = 1.0 - open.share().max(cold.share());
-        let guard = if open.share() < ODD_SHARE { answered.powi(2).max(LEAST) } else { 0.0 };
+        let (open, cold) =
+            (&self.groups[group].outcomes, self.groups[group].cold_outcomes.unwrap_or_default());
+        let answered = 1.0 - open.failed_share().max(cold.failed_share());
+        let guard = if open.failed_share() < ODD_SHARE { answered.powi(2).max(LEAST) } else { 0.0 };
         let lines = |guard: f64| -> BTreeMap<ServerId, f64> {
             let line = |(server, weight): (&Server, f64)| {
                 let cold = server.state == Cold;
-                let weight = weight * if cold { server.pace.min(1.0) * guard } else { server.pace };
+                let weight =
+                    weight * if cold { server.weight_factor.min(1.0) * guard } else { server.weight_factor };
                 (weight > 0.0).then(|| (server.listing.server.clone(), told_weight(weight)))
             };
             self.weights_of(group, placement).into_iter().filter_map(line).collect()
@@ -56,19 +58,19 @@
         if rested < Nanos(gap.unwrap_or(0)) {
             return;
         }
-        let mut users = self.users();
+        let mut users = self.table_users();
         let mut binds: BTreeMap<(ProxyId, TableId), (u8, ClassSet)> = BTreeMap::new();
         let mut used: BTreeSet<TableId> = BTreeSet::new();
-        let lost = |id: &ServerId| !self.servers[id].ready() || self.servers[id].state == Cold;
+        let lost = |id: &ServerId| !self.servers[id].is_ready() || self.servers[id].state == Cold;
         let left_bare = |table: &TableId| self.tables[table].lines.keys().all(lost);
         for (id, proxy) in &self.proxies {
             for (class, binding) in proxy.bindings.iter().enumerate() {
                 let Some(group) = binding.group else { continue };
-                let table = self.table_of(group, binding.place);
+                let table = self.table_of(group, binding.placement);
                 used.insert(table);
-                if binding.sent != Some(table) {
+                if binding.sent_table != Some(table) {
                     let bind = binds.entry((*id, table)).or_insert((2, ClassSet(0)));
-                    let urgent = binding.sent.as_ref().is_none_or(left_bare);
+                    let urgent = binding.sent_table.as_ref().is_none_or(left_bare);
                     *bind = (bind.0.min(if urgent { 1 } else { 2 }), bind.1.with(ClassId(class as u8)));
                 }
             }
@@ -117,22 +119,23 @@
             }
         }
         // Kept for a while after, so that it is known as refused again.
-        self.refused.retain(|_, refusal| refusal.until + REFUSED_FORGOTTEN > self.now);
+        self.refusals.retain(|_, refusal| refusal.retry_at + REFUSED_FORGOTTEN > self.now);
         let waits =
-            |subject: Subject| self.refused.get(&subject).is_some_and(|refusal| refusal.until > self.now);
+            |subject: Subject| self.refusals.get(&subject).is_some_and(|refusal| refusal.retry_at > self.now);
         ranked.retain(|(_, order)| !Subject::of(order).is_some_and(waits));
         ranked.sort_by_key(|(rank, _)| *rank);
         // What is not applied yet still waits, where the channel runs slower than counted on.
         let limit = self.settings.channel_lines_limit;
         let under_way = self.settings.channel_lines_per_second * WAY.secs();
-        let queued = self.channel.queued.max(self.channel.unapplied(self.now, MARK_LOST) - under_way);
+        let queued =
+            self.channel.queued_lines.max(self.channel.unapplied_lines(self.now, MARK_LOST) - under_way);
         let (mut cost, mut touched) = (0.0, BTreeSet::new());
         for (rank, order) in ranked {
             let spent = cost + touched.len() as f64 * self.settings.lines_per_message;
             if queued + spent > limit * QUEUE_SHARES[usize::from(rank)] || rank >= 3 && rested < TURN + TURN {
                 break;
             }
-            let (lines, reached) = self.note_sent(&order, &mut users);
+            let (lines, reached) = self.record_sent(&order, &mut users);
             cost += (lines * reached.len()) as f64;
             touched.extend(reached);
             orders.push(order);
--- a/src/state/binding.rs
+++ b/src/state/binding.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::*;
-use crate::state::decay::Decay;
+use crate::state::decay::DecayingSum;
 use crate::state::group::Group;
 
 pub struct Proxy {
     pub zone: ZoneId,
     pub usual_rate: f64,
-    pub joined: Nanos,
+    pub joined_at: Nanos,
     pub bindings: Vec<Binding>,
 }
 
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Binding {
     /// Where the class may run for this proxy: a place in the list of placements.
-    pub place: usize,
+    pub placement: usize,
     pub group: Option<usize>,
-    pub sent: Option<TableId>,
+    pub sent_table: Option<TableId>,
     /// Its traffic as it lasts, and as it is now.
-    pub lasting: Decay,
-    pub recent: Decay,
-    pub heard: bool,
+    pub long_term_demand: DecayingSum,
+    pub recent_demand: DecayingSum,
+    pub is_demand_known: bool,
 }
 
 /// A binding looked at for a move: its traffic, where it may go and where it is.
@@ -32,7 +32,7 @@
     pub zone: ZoneId,
     pub class: usize,
     pub demand: f64,
-    pub place: usize,
+    pub placement: usize,
     pub from: Option<usize>,
 }
 
@@ -43,7 +43,7 @@
 pub struct GroupLoads {
     pub weights: Vec<f64>,
     loads: Vec<f64>,
-    ranks: Vec<BTreeMap<Option<ZoneId>, Ranking>>,
+    rankings: Vec<BTreeMap<Option<ZoneId>, Ranking>>,
 }
 
 impl GroupLoads {
@@ -56,11 +56,11 @@
         open: &dyn Fn(usize, usize) -> bool,
     ) -> Self {
         let mut group_loads =
-            GroupLoads { weights: weights.to_vec(), loads, ranks: vec![BTreeMap::new(); places] };
+            GroupLoads { weights: weights.to_vec(), loads, rankings: vec![BTreeMap::new(); places] };
         for place in 0..places {
             for group in (0..groups.len()).filter(|group| open(place, *group)) {
                 let key = group_loads.key(group);
-                group_loads.ranks[place].entry(groups[group].zone).or_default().insert(key);
+                group_loads.rankings[place].entry(groups[group].zone).or_default().insert(key);
             }
         }
         group_loads
@@ -80,7 +80,7 @@
         let old = self.key(group);
         self.loads[group] = (self.loads[group] + load).max(0.0);
         let new = self.key(group);
-        for ranks in self.ranks.iter_mut().flat_map(BTreeMap::values_mut) {
+        for ranks in self.rankings.iter_mut().flat_map(BTreeMap::values_mut) {
             if ranks.remove(&old) {
                 ranks.insert(new);
             }
@@ -88,13 +88,13 @@
     }
 
     /// The least loaded open group of each zone, but for one.
-    pub fn least(
+    pub fn least_loaded(
         &self,
         place: usize,
         but: Option<usize>,
     ) -> impl Iterator<Item = (Option<ZoneId>, usize)> + '_ {
         let first =
             move |ranks: &Ranking| ranks.iter().map(|(_, group)| *group).find(|group| Some(*group) != but);
-        self.ranks[place].iter().filter_map(move |(zone, ranks)| Some((*zone, first(ranks)?)))
+        self.rankings[place].iter().filter_map(move |(zone, ranks)| Some((*zone, first(ranks)?)))
     }
 }
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -7,11 +7,11 @@
 /// What waits in the channel, as far as can be told.
 #[derive(Clone, Debug)]
 pub struct Channel {
-    pub queued: f64,
+    pub queued_lines: f64,
     pub sent_at: Nanos,
-    at: Nanos,
+    drained_at: Nanos,
     /// Lines sent since the last mark, and the marks not answered by all yet.
-    unmarked: f64,
+    unmarked_lines: f64,
     marks: VecDeque<Marked>,
     last_mark: u16,
 }
@@ -20,28 +20,42 @@
 #[derive(Clone, Copy, Debug)]
 struct Marked {
     mark: u16,
-    at: Nanos,
+    sent_at: Nanos,
     lines: f64,
     messages: f64,
-    waiting: f64,
+    unanswered: f64,
 }
 
 impl Channel {
     pub fn new(now: Nanos) -> Self {
         let (marks, last_mark) = (VecDeque::new(), 0);
-        Channel { queued: 0.0, sent_at: Nanos(0), at: now, unmarked: 0.0, marks, last_mark }
+        Channel {
+            queued_lines: 0.0,
+            sent_at: Nanos(0),
+            drained_at: now,
+            unmarked_lines: 0.0,
+            marks,
+            last_mark,
+        }
     }
 
     /// Keeps what is sent; once it is enough, gives the number to mark it with, which costs a line a message.
     pub fn send(&mut self, now: Nanos, lines: f64, messages: f64, enough: f64) -> Option<u16> {
-        (self.sent_at, self.queued, self.unmarked) = (now, self.queued + lines, self.unmarked + lines);
-        if self.unmarked < enough {
+        (self.sent_at, self.queued_lines, self.unmarked_lines) =
+            (now, self.queued_lines + lines, self.unmarked_lines + lines);
+        if self.unmarked_lines < enough {
             return None;
         }
-        self.queued += messages;
+        self.queued_lines += messages;
         self.last_mark = self.last_mark.wrapping_add(1);
-        let lines = std::mem::take(&mut self.unmarked) + messages;
-        self.marks.push_back(Marked { mark: self.last_mark, at: now, lines, messages, waiting: messages });
+        let lines = std::mem::take(&mut self.unmarked_lines) + messages;
+        self.marks.push_back(Marked {
+            mark: self.last_mark,
+            sent_at: now,
+            lines,
+            messages,
+            unanswered: messages,
+        });
         Some(self.last_mark)
     }
 
@@ -49,21 +63,21 @@
     pub fn applied(&mut self, mark: u16) {
         let Some(place) = self.marks.iter().position(|marked| marked.mark == mark) else { return };
         self.marks.drain(..place);
-        self.marks[0].waiting -= 1.0;
-        if self.marks[0].waiting <= 0.0 {
+        self.marks[0].unanswered -= 1.0;
+        if self.marks[0].unanswered <= 0.0 {
             self.marks.pop_front();
         }
     }
 
     /// Lines that are not known to be applied; those marked longer ago than `lost` no longer count.
-    pub fn unapplied(&mut self, now: Nanos, lost: Nanos) -> f64 {
-        self.marks.retain(|marked| now - marked.at < lost);
-        self.marks.iter().map(|marked| marked.lines * marked.waiting / marked.messages).sum()
+    pub fn unapplied_lines(&mut self, now: Nanos, lost: Nanos) -> f64 {
+        self.marks.retain(|marked| now - marked.sent_at < lost);
+        self.marks.iter().map(|marked| marked.lines * marked.unanswered / marked.messages).sum()
     }
 
     pub fn drain(&mut self, now: Nanos, lines_per_second: f64) {
-        self.queued = (self.queued - (now - self.at).secs() * lines_per_second).max(0.0);
-        self.at = now;
+        self.queued_lines = (self.queued_lines - (now - self.drained_at).secs() * lines_per_second).max(0.0);
+        self.drained_at = now;
     }
 }
 
@@ -78,10 +92,10 @@
         let mark = channel.send(secs(0.0), 600.0, 4.0, 500.0).expect("enough to be marked");
         assert_eq!(channel.send(secs(0.1), 90.0, 4.0, 500.0), None, "too little for a mark");
         channel.drain(secs(1.0), 1e6);
-        assert_eq!(channel.queued, 0.0, "by the told pace nothing waits");
-        assert_eq!(channel.unapplied(secs(1.0), secs(10.0)), 604.0);
+        assert_eq!(channel.queued_lines, 0.0, "by the told pace nothing waits");
+        assert_eq!(channel.unapplied_lines(secs(1.0), secs(10.0)), 604.0);
         channel.applied(mark);
-        assert_eq!(channel.unapplied(secs(1.0), secs(10.0)), 453.0, "three messages of four");
-        assert_eq!(channel.unapplied(secs(11.0), secs(10.0)), 0.0, "answers so late are lost");
+        assert_eq!(channel.unapplied_lines(secs(1.0), secs(10.0)), 453.0, "three messages of four");
+        assert_eq!(channel.unapplied_lines(secs(11.0), secs(10.0)), 0.0, "answers so late are lost");
     }
 }
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::interface::*;
-use crate::state::decay::Seen;
+use crate::state::decay::Outcomes;
 use crate::state::server::ServerState;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,21 +33,21 @@
     pub load: LoadState,
     /// Operations a second it takes in at most.
     pub limit: f64,
-    pub changed: Nanos,
+    pub changed_at: Nanos,
     /// What proxies met of late at its members in no doubt, their mean busy share, and their listed weight.
-    pub seen: Seen,
+    pub outcomes: Outcomes,
     /// The unanswered share at the better half of them.
-    pub better: f64,
+    pub better_half_failed_share: f64,
     pub busy: Option<f64>,
     /// Operations that its members hold, of all controllers' proxies.
-    pub held: f64,
+    pub in_flight: f64,
     /// Share of what arrives that comes from proxies which joined a while ago.
-    pub settled: f64,
-    pub weight: f64,
+    pub settled_share: f64,
+    pub weight_in_use: f64,
     /// Listed weight of all members listed ready.
-    pub listed: f64,
+    pub listed_weight: f64,
     /// What proxies met at its cold members, if there are any.
-    pub cold: Option<Seen>,
+    pub cold_outcomes: Option<Outcomes>,
     /// By class: what comes to each proxy bound here, per second.
     pub arrivals: Vec<Vec<f64>>,
 }
@@ -59,15 +59,15 @@
             zone,
             load: LoadState::Calm,
             limit: f64::INFINITY,
-            changed: Nanos(0),
-            seen: Seen::default(),
-            better: 0.0,
+            changed_at: Nanos(0),
+            outcomes: Outcomes::default(),
+            better_half_failed_share: 0.0,
             busy: None,
-            held: 0.0,
-            settled: 0.0,
-            weight: 0.0,
-            listed: 0.0,
-            cold: None,
+            in_flight: 0.0,
+            settled_share: 0.0,
+            weight_in_use: 0.0,
+            listed_weight: 0.0,
+            cold_outcomes: None,
             arrivals: Vec::new(),
         }
     }
--- a/src/state/holdings.rs
+++ b/src/state/holdings.rs
@@ -7,10 +7,10 @@
 
 impl Controller {
     /// The proxies that hold each table.
-    pub(crate) fn users(&self) -> BTreeMap<TableId, BTreeSet<ProxyId>> {
+    pub(crate) fn table_users(&self) -> BTreeMap<TableId, BTreeSet<ProxyId>> {
         let mut users: BTreeMap<TableId, BTreeSet<ProxyId>> = BTreeMap::new();
         for (id, proxy) in &self.proxies {
-            for table in proxy.bindings.iter().filter_map(|binding| binding.sent) {
+            for table in proxy.bindings.iter().filter_map(|binding| binding.sent_table) {
                 users.entry(table).or_default().insert(*id);
             }
         }
@@ -18,9 +18,11 @@
     }
 
     /// Takes back what an order that was refused was held to have left at the proxies.
-    pub(crate) fn note_refused(&mut self, order: &Order) {
+    pub(crate) fn record_refusal(&mut self, order: &Order) {
         match order {
-            Order::Line { table, server, .. } => self.tables.entry(*table).or_default().unset_line(server),
+            Order::Line { table, server, .. } => {
+                self.tables.entry(*table).or_default().mark_line_unknown(server)
+            }
             Order::Level { table, classes, .. } => {
                 let levels = &mut self.tables.entry(*table).or_default().levels;
                 levels.retain(|class, _| !classes.has(ClassId(*class as u8)));
@@ -28,8 +30,8 @@
             Order::Bind { proxy, classes, table } => {
                 let bindings = self.proxies.get_mut(proxy).into_iter().flat_map(|proxy| &mut proxy.bindings);
                 let named = bindings.enumerate().filter(|(class, _)| classes.has(ClassId(*class as u8)));
-                for (_, binding) in named.filter(|(_, binding)| binding.sent == Some(*table)) {
-                    binding.sent = None;
+                for (_, binding) in named.filter(|(_, binding)| binding.sent_table == Some(*table)) {
+                    binding.sent_table = None;
                 }
             }
             Order::Probe { .. } | Order::Mark { .. } | Order::WatchList | Order::Wake { .. } => {}
@@ -37,7 +39,7 @@
     }
 
     /// Keeps what an order leaves at the proxies, and tells its lines and the proxies it reaches.
-    pub(crate) fn note_sent(
+    pub(crate) fn record_sent(
         &mut self,
         order: &Order,
         users: &mut BTreeMap<TableId, BTreeSet<ProxyId>>,
@@ -48,8 +50,8 @@
                 let was_empty = held.lines.is_empty();
                 held.set_line(server, *weight);
                 match (was_empty, held.lines.is_empty()) {
-                    (true, false) => self.note_transition(Transition::TableFilled { table: *table }),
-                    (false, true) => self.note_transition(Transition::TableEmptied { table: *table }),
+                    (true, false) => self.record_transition(Transition::TableFilled { table: *table }),
+                    (false, true) => self.record_transition(Transition::TableEmptied { table: *table }),
                     (true, true) | (false, false) => {}
                 }
                 (1, users.get(table).cloned().unwrap_or_default())
@@ -62,7 +64,7 @@
             Order::Bind { proxy, classes, table } => {
                 let bindings = self.proxies.get_mut(proxy).into_iter().flat_map(|proxy| &mut proxy.bindings);
                 let bound = bindings.enumerate().filter(|(class, _)| classes.has(ClassId(*class as u8)));
-                bound.for_each(|(_, binding)| binding.sent = Some(*table));
+                bound.for_each(|(_, binding)| binding.sent_table = Some(*table));
                 users.entry(*table).or_default().insert(*proxy);
                 let sent = self.tables.entry(*table).or_default();
                 (1 + sent.lines.len() + sent.levels.len(), BTreeSet::from([*proxy]))
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -18,13 +18,13 @@
 
 pub use binding::{Binding, Candidate, GroupLoads, Proxy};
 pub use channel::Channel;
-pub use decay::{Decay, Met, Seen};
+pub use decay::{DecayingOutcomes, DecayingSum, Outcomes};
 pub use group::{Group, GroupStatus, LimitChange, LoadState, LoadTrigger};
 pub use placement::{ClassRow, Placement};
 pub use server::{Effect, Server, ServerState, ServerTrigger};
 pub use table::{Refusal, Subject, Table};
 
-const TRANSITIONS_KEPT: usize = 1_024; // between two looks: a fleet of that many servers may change at once
+const MAX_TRANSITIONS: usize = 1_024; // between two looks: a fleet of that many servers may change at once
 
 /// A change of state that an operator wants to see.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,11 +56,11 @@
 pub struct Controller {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg32,
-    pub(crate) born: Nanos,
+    pub(crate) started_at: Nanos,
     pub(crate) now: Nanos,
     pub(crate) classes: Vec<ClassRow>,
     /// The shortest latency goal and the longest, s.
-    pub(crate) goals: (f64, f64),
+    pub(crate) latency_goal_range: (f64, f64),
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) proxies: BTreeMap<ProxyId, Proxy>,
     pub(crate) groups: Vec<Group>,
@@ -69,22 +69,22 @@
     /// Whether all servers of a placement are surely cold.
     pub(crate) cold_placements: Vec<bool>,
     pub(crate) tables: BTreeMap<TableId, Table>,
-    pub(crate) steps_left: u32,
-    pub(crate) next_step: Nanos,
-    pub(crate) next_pace: Nanos,
+    pub(crate) binding_steps_left: u32,
+    pub(crate) next_binding_step: Nanos,
+    pub(crate) next_weight_update: Nanos,
     pub(crate) next_wake: Nanos,
     /// When to ask for the list, if it must be asked for.
-    pub(crate) ask_at: Option<Nanos>,
-    pub(crate) ask_wait: Nanos,
+    pub(crate) list_request_at: Option<Nanos>,
+    pub(crate) list_retry_delay: Nanos,
     /// Operations a second that a unit of listed weight could do, at its best lately.
-    pub(crate) best_yield: Decay,
+    pub(crate) best_throughput_per_weight: DecayingSum,
     /// The most listed weight that was ever ready.
-    pub(crate) most_listed: f64,
+    pub(crate) max_listed_weight: f64,
     /// Operations a second that all joined proxies usually get.
-    pub(crate) usual: f64,
+    pub(crate) usual_rate: f64,
     pub(crate) channel: Channel,
     /// What was refused of late.
-    pub(crate) refused: BTreeMap<Subject, Refusal>,
+    pub(crate) refusals: BTreeMap<Subject, Refusal>,
     /// What has changed since that was last asked for.
     transitions: Vec<Transition>,
 }
@@ -99,35 +99,35 @@
         let goals = settings.classes.iter().map(|class| class.latency_goal.secs());
         Controller {
             rng: Pcg32::seed_from_u64(seed),
-            born: now,
+            started_at: now,
             now,
             classes: settings.classes.iter().map(row).collect(),
-            goals: (goals.clone().fold(f64::INFINITY, f64::min), goals.fold(0.0, f64::max)),
+            latency_goal_range: (goals.clone().fold(f64::INFINITY, f64::min), goals.fold(0.0, f64::max)),
             servers: BTreeMap::new(),
             proxies: BTreeMap::new(),
             groups: Vec::new(),
             placements: vec![Placement::default()],
             cold_placements: Vec::new(),
             tables: BTreeMap::new(),
-            steps_left: 0,
-            next_step: now,
-            next_pace: now,
+            binding_steps_left: 0,
+            next_binding_step: now,
+            next_weight_update: now,
             next_wake: now,
-            ask_at: settings.list_on_request.then_some(now),
-            ask_wait: Nanos(0),
-            best_yield: Decay::default(),
-            most_listed: 0.0,
-            usual: 0.0,
+            list_request_at: settings.list_on_request.then_some(now),
+            list_retry_delay: Nanos(0),
+            best_throughput_per_weight: DecayingSum::default(),
+            max_listed_weight: 0.0,
+            usual_rate: 0.0,
             channel: Channel::new(now),
-            refused: BTreeMap::new(),
+            refusals: BTreeMap::new(),
             transitions: Vec::new(),
             settings,
         }
     }
 
     /// Keeps a change for whoever looks on; beyond what is kept nobody has looked for long.
-    pub(crate) fn note_transition(&mut self, transition: Transition) {
-        if self.transitions.len() < TRANSITIONS_KEPT {
+    pub(crate) fn record_transition(&mut self, transition: Transition) {
+        if self.transitions.len() < MAX_TRANSITIONS {
             self.transitions.push(transition);
         }
     }
@@ -144,16 +144,16 @@
             load: group.load,
             limit: group.limit,
             arrival_rate: group.arrivals.iter().flatten().sum(),
-            handled: group.seen.handled,
-            wait: group.seen.wait(),
-            unanswered: group.seen.share(),
+            handled: group.outcomes.handled_rate,
+            wait: group.outcomes.mean_wait(),
+            unanswered: group.outcomes.failed_share(),
             busy: group.busy,
-            weight: group.weight,
-            listed: group.listed,
+            weight: group.weight_in_use,
+            listed: group.listed_weight,
             members: {
                 let all = group.members.iter().map(|id| (id, &self.servers[id]));
-                let ready = all.filter(|(_, server)| server.ready());
-                ready.map(|(id, server)| (id.clone(), server.state, server.pace)).collect()
+                let ready = all.filter(|(_, server)| server.is_ready());
+                ready.map(|(id, server)| (id.clone(), server.state, server.weight_factor)).collect()
             },
         };
         self.groups.iter().map(view).collect()
@@ -166,11 +166,11 @@
 
     /// Operations a second that a unit of listed weight could do, at its best lately.
     pub fn best_throughput_per_weight(&self) -> f64 {
-        self.best_yield.read(self.now)
+        self.best_throughput_per_weight.read(self.now)
     }
 
     /// Where a class may run for proxies of a zone, by its place among the placements met so far.
-    pub(crate) fn place_of(&mut self, class: usize, zone: ZoneId) -> usize {
+    pub(crate) fn placement_index(&mut self, class: usize, zone: ZoneId) -> usize {
         let row = &self.classes[class];
         let zones = if row.home_only { vec![zone] } else { row.placement.zones.clone() };
         let placement = Placement { zones, kinds: row.placement.kinds.clone() };
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -1,7 +1,7 @@
 //! A server as a controller knows it, and the states, signs and effects of its state machine.
 
 use crate::interface::*;
-use crate::state::decay::{Mean, Met};
+use crate::state::decay::{DecayingMean, DecayingOutcomes};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
@@ -44,23 +44,23 @@
     pub listing: Listing,
     pub group: usize,
     pub state: ServerState,
-    pub since: Nanos,
+    pub state_since: Nanos,
     /// When it last entered its group; nothing: with the first list.
-    pub joined: Option<Nanos>,
+    pub joined_at: Option<Nanos>,
     /// Started anew since its state last changed.
-    pub fresh: bool,
+    pub restarted: bool,
     /// Weight against the listed one, by what proxies met.
-    pub pace: f64,
-    pub near: Met,
-    pub far: Met,
+    pub weight_factor: f64,
+    pub own_zone: DecayingOutcomes,
+    pub other_zones: DecayingOutcomes,
     /// The busy share it reports.
-    pub busy: Mean,
+    pub busy: DecayingMean,
     /// The operations it holds, as it reports them.
-    pub held: Mean,
-    pub probed: Nanos,
-    pub probes_good: u32,
-    pub probes_bad: u32,
-    pub relapses: u32,
+    pub in_flight: DecayingMean,
+    pub probed_at: Nanos,
+    pub probes_answered: u32,
+    pub probes_failed: u32,
+    pub ejections: u32,
 }
 
 impl Server {
@@ -69,22 +69,22 @@
             listing,
             group,
             state: ServerState::Away,
-            since: Nanos(0),
-            joined: None,
-            fresh: false,
-            pace: 1.0,
-            near: Met::default(),
-            far: Met::default(),
-            busy: Mean::default(),
-            held: Mean::default(),
-            probed: Nanos(0),
-            probes_good: 0,
-            probes_bad: 0,
-            relapses: 0,
+            state_since: Nanos(0),
+            joined_at: None,
+            restarted: false,
+            weight_factor: 1.0,
+            own_zone: DecayingOutcomes::default(),
+            other_zones: DecayingOutcomes::default(),
+            busy: DecayingMean::default(),
+            in_flight: DecayingMean::default(),
+            probed_at: Nanos(0),
+            probes_answered: 0,
+            probes_failed: 0,
+            ejections: 0,
         }
     }
 
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.listing.readiness == Readiness::Ready
     }
 }
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// How often.
-    pub times: u32,
+    pub count: u32,
     /// It is not given again before.
-    pub until: Nanos,
+    pub retry_at: Nanos,
 }
 
 /// A shared table as proxies have it.
@@ -57,7 +57,7 @@
 
     /// A line was not set: whether proxies hold one is not known, and with which weight. It counts as held, so that it
     /// is set or removed anew, at next to no weight, so that nobody counts on it.
-    pub fn unset_line(&mut self, server: &ServerId) {
+    pub fn mark_line_unknown(&mut self, server: &ServerId) {
         self.lines.insert(server.clone(), f64::MIN_POSITIVE);
     }
 
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -76,7 +76,7 @@
 pub struct World {
     pub settings: Settings,
     pub controller: Controller,
-    twin: Controller,
+    replica: Controller,
     pub now: Nanos,
     pub list: BTreeMap<ServerId, Listing>,
     /// Joined proxies, and since when.
@@ -86,14 +86,14 @@
     pub bound: BTreeMap<(ProxyId, usize), TableId>,
     pub orders: Vec<Order>,
     /// What proxies answer to marks, told with the next step.
-    answers: Vec<Event>,
+    mark_answers: Vec<Event>,
     /// When the last start of a server was told.
-    start_told: BTreeMap<ServerId, Nanos>,
+    start_reported: BTreeMap<ServerId, Nanos>,
     /// When a server was first told to be lost.
-    lost: BTreeMap<ServerId, Nanos>,
+    lost_since: BTreeMap<ServerId, Nanos>,
     /// Since when a proxy has had no line for a class, though a server that is open to it is ready.
-    bare: BTreeMap<(ProxyId, usize), Nanos>,
-    queued: f64,
+    no_line_since: BTreeMap<(ProxyId, usize), Nanos>,
+    queued_lines: f64,
 }
 
 impl World {
@@ -101,7 +101,7 @@
         let now = secs(1_000.0);
         let mut world = World {
             controller: Controller::new(settings.clone(), seed, now),
-            twin: Controller::new(settings.clone(), seed, now),
+            replica: Controller::new(settings.clone(), seed, now),
             settings,
             now,
             list: BTreeMap::new(),
@@ -110,11 +110,11 @@
             levels: BTreeMap::new(),
             bound: BTreeMap::new(),
             orders: Vec::new(),
-            answers: Vec::new(),
-            start_told: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            bare: BTreeMap::new(),
-            queued: 0.0,
+            mark_answers: Vec::new(),
+            start_reported: BTreeMap::new(),
+            lost_since: BTreeMap::new(),
+            no_line_since: BTreeMap::new(),
+            queued_lines: 0.0,
         };
         let entries = (0..servers).map(|number| listing(number, None, Readiness::Ready)).collect();
         world.step(0.0, &[Event::List { scope: ListScope::Remembered, entries }]);
@@ -130,7 +130,7 @@
         Event::List { scope: ListScope::Changes, entries }
     }
 
-    pub fn heard(number: usize, tries: u64, unanswered: u64, latency: f64, busy: Option<f64>) -> Event {
+    pub fn report(number: usize, tries: u64, unanswered: u64, latency: f64, busy: Option<f64>) -> Event {
         let report = LoadReport { busy, ..LoadReport::default() };
         let zone = ZoneId((number % 2) as u16);
         let (server, span, latency) = (server(number), secs(1.0), secs(latency));
@@ -138,7 +138,7 @@
     }
 
     /// A report of a server that does well, half busy, and holds so many operations.
-    pub fn heard_holding(number: usize, tries: u64, held: f64) -> Event {
+    pub fn report_in_flight(number: usize, tries: u64, held: f64) -> Event {
         let report = LoadReport { busy: Some(0.5), in_flight: Some(held), ..LoadReport::default() };
         let (server, zone, span) = (server(number), ZoneId((number % 2) as u16), secs(1.0));
         Event::TriesReported { server, zone, tries, unanswered: 0, span, latency: secs(0.3), report }
@@ -153,8 +153,8 @@
     /// Lets time pass, tells the controller, carries its orders out and checks the rules.
     pub fn step(&mut self, after: f64, events: &[Event]) {
         self.now = self.now + secs(after);
-        self.queued = (self.queued - after * self.settings.channel_lines_per_second).max(0.0);
-        let events = &[std::mem::take(&mut self.answers), events.to_vec()].concat();
+        self.queued_lines = (self.queued_lines - after * self.settings.channel_lines_per_second).max(0.0);
+        let events = &[std::mem::take(&mut self.mark_answers), events.to_vec()].concat();
         for event in events {
             match event {
                 Event::List { scope, entries } => {
@@ -164,7 +164,7 @@
                     for entry in entries.iter() {
                         let known = self.list.insert(entry.server.clone(), entry.clone());
                         if known.is_none_or(|known| known.started != entry.started) {
-                            self.start_told.insert(entry.server.clone(), self.now);
+                            self.start_reported.insert(entry.server.clone(), self.now);
                         }
                     }
                 }
@@ -181,19 +181,19 @@
         }
         for entry in self.list.values() {
             match entry.readiness {
-                Readiness::Ready => drop(self.lost.remove(&entry.server)),
+                Readiness::Ready => drop(self.lost_since.remove(&entry.server)),
                 Readiness::Draining | Readiness::Removed => {
-                    self.lost.entry(entry.server.clone()).or_insert(self.now);
+                    self.lost_since.entry(entry.server.clone()).or_insert(self.now);
                 }
             }
         }
         self.orders = self.controller.step(self.now, events);
-        assert_eq!(self.orders, self.twin.step(self.now, events), "the same events, other orders");
-        self.carry_out();
-        self.check();
+        assert_eq!(self.orders, self.replica.step(self.now, events), "the same events, other orders");
+        self.apply_orders();
+        self.check_rules();
     }
 
-    fn carry_out(&mut self) {
+    fn apply_orders(&mut self) {
         let mut touched: BTreeSet<ProxyId> = BTreeSet::new();
         for order in self.orders.clone() {
             let users = |table: &TableId| -> BTreeSet<ProxyId> {
@@ -221,7 +221,7 @@
                     for class in (0..self.settings.classes.len()).filter(|k| classes.has(ClassId(*k as u8))) {
                         self.bound.insert((*proxy, class), *table);
                     }
-                    self.queued += self.tables.get(table).map_or(0, BTreeMap::len) as f64;
+                    self.queued_lines += self.tables.get(table).map_or(0, BTreeMap::len) as f64;
                     BTreeSet::from([*proxy])
                 }
                 Order::Probe { server } => {
@@ -230,21 +230,25 @@
                 }
                 Order::Mark { mark } => {
                     let applied = |proxy: &ProxyId| Event::Applied { proxy: *proxy, mark: *mark };
-                    self.answers = touched.iter().map(applied).collect();
+                    self.mark_answers = touched.iter().map(applied).collect();
                     touched.clone()
                 }
                 Order::WatchList | Order::Wake { .. } => BTreeSet::new(),
             };
-            self.queued += reached.len() as f64;
+            self.queued_lines += reached.len() as f64;
             touched.extend(reached);
         }
-        self.queued += touched.len() as f64 * self.settings.lines_per_message;
+        self.queued_lines += touched.len() as f64 * self.settings.lines_per_message;
     }
 
-    fn check(&mut self) {
-        let mut bare = std::mem::take(&mut self.bare);
+    fn check_rules(&mut self) {
+        let mut bare = std::mem::take(&mut self.no_line_since);
         bare.retain(|(proxy, _), _| self.joined.contains_key(proxy));
-        assert!(self.queued <= self.settings.channel_lines_limit, "rule 5: {} lines wait", self.queued);
+        assert!(
+            self.queued_lines <= self.settings.channel_lines_limit,
+            "rule 5: {} lines wait",
+            self.queued_lines
+        );
         for (proxy, class) in self
             .joined
             .keys()
@@ -278,7 +282,7 @@
             }
             for (server, weight) in &lines {
                 let entry = &self.list[server];
-                let since = self.lost.get(server).copied().max(Some(self.joined[&proxy]));
+                let since = self.lost_since.get(server).copied().max(Some(self.joined[&proxy]));
                 let late = since.is_some_and(|since| self.now - since > self.settings.drain_grace);
                 assert!(ready(entry) || !late, "rule 3: {server:?} is lost, yet in a table of {proxy:?}");
                 assert!(allowed(entry), "rule 6: {server:?} is closed to class {class}");
@@ -289,12 +293,12 @@
                     let most = able * entry.weight.unwrap_or(1.0) * 1.15;
                     // The rule counts from when the start is known for the grace; until then a small channel may hold it up.
                     let is_held_up = self.settings.channel_lines_limit <= SMALL_CHANNEL
-                        && self.queued > 0.0
-                        && self.now - self.start_told[server] <= self.settings.drain_grace;
+                        && self.queued_lines > 0.0
+                        && self.now - self.start_reported[server] <= self.settings.drain_grace;
                     assert!(
                         *weight <= most || is_held_up,
                         "rule 4: {server:?} can do {most} and has {weight}, {} lines wait",
-                        self.queued
+                        self.queued_lines
                     );
                 }
             }
@@ -302,6 +306,6 @@
             let twice = matches!(tries, Retries::Once | Retries::Twice);
             assert!(row.repeats == Repeats::Safe || !twice, "rule 2: class {class} may run twice");
         }
-        self.bare = bare;
+        self.no_line_since = bare;
     }
 }
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -20,7 +20,7 @@
     for _ in 0..seconds {
         let well = |number: &usize| world.list[&server(*number)].readiness == Readiness::Ready;
         let known = (0..10).filter(|number| !but.contains(number)).filter(well);
-        let mut events: Vec<Event> = known.map(|number| World::heard(number, 8, 0, 0.3, busy)).collect();
+        let mut events: Vec<Event> = known.map(|number| World::report(number, 8, 0, 0.3, busy)).collect();
         let classes =
             |proxy| [(0, arrived), (1, arrived), (2, arrived / 3)].map(|(k, n)| demand(proxy, k, n));
         events.extend((0..6).flat_map(classes));
@@ -55,7 +55,7 @@
 fn a_failing_server_is_shut_out_and_comes_back_by_probes() {
     let mut world = calm_world(LevelUnit::Share);
     for _ in 0..4 {
-        world.step(0.5, &[World::heard(2, 8, 7, 0.3, None)]);
+        world.step(0.5, &[World::report(2, 8, 7, 0.3, None)]);
     }
     assert!(!world.lines(0, 2).contains_key(&server(2)), "shut out");
     assert!(world.lines(0, 2).len() == 4, "and no other");
@@ -72,7 +72,7 @@
 fn a_server_that_answers_nothing_is_shut_out_by_failed_probes() {
     let mut world = calm_world(LevelUnit::Share);
     for _ in 0..3 {
-        world.step(0.7, &[World::heard(4, 3, 3, 0.0, None)]);
+        world.step(0.7, &[World::report(4, 3, 3, 0.0, None)]);
     }
     world.step(0.7, &[probed(4, ProbeOutcome::Failed)]);
     world.step(0.7, &[probed(4, ProbeOutcome::Failed)]);
@@ -84,7 +84,7 @@
 fn a_group_that_fails_as_one_keeps_its_servers() {
     let mut world = calm_world(LevelUnit::Share);
     for _ in 0..6 {
-        let failing = (0..5).map(|k| World::heard(2 * k, 10, 7, 0.9, None));
+        let failing = (0..5).map(|k| World::report(2 * k, 10, 7, 0.9, None));
         world.step(0.5, &failing.collect::<Vec<_>>());
     }
     assert_eq!(world.lines(0, 2).len(), 5);
@@ -131,7 +131,7 @@
 /// How long after its start a new server of a group gets a line, where so many tries of ten stay unanswered.
 fn let_in_after(unanswered: u64) -> f64 {
     let mut world = calm_world(LevelUnit::Share);
-    let heard = |number| World::heard(number, 10, unanswered, 0.3, Some(0.5));
+    let heard = |number| World::report(number, 10, unanswered, 0.3, Some(0.5));
     for _ in 0..8 {
         world.step(0.5, &(0..10).map(heard).collect::<Vec<_>>());
     }
@@ -161,7 +161,7 @@
     let before = world.lines(0, 2);
     assert!(before.len() > 3, "cold ones are in: {before:?}");
     for _ in 0..4 {
-        world.step(0.5, &[World::heard(0, 10, 3, 0.3, Some(0.5))]);
+        world.step(0.5, &[World::report(0, 10, 3, 0.3, Some(0.5))]);
     }
     assert!(world.lines(0, 2).len() > 3, "{:?}", world.lines(0, 2));
 }
@@ -215,7 +215,7 @@
     for (unit, busy, wait) in [(LevelUnit::Share, None, 1.5), (LevelUnit::Rate, Some(1.0), 0.9)] {
         let mut world = calm_world(unit);
         for _ in 0..4 {
-            let mut events: Vec<Event> = (0..10).map(|k| World::heard(k, 8, 2, wait, busy)).collect();
+            let mut events: Vec<Event> = (0..10).map(|k| World::report(k, 8, 2, wait, busy)).collect();
             let classes = |proxy| [(0, 20), (1, 20), (2, 2)].map(|(class, n)| demand(proxy, class, n));
             events.extend((0..6).flat_map(classes));
             world.step(0.5, &events);
@@ -242,7 +242,7 @@
 fn weights_follow_waits() {
     let mut world = calm_world(LevelUnit::Share);
     for _ in 0..24 {
-        let events = (0..10).map(|k| World::heard(k, 8, 0, if k == 2 { 1.2 } else { 0.3 }, None));
+        let events = (0..10).map(|k| World::report(k, 8, 0, if k == 2 { 1.2 } else { 0.3 }, None));
         world.step(0.5, &events.collect::<Vec<_>>());
     }
     let lines = world.lines(0, 2);
@@ -279,7 +279,7 @@
     // Three of the five in zone 0 lose six tries of ten, as on a path that is bad for this controller alone.
     for _ in 0..6 {
         let failed = |k: usize| if [0, 2, 4].contains(&k) { 6 } else { 0 };
-        let events: Vec<Event> = (0..10).map(|k| World::heard(k, 10, failed(k), 0.3, None)).collect();
+        let events: Vec<Event> = (0..10).map(|k| World::report(k, 10, failed(k), 0.3, None)).collect();
         world.step(0.5, &events);
     }
     let lines = world.lines(0, 2);
@@ -360,7 +360,8 @@
     let level_while_holding = |held: f64| {
         let mut world = calm_world(LevelUnit::Share);
         for _ in 0..8 {
-            let reports: Vec<Event> = (0..10).map(|number| World::heard_holding(number, 8, held)).collect();
+            let reports: Vec<Event> =
+                (0..10).map(|number| World::report_in_flight(number, 8, held)).collect();
             let demands = (0..6).flat_map(|proxy| [(0, 9), (1, 9), (2, 3)].map(|(k, n)| demand(proxy, k, n)));
             world.step(0.5, &reports.into_iter().chain(demands).collect::<Vec<_>>());
             world.step(0.5, &[Event::Woken]);
@@ -382,7 +383,7 @@
     let mut world = World::new(settings, 7, 10);
     world.step(0.1, &[World::join(0)]);
     // Two a second of its own proxy, of a dozen that all proxies bring: four held are a third of a second each.
-    let reports = || (0..10).map(|number| World::heard_holding(number, 2, 4.0)).collect::<Vec<Event>>();
+    let reports = || (0..10).map(|number| World::report_in_flight(number, 2, 4.0)).collect::<Vec<Event>>();
     for _ in 0..16 {
         world.step(0.5, &reports());
         world.step(0.5, &[Event::Woken]);
@@ -474,7 +475,7 @@
     let proxies = 60;
     world.step(0.1, &(0..proxies).map(World::join).collect::<Vec<_>>());
     for _ in 0..16 {
-        let mut events: Vec<Event> = (0..10).map(|k| World::heard(k, 8, 0, 0.3, Some(0.5))).collect();
+        let mut events: Vec<Event> = (0..10).map(|k| World::report(k, 8, 0, 0.3, Some(0.5))).collect();
         events.extend((0..proxies).flat_map(|proxy| [0, 1, 2].map(|class| demand(proxy, class, 1))));
         world.step(0.5, &events);
         world.step(0.5, &[Event::Woken]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -89,7 +89,7 @@
         Happening::ListFails => Event::List { scope: ListScope::Failed, entries: [].into() },
         Happening::Heard { number, tries, unanswered, millis, busy } => {
             let busy = (*busy > 20).then_some(f64::from(*busy) / 100.0);
-            World::heard(*number, *tries, *unanswered, *millis as f64 / 1e3, busy)
+            World::report(*number, *tries, *unanswered, *millis as f64 / 1e3, busy)
         }
         Happening::Demand { proxy, class, arrived } => Event::Demand {
             proxy: ProxyId(*proxy),
@@ -104,7 +104,7 @@
             latency: secs(0.1),
             report: LoadReport::default(),
         },
-        Happening::Unknown => World::heard(99, 3, 3, 1.0, None),
+        Happening::Unknown => World::report(99, 3, 3, 1.0, None),
     })
 }
 
