--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,9 @@
-//! What a controller is told and what it orders: plain types, free of any wire and of any decision.
+//! Inputs and outputs of a controller: plain types, independent of any wire protocol and of the decisions.
 
 use std::ops::{Add, Sub};
 use std::sync::Arc;
 
-/// A moment or a span of time, in whole nanoseconds.
+/// A point in time or a duration, in whole nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Nanos(pub u64);
 
@@ -30,13 +30,13 @@
 
 impl Sub for Nanos {
     type Output = Nanos;
-    /// Never below nothing: a moment in the future is no time ago.
+    /// Saturates at zero: a time in the future counts as no time ago.
     fn sub(self, other: Nanos) -> Nanos {
         Nanos(self.0.saturating_sub(other.0))
     }
 }
 
-/// A server, by the name it must be given back with.
+/// A server, by the name that orders must use for it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub Arc<str>);
 
@@ -44,19 +44,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyId(pub u16);
 
-/// A class, by its place in the settings.
+/// A class, by its index in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub u8);
 
-/// A location: its place among those the instance has met.
+/// A zone, by its index among those the instance has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
 
-/// A kind of machine: its place among those the instance has met.
+/// A kind of machine, by its index among those the instance has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KindId(pub u16);
 
-/// A few servers of one zone that share kept keys.
+/// A few servers of one zone that share cached keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub i64);
 
@@ -64,11 +64,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableId(pub u16);
 
-/// A key range with a table of its own, where the deployment has such.
+/// A key range with a table of its own, in deployments that have slices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SliceId(pub u16);
 
-/// A fellow controller.
+/// Another controller of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerId(pub u32);
 
@@ -90,12 +90,12 @@
     }
 }
 
-/// What happens when an operation runs twice.
+/// The effect of an operation that runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
-    /// Nothing.
+    /// None.
     Safe,
-    /// Some servers drop the repeat for a while.
+    /// Some servers drop the duplicate for a while.
     Guarded,
     /// It takes effect twice.
     Never,
@@ -104,56 +104,60 @@
 /// The unit of a level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LevelUnit {
+    /// Share of the operations that are admitted.
     Share,
-    /// Operations a second at each proxy, for each class named.
+    /// Operations per second at each proxy, for each class of the order.
     Rate,
     /// Levels have no effect.
     Ignored,
 }
 
+/// The settings of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
     pub latency_goal: Nanos,
     pub deadline: Nanos,
     pub importance: f64,
     pub repeats: Repeats,
-    /// The only zones it may run in; empty: any.
+    /// The zones it may run in; empty: any.
     pub only_zones: Vec<ZoneId>,
-    /// The only kinds it may run on; empty: any.
+    /// The kinds it may run on; empty: any.
     pub only_kinds: Vec<KindId>,
-    /// It runs in the proxy's own zone alone.
+    /// It runs only in the proxy's own zone.
     pub home_only: bool,
 }
 
-/// What a controller is told at its start.
+/// What a controller is given at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub classes: Vec<ClassSettings>,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: u32,
-    /// How many proxies there are, of all controllers.
+    /// Number of proxies, of all controllers together.
     pub proxies: u32,
-    /// The list comes only when asked for.
+    /// The list is sent only on request.
     pub list_on_request: bool,
-    /// Without a standing request, how long until the controller is held to know the list.
+    /// Without a standing request, the time after which the controller is expected to know the list.
     pub list_known_within: Nanos,
     pub drain_grace: Nanos,
-    /// A server starts at this share of its capacity or more.
+    /// A cold server has at least this share of its capacity.
     pub cold_share: f64,
-    /// It is warm no later than this after its start.
+    /// A server is warm at the latest this long after its start.
     pub warm_after: Nanos,
+    /// A cold server that gets more than this multiple of its current capacity ...
     pub overload_multiple: f64,
+    /// ... for this long fails.
     pub overload_window: Nanos,
-    /// How long a proxy may lack a line.
+    /// How long a proxy may have no line.
     pub no_line_limit: Nanos,
     pub level_unit: LevelUnit,
     pub channel_lines_per_second: f64,
     pub channel_lines_limit: f64,
     pub lines_per_message: f64,
-    /// Messages to one proxy within `message_span`; 0: no limit.
+    /// Most messages to one proxy within `message_span`; 0: no limit.
     pub message_limit: u32,
     pub message_span: Nanos,
-    /// How often sums of what proxies met are gathered.
+    /// How often the outcomes that proxies observed are collected.
     pub report_period: Nanos,
     /// Probes are allowed.
     pub probes: bool,
@@ -161,6 +165,7 @@
     pub slices: u32,
 }
 
+/// Whether a server is listed to take traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     Ready,
@@ -168,7 +173,7 @@
     Removed,
 }
 
-/// One server as the list has it.
+/// The entry of one server in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
     pub server: ServerId,
@@ -176,44 +181,46 @@
     pub kind: KindId,
     pub cell: CellId,
     pub weight: Option<f64>,
-    /// When it last started, at the latest; nothing: long ago.
+    /// When it last started, at the latest; `None`: long ago.
     pub started: Option<Nanos>,
-    /// Whether that is known. Else it may have started at any time before, as far as can be told: it may be cold, and it
-    /// may be warm.
+    /// Whether `started` is exact. Otherwise the server may have started at any time before, so it may be
+    /// cold or warm.
     pub is_start_certain: bool,
     pub readiness: Readiness,
 }
 
+/// What the entries of a list event cover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     Changes,
     Whole,
-    /// As this controller last saw it before it started.
+    /// As this controller last saw it before it restarted.
     Remembered,
     /// The call failed or the standing request ended.
     Failed,
 }
 
-/// What a server says of its own load, as far as it says it.
+/// The load that a server reports of itself; `None` for what it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Busy share of its cores.
+    /// Share of its cores that is busy.
     pub busy: Option<f64>,
-    /// Operations it holds.
+    /// Operations in progress or queued at the server.
     pub in_flight: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time, without queueing.
     pub service_time: Option<Nanos>,
 }
 
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     Answered,
-    /// Turned away: it drains or had too many probes; it says little of its health.
+    /// The server rejected the probe since it drains or got too many; this says little about its health.
     TurnedAway,
     Failed,
 }
 
-/// What a controller is told.
+/// An input of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     List {
@@ -225,7 +232,7 @@
         zone: ZoneId,
         usual_rate: f64,
     },
-    /// A proxy that has joined already follows that table of a former controller's.
+    /// A proxy that has joined still follows this table of an earlier controller.
     ExistingBinding {
         proxy: ProxyId,
         class: ClassId,
@@ -234,7 +241,7 @@
     ProxyLeft {
         proxy: ProxyId,
     },
-    /// What proxies of a zone met at a server.
+    /// Outcomes of tries at a server that proxies of a zone observed within `span`.
     TriesReported {
         server: ServerId,
         zone: ZoneId,
@@ -244,7 +251,7 @@
         latency: Nanos,
         report: LoadReport,
     },
-    /// Operations that came to a proxy.
+    /// Operations of a class that arrived at a proxy within `span`.
     Demand {
         proxy: ProxyId,
         class: ClassId,
@@ -258,7 +265,7 @@
         latency: Nanos,
         report: LoadReport,
     },
-    /// An order was not carried out, and will not be: the proxies hold what they held before.
+    /// An order was not applied and will not be: the proxies keep their previous state.
     OrderRefused {
         order: Order,
     },
@@ -267,7 +274,7 @@
         proxy: ProxyId,
         mark: u16,
     },
-    /// A time asked for with `Order::Wake` has come.
+    /// The time requested with [`Order::Wake`] has come.
     Woken,
     PeerMessage {
         peer: PeerId,
@@ -277,7 +284,7 @@
         slice: SliceId,
         assigned: bool,
     },
-    /// A line of a slice's table, as stored.
+    /// A line of a slice's stored table.
     SliceLine {
         slice: SliceId,
         server: ServerId,
@@ -292,11 +299,11 @@
     },
 }
 
-/// When a proxy tries another server.
+/// When a proxy tries another server after a failed try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retries {
     Never,
-    /// Once, when the first is proven never to have run.
+    /// Once, if the first try provably never ran.
     IfNotExecuted,
     /// Once, after any failure.
     Once,
@@ -304,7 +311,7 @@
     Twice,
 }
 
-/// What a controller orders.
+/// An output of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// One line of a table; weight 0 removes it.
@@ -327,12 +334,13 @@
     Probe {
         server: ServerId,
     },
-    /// Every proxy that gets a message of this moment answers with the mark; a line a message.
+    /// Every proxy that gets a message at this time acknowledges the mark; it takes one line in each message.
     Mark {
         mark: u16,
     },
     /// A standing request for changes to the list.
     WatchList,
+    /// Requests an [`Event::Woken`].
     Wake {
         after: Nanos,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of a traffic director for a fleet of sidecar proxies.
 //!
-//! [`interface`] holds what goes in and what comes out, free of any wire. Decisions stand in [`policy`] (groups and
-//! bindings), `health` (servers), `levels` (what groups take in), `cold_placements` (placements whose servers are all cold)
-//! and `sender` (what is sent when).
+//! [`interface`] defines the inputs and outputs, independent of any wire protocol. The decisions are made in
+//! [`policy`] (groups and bindings), `health` (servers), `levels` (admission of groups), `cold_placements`
+//! (placements whose servers are all cold) and `sender` (what is sent when).
 
 mod cold_placements;
 mod health;
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -1,22 +1,23 @@
-//! What waits in the channel to the proxies, as far as can be told.
+//! An estimate of what is queued in the channel to the proxies.
 
 use std::collections::VecDeque;
 
 use crate::interface::*;
 
-/// What waits in the channel, as far as can be told.
+/// An estimate of what is queued in the channel.
 #[derive(Clone, Debug)]
 pub struct Channel {
     pub queued_lines: f64,
     pub sent_at: Nanos,
     drained_at: Nanos,
-    /// Lines sent since the last mark, and the marks not answered by all yet.
+    /// Lines sent since the last mark.
     unmarked_lines: f64,
+    /// Marks that some proxies have not acknowledged yet.
     marks: VecDeque<Marked>,
     last_mark: u16,
 }
 
-/// What was sent up to a mark: its lines, its messages, and how many of these are still to be answered.
+/// What was sent up to a mark: its lines, its messages, and how many of these are not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct Marked {
     mark: u16,
@@ -39,11 +40,12 @@
         }
     }
 
-    /// Keeps what is sent; once it is enough, gives the number to mark it with, which costs a line a message.
-    pub fn send(&mut self, now: Nanos, lines: f64, messages: f64, enough: f64) -> Option<u16> {
+    /// Records what is sent. After `mark_after` lines it returns the number of a mark to send, which takes
+    /// one line in each message.
+    pub fn send(&mut self, now: Nanos, lines: f64, messages: f64, mark_after: f64) -> Option<u16> {
         (self.sent_at, self.queued_lines, self.unmarked_lines) =
             (now, self.queued_lines + lines, self.unmarked_lines + lines);
-        if self.unmarked_lines < enough {
+        if self.unmarked_lines < mark_after {
             return None;
         }
         self.queued_lines += messages;
@@ -59,22 +61,23 @@
         Some(self.last_mark)
     }
 
-    /// A message of a mark is applied, and so is all that was sent before that mark.
+    /// Records that a proxy acknowledged a mark: everything sent before that mark is applied too.
     pub fn applied(&mut self, mark: u16) {
-        let Some(place) = self.marks.iter().position(|marked| marked.mark == mark) else { return };
-        self.marks.drain(..place);
+        let Some(index) = self.marks.iter().position(|marked| marked.mark == mark) else { return };
+        self.marks.drain(..index);
         self.marks[0].unanswered -= 1.0;
         if self.marks[0].unanswered <= 0.0 {
             self.marks.pop_front();
         }
     }
 
-    /// Lines that are not known to be applied; those marked longer ago than `lost` no longer count.
-    pub fn unapplied_lines(&mut self, now: Nanos, lost: Nanos) -> f64 {
-        self.marks.retain(|marked| now - marked.sent_at < lost);
+    /// Lines that are not known to be applied; those marked longer ago than `timeout` no longer count.
+    pub fn unapplied_lines(&mut self, now: Nanos, timeout: Nanos) -> f64 {
+        self.marks.retain(|marked| now - marked.sent_at < timeout);
         self.marks.iter().map(|marked| marked.lines * marked.unanswered / marked.messages).sum()
     }
 
+    /// Removes the lines that the channel has carried since the last call.
     pub fn drain(&mut self, now: Nanos, lines_per_second: f64) {
         self.queued_lines = (self.queued_lines - (now - self.drained_at).secs() * lines_per_second).max(0.0);
         self.drained_at = now;
@@ -86,16 +89,20 @@
     use super::*;
 
     #[test]
-    fn what_is_sent_waits_for_marks_where_the_channel_runs_slowly() {
+    fn lines_stay_unapplied_until_marks_are_acknowledged_on_a_slow_channel() {
         let secs = Nanos::from_secs;
         let mut channel = Channel::new(secs(0.0));
-        let mark = channel.send(secs(0.0), 600.0, 4.0, 500.0).expect("enough to be marked");
-        assert_eq!(channel.send(secs(0.1), 90.0, 4.0, 500.0), None, "too little for a mark");
+        let mark = channel.send(secs(0.0), 600.0, 4.0, 500.0).expect("enough lines for a mark");
+        assert_eq!(channel.send(secs(0.1), 90.0, 4.0, 500.0), None, "too few lines for a mark");
         channel.drain(secs(1.0), 1e6);
-        assert_eq!(channel.queued_lines, 0.0, "by the told pace nothing waits");
+        assert_eq!(channel.queued_lines, 0.0, "at the configured rate nothing is queued");
         assert_eq!(channel.unapplied_lines(secs(1.0), secs(10.0)), 604.0);
         channel.applied(mark);
-        assert_eq!(channel.unapplied_lines(secs(1.0), secs(10.0)), 453.0, "three messages of four");
-        assert_eq!(channel.unapplied_lines(secs(11.0), secs(10.0)), 0.0, "answers so late are lost");
+        assert_eq!(channel.unapplied_lines(secs(1.0), secs(10.0)), 453.0, "three of four messages");
+        assert_eq!(
+            channel.unapplied_lines(secs(11.0), secs(10.0)),
+            0.0,
+            "acknowledgements this late count as lost"
+        );
     }
 }
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -1,4 +1,4 @@
-//! A group of servers as a controller knows it, and the states of its load.
+//! The state of a group of servers at a controller, and its load states.
 
 use std::collections::BTreeSet;
 
@@ -6,12 +6,14 @@
 use crate::state::decay::Outcomes;
 use crate::state::server::ServerState;
 
+/// The load states of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadState {
     Calm,
     Shedding,
 }
 
+/// The conditions that cause a load state transition of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadTrigger {
     Overloaded,
@@ -19,6 +21,7 @@
     Idle,
 }
 
+/// How a load state transition changes the limit of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
     Cut,
@@ -26,29 +29,33 @@
     Remove,
 }
 
+/// A group of servers as a controller knows it.
 pub struct Group {
     pub members: BTreeSet<ServerId>,
-    /// The zone of its servers, where all are of one.
+    /// The zone of its servers, if all are in one.
     pub zone: Option<ZoneId>,
     pub load: LoadState,
-    /// Operations a second it takes in at most.
+    /// Most operations per second that it admits.
     pub limit: f64,
+    /// When its load state or limit last changed.
     pub changed_at: Nanos,
-    /// What proxies met of late at its members in no doubt, their mean busy share, and their listed weight.
+    /// Recent outcomes at its members in use.
     pub outcomes: Outcomes,
-    /// The unanswered share at the better half of them.
+    /// The failed share at the better half of these members.
     pub better_half_failed_share: f64,
+    /// The mean busy share of its members in use.
     pub busy: Option<f64>,
-    /// Operations that its members hold, of all controllers' proxies.
+    /// Operations in progress or queued at its members, from the proxies of all controllers.
     pub in_flight: f64,
-    /// Share of what arrives that comes from proxies which joined a while ago.
+    /// Share of the arrivals that comes from proxies which joined some time ago.
     pub settled_share: f64,
+    /// Listed weight of its members in use.
     pub weight_in_use: f64,
-    /// Listed weight of all members listed ready.
+    /// Listed weight of all members that are listed as ready.
     pub listed_weight: f64,
-    /// What proxies met at its cold members, if there are any.
+    /// Recent outcomes at its cold members, if there are any.
     pub cold_outcomes: Option<Outcomes>,
-    /// By class: what comes to each proxy bound here, per second.
+    /// By class: operations per second that arrive at each proxy bound to this group.
     pub arrivals: Vec<Vec<f64>>,
 }
 
@@ -73,22 +80,22 @@
     }
 }
 
-/// What a controller believes of a group, for whoever looks on.
+/// A controller's estimates for a group, for logs and status output.
 #[derive(Clone, Debug)]
 pub struct GroupStatus {
     pub zone: Option<ZoneId>,
     pub load: LoadState,
     pub limit: f64,
-    /// Operations a second that arrive for it, and that its members handle.
+    /// Operations per second that arrive for it, and that its members handle.
     pub arrival_rate: f64,
     pub handled: f64,
-    /// Mean wait, unanswered share, and busy share of its members in no doubt.
+    /// Mean wait, unanswered share and busy share of its members in use.
     pub wait: f64,
     pub unanswered: f64,
     pub busy: Option<f64>,
-    /// Its members' weight: of those in no doubt, and of all that are listed ready.
+    /// Listed weight of its members in use, and of all that are listed as ready.
     pub weight: f64,
     pub listed: f64,
-    /// Its members' names, states, and weights against the listed ones.
+    /// Its members' names, states and factors on the listed weight.
     pub members: Vec<(ServerId, ServerState, f64)>,
 }
--- a/src/state/holdings.rs
+++ b/src/state/holdings.rs
@@ -1,4 +1,4 @@
-//! What proxies hold, as far as a controller believes: brought up to date with each order that is sent or refused.
+//! What proxies hold, as far as a controller knows: updated with each order that is sent or refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
         users
     }
 
-    /// Takes back what an order that was refused was held to have left at the proxies.
+    /// Reverts what a refused order was assumed to have set at the proxies.
     pub(crate) fn record_refusal(&mut self, order: &Order) {
         match order {
             Order::Line { table, server, .. } => {
@@ -29,8 +29,8 @@
             }
             Order::Bind { proxy, classes, table } => {
                 let bindings = self.proxies.get_mut(proxy).into_iter().flat_map(|proxy| &mut proxy.bindings);
-                let named = bindings.enumerate().filter(|(class, _)| classes.has(ClassId(*class as u8)));
-                for (_, binding) in named.filter(|(_, binding)| binding.sent_table == Some(*table)) {
+                let affected = bindings.enumerate().filter(|(class, _)| classes.has(ClassId(*class as u8)));
+                for (_, binding) in affected.filter(|(_, binding)| binding.sent_table == Some(*table)) {
                     binding.sent_table = None;
                 }
             }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Keeps what an order leaves at the proxies, and tells its lines and the proxies it reaches.
+    /// Records what an order sets at the proxies; returns its number of lines and the proxies it reaches.
     pub(crate) fn record_sent(
         &mut self,
         order: &Order,
@@ -46,10 +46,10 @@
     ) -> (usize, BTreeSet<ProxyId>) {
         match order {
             Order::Line { table, server, weight } => {
-                let held = self.tables.entry(*table).or_default();
-                let was_empty = held.lines.is_empty();
-                held.set_line(server, *weight);
-                match (was_empty, held.lines.is_empty()) {
+                let sent_table = self.tables.entry(*table).or_default();
+                let was_empty = sent_table.lines.is_empty();
+                sent_table.set_line(server, *weight);
+                match (was_empty, sent_table.lines.is_empty()) {
                     (true, false) => self.record_transition(Transition::TableFilled { table: *table }),
                     (false, true) => self.record_transition(Transition::TableEmptied { table: *table }),
                     (true, true) | (false, false) => {}
@@ -66,8 +66,8 @@
                 let bound = bindings.enumerate().filter(|(class, _)| classes.has(ClassId(*class as u8)));
                 bound.for_each(|(_, binding)| binding.sent_table = Some(*table));
                 users.entry(*table).or_default().insert(*proxy);
-                let sent = self.tables.entry(*table).or_default();
-                (1 + sent.lines.len() + sent.levels.len(), BTreeSet::from([*proxy]))
+                let sent_table = self.tables.entry(*table).or_default();
+                (1 + sent_table.lines.len() + sent_table.levels.len(), BTreeSet::from([*proxy]))
             }
             Order::Probe { .. } | Order::Mark { .. } | Order::WatchList | Order::Wake { .. } => {
                 (0, BTreeSet::new())
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps: plain types and sums, without any decision, table or tuned value.
+//! The state of a controller: plain types and totals, without any decisions or tuned values.
 
 mod binding;
 mod channel;
@@ -24,9 +24,10 @@
 pub use server::{Effect, Server, ServerState, ServerTrigger};
 pub use table::{Refusal, Subject, Table};
 
-const MAX_TRANSITIONS: usize = 1_024; // between two looks: a fleet of that many servers may change at once
+/// Most transitions kept until they are taken: a fleet of this many servers may change at once.
+const MAX_TRANSITIONS: usize = 1_024;
 
-/// A change of state that an operator wants to see.
+/// A state change that is reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Transition {
     Server {
@@ -35,24 +36,24 @@
         to: ServerState,
         trigger: ServerTrigger,
     },
-    /// `limit`: operations a second that the group takes in at most.
+    /// `limit`: most operations per second that the group admits.
     Group {
         group: usize,
         from: LoadState,
         to: LoadState,
         limit: f64,
     },
-    /// A table has lost its last line.
+    /// A table lost its last line.
     TableEmptied {
         table: TableId,
     },
-    /// A table without lines has got one.
+    /// A table without lines got one.
     TableFilled {
         table: TableId,
     },
 }
 
-/// One instance of the decisions in `policy.rs`, and all it knows.
+/// One instance of the decisions in `policy.rs`, with its state.
 pub struct Controller {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg32,
@@ -64,28 +65,28 @@
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) proxies: BTreeMap<ProxyId, Proxy>,
     pub(crate) groups: Vec<Group>,
-    /// Distinct placements, the open one first; a table is a group's servers under one of them.
+    /// Distinct placements, the unrestricted one first; a table holds a group's servers under one of them.
     pub(crate) placements: Vec<Placement>,
-    /// Whether all servers of a placement are surely cold.
+    /// By placement: whether all its servers are certainly cold.
     pub(crate) cold_placements: Vec<bool>,
     pub(crate) tables: BTreeMap<TableId, Table>,
     pub(crate) binding_steps_left: u32,
     pub(crate) next_binding_step: Nanos,
     pub(crate) next_weight_update: Nanos,
     pub(crate) next_wake: Nanos,
-    /// When to ask for the list, if it must be asked for.
+    /// When to request the list, if a request is due.
     pub(crate) list_request_at: Option<Nanos>,
     pub(crate) list_retry_delay: Nanos,
-    /// Operations a second that a unit of listed weight could do, at its best lately.
+    /// Best recent throughput of a unit of listed weight, in operations per second.
     pub(crate) best_throughput_per_weight: DecayingSum,
-    /// The most listed weight that was ever ready.
+    /// The largest listed weight that was ever ready.
     pub(crate) max_listed_weight: f64,
-    /// Operations a second that all joined proxies usually get.
+    /// Operations per second that all joined proxies usually receive.
     pub(crate) usual_rate: f64,
     pub(crate) channel: Channel,
-    /// What was refused of late.
+    /// Orders that were refused recently.
     pub(crate) refusals: BTreeMap<Subject, Refusal>,
-    /// What has changed since that was last asked for.
+    /// State changes since they were last taken.
     transitions: Vec<Transition>,
 }
 
@@ -125,21 +126,22 @@
         }
     }
 
-    /// Keeps a change for whoever looks on; beyond what is kept nobody has looked for long.
+    /// Records a state change for reporting. Changes beyond `MAX_TRANSITIONS` are dropped: nobody has taken
+    /// any for long.
     pub(crate) fn record_transition(&mut self, transition: Transition) {
         if self.transitions.len() < MAX_TRANSITIONS {
             self.transitions.push(transition);
         }
     }
 
-    /// What has changed since the last call.
+    /// The state changes since the last call.
     pub fn take_transitions(&mut self) -> Vec<Transition> {
         std::mem::take(&mut self.transitions)
     }
 
-    /// What is believed of load and health, to be held against what passes.
+    /// The controller's estimates of load and health, for comparison with actual traffic.
     pub fn group_statuses(&self) -> Vec<GroupStatus> {
-        let view = |group: &Group| GroupStatus {
+        let status = |group: &Group| GroupStatus {
             zone: group.zone,
             load: group.load,
             limit: group.limit,
@@ -151,29 +153,29 @@
             weight: group.weight_in_use,
             listed: group.listed_weight,
             members: {
-                let all = group.members.iter().map(|id| (id, &self.servers[id]));
-                let ready = all.filter(|(_, server)| server.is_ready());
+                let members = group.members.iter().map(|id| (id, &self.servers[id]));
+                let ready = members.filter(|(_, server)| server.is_ready());
                 ready.map(|(id, server)| (id.clone(), server.state, server.weight_factor)).collect()
             },
         };
-        self.groups.iter().map(view).collect()
+        self.groups.iter().map(status).collect()
     }
 
-    /// Servers that are remembered, those lately gone included.
+    /// Number of known servers, including those removed recently.
     pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// Operations a second that a unit of listed weight could do, at its best lately.
+    /// Best recent throughput of a unit of listed weight, in operations per second.
     pub fn best_throughput_per_weight(&self) -> f64 {
         self.best_throughput_per_weight.read(self.now)
     }
 
-    /// Where a class may run for proxies of a zone, by its place among the placements met so far.
+    /// The index of the placement of a class for proxies of a zone; a new placement is added.
     pub(crate) fn placement_index(&mut self, class: usize, zone: ZoneId) -> usize {
-        let row = &self.classes[class];
-        let zones = if row.home_only { vec![zone] } else { row.placement.zones.clone() };
-        let placement = Placement { zones, kinds: row.placement.kinds.clone() };
+        let rules = &self.classes[class];
+        let zones = if rules.home_only { vec![zone] } else { rules.placement.zones.clone() };
+        let placement = Placement { zones, kinds: rules.placement.kinds.clone() };
         self.placements.iter().position(|known| *known == placement).unwrap_or_else(|| {
             self.placements.push(placement);
             self.placements.len() - 1
--- a/src/state/placement.rs
+++ b/src/state/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::*;
 
-/// Where a class may run; empty: anywhere.
+/// Where a class may run; an empty list allows all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Placement {
     pub zones: Vec<ZoneId>,
@@ -16,9 +16,10 @@
     }
 }
 
-/// What differs by class: a row a class.
+/// The settings of one class that the decisions depend on.
 pub struct ClassRow {
     pub importance: f64,
     pub placement: Placement,
+    /// It runs only in the proxy's own zone.
     pub home_only: bool,
 }
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -1,61 +1,74 @@
-//! A server as a controller knows it, and the states, signs and effects of its state machine.
+//! The state of a server at a controller, and the states, triggers and effects of its state machine.
 
 use crate::interface::*;
 use crate::state::decay::{DecayingMean, DecayingOutcomes};
 
+/// The states of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Not listed ready: in no table.
+    /// Not listed as ready: in no table.
     Away,
-    /// Started lately: its weight grows with what it can surely do.
+    /// Started recently: its weight grows with the capacity it has reached at least.
     Cold,
     Open,
-    /// Odd signs: probed, still in the tables.
+    /// Suspected of a fault: probed, but still in the tables.
     Doubted,
-    /// Shut out for its health, and probed.
+    /// Ejected for its health, and probed.
     Out,
 }
 
+/// The conditions that cause a state transition of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerTrigger {
+    /// No longer listed as ready.
     Unlisted,
+    /// Listed as ready and cold, after it was away or restarted.
     Started,
+    /// Listed as ready and warm.
     Warm,
+    /// Fails so many tries or probes that it has to be ejected.
     Broken,
+    /// Fails noticeably more tries than the rest of its group.
     Odd,
+    /// Shows no more signs of a fault while doubted.
     Sound,
+    /// Has answered enough probes while ejected.
     Cleared,
 }
 
+/// What a state transition of a server causes besides the new state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Nothing,
-    /// It enters its group as a new member does; bindings settle.
+    /// It joins its group as a new member; bindings are rebalanced.
     Join,
-    /// It leaves all tables; bindings settle.
+    /// It leaves all tables; bindings are rebalanced.
     Leave,
-    /// As Leave, and its next return takes longer.
+    /// As `Leave`, and its next return takes longer.
     Eject,
-    /// It returns, and what was measured before no longer holds; bindings settle.
+    /// It returns, and earlier measurements are discarded; bindings are rebalanced.
     Return,
 }
 
+/// A server as a controller knows it.
 pub struct Server {
     pub listing: Listing,
     pub group: usize,
     pub state: ServerState,
     pub state_since: Nanos,
-    /// When it last entered its group; nothing: with the first list.
+    /// When it last joined its group; `None`: with the first list.
     pub joined_at: Option<Nanos>,
-    /// Started anew since its state last changed.
+    /// Whether it restarted since its state last changed.
     pub restarted: bool,
-    /// Weight against the listed one, by what proxies met.
+    /// Factor on its listed weight, from the outcomes that proxies observed.
     pub weight_factor: f64,
+    /// Outcomes observed by proxies of its own zone.
     pub own_zone: DecayingOutcomes,
+    /// Outcomes observed by proxies of other zones.
     pub other_zones: DecayingOutcomes,
     /// The busy share it reports.
     pub busy: DecayingMean,
-    /// The operations it holds, as it reports them.
+    /// The operations it reports to be in progress or queued.
     pub in_flight: DecayingMean,
     pub probed_at: Nanos,
     pub probes_answered: u32,
--- a/src/state/table.rs
+++ b/src/state/table.rs
@@ -1,10 +1,10 @@
-//! Shared tables as proxies are believed to hold them, and orders that were refused.
+//! Shared tables, as far as the controller knows what proxies hold, and orders that were refused.
 
 use std::collections::BTreeMap;
 
 use crate::interface::*;
 
-/// What an order sets: a later order of the same subject leaves nothing of it.
+/// What an order sets: a later order with the same subject replaces it entirely.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     Line(TableId, ServerId),
@@ -13,7 +13,7 @@
 }
 
 impl Subject {
-    /// Of an order to proxies; nothing for any other.
+    /// The subject of an order to proxies; `None` for any other order.
     pub fn of(order: &Order) -> Option<Self> {
         match order {
             Order::Line { table, server, .. } => Some(Subject::Line(*table, server.clone())),
@@ -27,13 +27,13 @@
 /// An order that was refused, once or several times in a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// How often.
+    /// Number of refusals in a row.
     pub count: u32,
-    /// It is not given again before.
+    /// The order is not sent again before this time.
     pub retry_at: Nanos,
 }
 
-/// A shared table as proxies have it.
+/// A shared table as proxies hold it.
 #[derive(Clone, Default)]
 pub struct Table {
     pub lines: BTreeMap<ServerId, f64>,
@@ -41,22 +41,25 @@
 }
 
 impl Table {
-    /// The lines that differ from the wanted ones by more than a share of what stands; weight 0: to be removed.
-    pub fn changes(&self, wanted: &BTreeMap<ServerId, f64>, share: f64) -> Vec<(ServerId, f64)> {
-        let old = |id: &ServerId| self.lines.get(id).copied().unwrap_or(0.0);
-        let moved = wanted.iter().filter(|(id, weight)| (**weight - old(id)).abs() > share * old(id));
-        let gone = self.lines.keys().filter(|id| !wanted.contains_key(*id));
-        moved.map(|(id, weight)| (id.clone(), *weight)).chain(gone.map(|id| (id.clone(), 0.0))).collect()
+    /// The wanted lines whose weight differs from the current one by more than a share of the latter, and the
+    /// lines to remove, with weight 0.
+    pub fn changes(&self, wanted: &BTreeMap<ServerId, f64>, min_change: f64) -> Vec<(ServerId, f64)> {
+        let current = |id: &ServerId| self.lines.get(id).copied().unwrap_or(0.0);
+        let changed =
+            wanted.iter().filter(|(id, weight)| (**weight - current(id)).abs() > min_change * current(id));
+        let removed = self.lines.keys().filter(|id| !wanted.contains_key(*id));
+        changed.map(|(id, weight)| (id.clone(), *weight)).chain(removed.map(|id| (id.clone(), 0.0))).collect()
     }
 
-    /// Its lines without the lost servers'.
-    pub fn without(&self, lost: impl Fn(&ServerId) -> bool) -> BTreeMap<ServerId, f64> {
-        let kept = self.lines.iter().filter(|(id, _)| !lost(id));
-        kept.map(|(id, weight)| (id.clone(), *weight)).collect()
+    /// Its lines without those of lost servers.
+    pub fn without(&self, is_lost: impl Fn(&ServerId) -> bool) -> BTreeMap<ServerId, f64> {
+        let remaining = self.lines.iter().filter(|(id, _)| !is_lost(id));
+        remaining.map(|(id, weight)| (id.clone(), *weight)).collect()
     }
 
-    /// A line was not set: whether proxies hold one is not known, and with which weight. It counts as held, so that it
-    /// is set or removed anew, at next to no weight, so that nobody counts on it.
+    /// Records that an order for a line was refused, so that it is unknown whether proxies hold the line and
+    /// with which weight. The line is kept, so that it is set or removed again, with the smallest weight, so
+    /// that it does not count as usable.
     pub fn mark_line_unknown(&mut self, server: &ServerId) {
         self.lines.insert(server.clone(), f64::MIN_POSITIVE);
     }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,5 +1,5 @@
-//! A small model of what proxies hold, which checks the rules against a controller's orders after every step.
-#![allow(dead_code)] // each test program takes its part of it
+//! A small model of the proxies that checks the rules against a controller's orders after every step.
+#![allow(dead_code)] // each test binary uses only a part of it
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,7 +7,8 @@
 use craneknot::interface::*;
 use craneknot::Controller;
 
-const SMALL_CHANNEL: f64 = 180.0; // lines of its limit, which the bindings of six proxies fill
+/// A limit on queued lines that the bindings of six proxies fill.
+const SMALL_CHANNEL_LINES: f64 = 180.0;
 
 pub fn server(number: usize) -> ServerId {
     ServerId(Arc::from(format!("server-{number:02}").as_str()))
@@ -17,7 +18,7 @@
     Nanos::from_secs(secs)
 }
 
-/// A listing: zones alternate, machines weigh 1 to 3.
+/// A listing: zones alternate, and weights are 1 to 3.
 pub fn listing(number: usize, started: Option<Nanos>, readiness: Readiness) -> Listing {
     Listing {
         server: server(number),
@@ -72,10 +73,11 @@
     }
 }
 
-/// A controller, and the list, tables, bindings and queue as the outside has them.
+/// A controller, and the list, tables, bindings and queue as they are outside of it.
 pub struct World {
     pub settings: Settings,
     pub controller: Controller,
+    /// Gets the same events, to check that the orders depend on nothing else.
     replica: Controller,
     pub now: Nanos,
     pub list: BTreeMap<ServerId, Listing>,
@@ -85,13 +87,13 @@
     pub levels: BTreeMap<(TableId, usize), (f64, Retries)>,
     pub bound: BTreeMap<(ProxyId, usize), TableId>,
     pub orders: Vec<Order>,
-    /// What proxies answer to marks, told with the next step.
+    /// Acknowledgements of marks by proxies, given to the controller with the next step.
     mark_answers: Vec<Event>,
-    /// When the last start of a server was told.
+    /// When the last start of a server was reported to the controller.
     start_reported: BTreeMap<ServerId, Nanos>,
-    /// When a server was first told to be lost.
+    /// When a server was first reported to be lost.
     lost_since: BTreeMap<ServerId, Nanos>,
-    /// Since when a proxy has had no line for a class, though a server that is open to it is ready.
+    /// Since when a proxy has had no line for a class although a server that the class may use is ready.
     no_line_since: BTreeMap<(ProxyId, usize), Nanos>,
     queued_lines: f64,
 }
@@ -130,6 +132,7 @@
         Event::List { scope: ListScope::Changes, entries }
     }
 
+    /// A report of the outcomes at a server within one second.
     pub fn report(number: usize, tries: u64, unanswered: u64, latency: f64, busy: Option<f64>) -> Event {
         let report = LoadReport { busy, ..LoadReport::default() };
         let zone = ZoneId((number % 2) as u16);
@@ -137,9 +140,9 @@
         Event::TriesReported { server, zone, tries, unanswered, span, latency, report }
     }
 
-    /// A report of a server that does well, half busy, and holds so many operations.
-    pub fn report_in_flight(number: usize, tries: u64, held: f64) -> Event {
-        let report = LoadReport { busy: Some(0.5), in_flight: Some(held), ..LoadReport::default() };
+    /// A report of a half busy server that answers all tries and has so many operations in progress.
+    pub fn report_in_flight(number: usize, tries: u64, in_flight: f64) -> Event {
+        let report = LoadReport { busy: Some(0.5), in_flight: Some(in_flight), ..LoadReport::default() };
         let (server, zone, span) = (server(number), ZoneId((number % 2) as u16), secs(1.0));
         Event::TriesReported { server, zone, tries, unanswered: 0, span, latency: secs(0.3), report }
     }
@@ -150,7 +153,7 @@
         table.and_then(|table| self.tables.get(table)).cloned().unwrap_or_default()
     }
 
-    /// Lets time pass, tells the controller, carries its orders out and checks the rules.
+    /// Lets time pass, gives the events to the controller, applies its orders and checks the rules.
     pub fn step(&mut self, after: f64, events: &[Event]) {
         self.now = self.now + secs(after);
         self.queued_lines = (self.queued_lines - after * self.settings.channel_lines_per_second).max(0.0);
@@ -188,20 +191,24 @@
             }
         }
         self.orders = self.controller.step(self.now, events);
-        assert_eq!(self.orders, self.replica.step(self.now, events), "the same events, other orders");
+        assert_eq!(
+            self.orders,
+            self.replica.step(self.now, events),
+            "the same events led to different orders"
+        );
         self.apply_orders();
         self.check_rules();
     }
 
     fn apply_orders(&mut self) {
-        let mut touched: BTreeSet<ProxyId> = BTreeSet::new();
+        let mut messaged: BTreeSet<ProxyId> = BTreeSet::new();
         for order in self.orders.clone() {
             let users = |table: &TableId| -> BTreeSet<ProxyId> {
                 self.bound.iter().filter(|(_, bound)| *bound == table).map(|((proxy, _), _)| *proxy).collect()
             };
             let reached = match &order {
                 Order::Line { table, server, weight } => {
-                    assert!(self.list.contains_key(server), "a server in no list");
+                    assert!(self.list.contains_key(server), "a line for a server that is in no list");
                     assert!(*weight >= 0.0 && weight.is_finite(), "a weight of {weight}");
                     let reached = users(table);
                     let lines = self.tables.entry(*table).or_default();
@@ -217,7 +224,7 @@
                     users(table)
                 }
                 Order::Bind { proxy, classes, table } => {
-                    assert!(self.joined.contains_key(proxy), "a proxy that is not joined");
+                    assert!(self.joined.contains_key(proxy), "a binding of a proxy that has not joined");
                     for class in (0..self.settings.classes.len()).filter(|k| classes.has(ClassId(*k as u8))) {
                         self.bound.insert((*proxy, class), *table);
                     }
@@ -230,23 +237,23 @@
                 }
                 Order::Mark { mark } => {
                     let applied = |proxy: &ProxyId| Event::Applied { proxy: *proxy, mark: *mark };
-                    self.mark_answers = touched.iter().map(applied).collect();
-                    touched.clone()
+                    self.mark_answers = messaged.iter().map(applied).collect();
+                    messaged.clone()
                 }
                 Order::WatchList | Order::Wake { .. } => BTreeSet::new(),
             };
             self.queued_lines += reached.len() as f64;
-            touched.extend(reached);
+            messaged.extend(reached);
         }
-        self.queued_lines += touched.len() as f64 * self.settings.lines_per_message;
+        self.queued_lines += messaged.len() as f64 * self.settings.lines_per_message;
     }
 
     fn check_rules(&mut self) {
-        let mut bare = std::mem::take(&mut self.no_line_since);
-        bare.retain(|(proxy, _), _| self.joined.contains_key(proxy));
+        let mut no_line_since = std::mem::take(&mut self.no_line_since);
+        no_line_since.retain(|(proxy, _), _| self.joined.contains_key(proxy));
         assert!(
             self.queued_lines <= self.settings.channel_lines_limit,
-            "rule 5: {} lines wait",
+            "rule 5: {} lines are queued",
             self.queued_lines
         );
         for (proxy, class) in self
@@ -265,47 +272,48 @@
             };
             let ready = |entry: &Listing| entry.readiness == Readiness::Ready;
             let Some(table) = self.bound.get(&(proxy, class)) else {
-                let late = self.now - self.joined[&proxy] > self.settings.drain_grace;
-                assert!(!late, "rule 3: {proxy:?} keeps its standing table");
+                let is_late = self.now - self.joined[&proxy] > self.settings.drain_grace;
+                assert!(!is_late, "rule 3: {proxy:?} keeps its previous table");
                 continue;
             };
             let lines = self.lines(proxy.0, class);
-            let due = self.list.values().any(|entry| ready(entry) && allowed(entry));
-            if due && lines.is_empty() {
-                let since = *bare.entry((proxy, class)).or_insert(self.now);
+            let is_line_due = self.list.values().any(|entry| ready(entry) && allowed(entry));
+            if is_line_due && lines.is_empty() {
+                let since = *no_line_since.entry((proxy, class)).or_insert(self.now);
                 assert!(
                     self.now - since <= self.settings.no_line_limit,
                     "rule 1: {proxy:?} has no line for {class}"
                 );
             } else {
-                bare.remove(&(proxy, class));
+                no_line_since.remove(&(proxy, class));
             }
             for (server, weight) in &lines {
                 let entry = &self.list[server];
                 let since = self.lost_since.get(server).copied().max(Some(self.joined[&proxy]));
-                let late = since.is_some_and(|since| self.now - since > self.settings.drain_grace);
-                assert!(ready(entry) || !late, "rule 3: {server:?} is lost, yet in a table of {proxy:?}");
-                assert!(allowed(entry), "rule 6: {server:?} is closed to class {class}");
+                let is_late = since.is_some_and(|since| self.now - since > self.settings.drain_grace);
+                assert!(ready(entry) || !is_late, "rule 3: {server:?} is lost, yet in a table of {proxy:?}");
+                assert!(allowed(entry), "rule 6: {server:?} is not allowed for class {class}");
                 if let Some(started) = entry.started.filter(|_| !warm(entry)) {
                     let warmth = (self.now - started).secs() / self.settings.warm_after.secs();
-                    let able = self.settings.cold_share + (1.0 - self.settings.cold_share) * warmth;
-                    // Lines are let stand while they are off by little.
-                    let most = able * entry.weight.unwrap_or(1.0) * 1.15;
-                    // The rule counts from when the start is known for the grace; until then a small channel may hold it up.
-                    let is_held_up = self.settings.channel_lines_limit <= SMALL_CHANNEL
+                    let warm_share = self.settings.cold_share + (1.0 - self.settings.cold_share) * warmth;
+                    // A line is not updated while its weight differs only a little.
+                    let max_weight = warm_share * entry.weight.unwrap_or(1.0) * 1.15;
+                    // The rule applies once the start has been known for the grace period; until then a small
+                    // channel may delay the update.
+                    let is_held_up = self.settings.channel_lines_limit <= SMALL_CHANNEL_LINES
                         && self.queued_lines > 0.0
                         && self.now - self.start_reported[server] <= self.settings.drain_grace;
                     assert!(
-                        *weight <= most || is_held_up,
-                        "rule 4: {server:?} can do {most} and has {weight}, {} lines wait",
+                        *weight <= max_weight || is_held_up,
+                        "rule 4: {server:?} can take {max_weight} and has {weight}, {} lines are queued",
                         self.queued_lines
                     );
                 }
             }
             let tries = self.levels.get(&(*table, class)).map_or(Retries::Never, |(_, tries)| *tries);
-            let twice = matches!(tries, Retries::Once | Retries::Twice);
-            assert!(row.repeats == Repeats::Safe || !twice, "rule 2: class {class} may run twice");
+            let may_run_twice = matches!(tries, Retries::Once | Retries::Twice);
+            assert!(row.repeats == Repeats::Safe || !may_run_twice, "rule 2: class {class} may run twice");
         }
-        self.no_line_since = bare;
+        self.no_line_since = no_line_since;
     }
 }
