--- a/src/levels.rs
+++ b/src/levels.rs
@@ -168,12 +168,12 @@
             let fitting = self.classes.iter().zip(&sums);
             fitting.filter(|(other, _)| fits(&other.importance, &importance)).map(|(_, sum)| sum).sum()
         };
-        let share = |(class, row): (usize, &ClassRow)| {
+        let share = |(class, row): (usize, &ClassRules)| {
             let left = limit - sum_of(f64::gt, row.importance);
             (class, (left / sum_of(f64::eq, row.importance).max(0.1)).max(LEAST))
         };
         // No proxy has this class here: a level would only meet who is bound next.
-        let is_met = |(class, _): &(usize, &ClassRow)| !arrivals[*class].is_empty();
+        let is_met = |(class, _): &(usize, &ClassRules)| !arrivals[*class].is_empty();
         self.classes.iter().enumerate().filter(is_met).map(share).collect()
     }
 }
--- a/src/state/holdings.rs
+++ b/src/state/holdings.rs
@@ -56,9 +56,9 @@
                 }
                 (1, users.get(table).cloned().unwrap_or_default())
             }
-            Order::Level { table, classes, level, retries: tries } => {
+            Order::Level { table, classes, level, retries } => {
                 let class = classes.0.trailing_zeros() as usize;
-                self.tables.entry(*table).or_default().levels.insert(class, (*level, *tries));
+                self.tables.entry(*table).or_default().levels.insert(class, (*level, *retries));
                 (1, users.get(table).cloned().unwrap_or_default())
             }
             Order::Bind { proxy, classes, table } => {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -20,7 +20,7 @@
 pub use channel::Channel;
 pub use decay::{DecayingOutcomes, DecayingSum, Outcomes};
 pub use group::{Group, GroupStatus, LimitChange, LoadState, LoadTrigger};
-pub use placement::{ClassRow, Placement};
+pub use placement::{ClassRules, Placement};
 pub use server::{Effect, Server, ServerState, ServerTrigger};
 pub use table::{Refusal, Subject, Table};
 
@@ -59,7 +59,7 @@
     pub(crate) rng: Pcg32,
     pub(crate) started_at: Nanos,
     pub(crate) now: Nanos,
-    pub(crate) classes: Vec<ClassRow>,
+    pub(crate) classes: Vec<ClassRules>,
     /// The shortest latency goal and the longest, s.
     pub(crate) latency_goal_range: (f64, f64),
     pub(crate) servers: BTreeMap<ServerId, Server>,
@@ -92,7 +92,7 @@
 
 impl Controller {
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Self {
-        let row = |class: &ClassSettings| ClassRow {
+        let rules = |class: &ClassSettings| ClassRules {
             importance: class.importance,
             placement: Placement { zones: class.only_zones.clone(), kinds: class.only_kinds.clone() },
             home_only: class.home_only,
@@ -102,7 +102,7 @@
             rng: Pcg32::seed_from_u64(seed),
             started_at: now,
             now,
-            classes: settings.classes.iter().map(row).collect(),
+            classes: settings.classes.iter().map(rules).collect(),
             latency_goal_range: (goals.clone().fold(f64::INFINITY, f64::min), goals.fold(0.0, f64::max)),
             servers: BTreeMap::new(),
             proxies: BTreeMap::new(),
--- a/src/state/placement.rs
+++ b/src/state/placement.rs
@@ -17,7 +17,7 @@
 }
 
 /// The settings of one class that the decisions depend on.
-pub struct ClassRow {
+pub struct ClassRules {
     pub importance: f64,
     pub placement: Placement,
     /// It runs only in the proxy's own zone.
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -216,10 +216,10 @@
                     lines.retain(|_, weight| *weight > 0.0);
                     reached
                 }
-                Order::Level { table, classes, level, retries: tries } => {
+                Order::Level { table, classes, level, retries } => {
                     assert!(*level >= 0.0 && level.is_finite(), "a level of {level}");
                     for class in (0..self.settings.classes.len()).filter(|k| classes.has(ClassId(*k as u8))) {
-                        self.levels.insert((*table, class), (*level, *tries));
+                        self.levels.insert((*table, class), (*level, *retries));
                     }
                     users(table)
                 }
@@ -310,8 +310,8 @@
                     );
                 }
             }
-            let tries = self.levels.get(&(*table, class)).map_or(Retries::Never, |(_, tries)| *tries);
-            let may_run_twice = matches!(tries, Retries::Once | Retries::Twice);
+            let retries = self.levels.get(&(*table, class)).map_or(Retries::Never, |(_, retries)| *retries);
+            let may_run_twice = matches!(retries, Retries::Once | Retries::Twice);
             assert!(row.repeats == Repeats::Safe || !may_run_twice, "rule 2: class {class} may run twice");
         }
         self.no_line_since = no_line_since;
