--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Buf, BytesMut};
 use craneknot::interface::{Event, Nanos, ZoneId};
-use craneknot_platform::lines::{self, Message, Unread};
+use craneknot_platform::messages::{self, Message, MessageError};
 use craneknot_settings::given::GivenNames;
 
 use crate::pending::PendingWork;
@@ -141,7 +141,7 @@
                 pending.set_partial(id, is_partial);
                 let most = match client.role {
                     Role::Unidentified => LINE_MOST,
-                    Role::Collector(_) => lines::LONGEST,
+                    Role::Collector(_) => messages::MAX_MESSAGE_BYTES,
                 };
                 if input.len() >= most {
                     pending.set_partial(id, false);
@@ -152,7 +152,7 @@
             (client.searched, client.line_began) = (0, None);
             let line = input.split_to(end);
             input.advance(1);
-            match (client.role, lines::read(&line, names, proxies)) {
+            match (client.role, messages::parse(&line, names, proxies)) {
                 (_, Ok(Message::Heartbeat)) => {
                     client.active = now;
                     pending.request_read(id);
@@ -160,15 +160,15 @@
                 }
                 (_, Ok(Message::Collector(zone))) => self.join(id, zone, pending, actions),
                 (Role::Collector(_), Ok(Message::Report(report))) => reports.push(report),
-                (Role::Collector(_), Err(Unread::Malformed(cause))) => {
+                (Role::Collector(_), Err(MessageError::Malformed(cause))) => {
                     self.malformed += 1;
                     actions.push(ClientAction::Note(cause, String::from_utf8_lossy(&line).into_owned()));
                 }
                 (Role::Unidentified, Ok(Message::Report(_))) => {
                     self.turn_away(id, "a report before the joining".into(), actions);
                 }
-                (Role::Unidentified, Err(Unread::Malformed(cause)))
-                | (_, Err(Unread::Corrupt(cause) | Unread::Foreign(cause))) => {
+                (Role::Unidentified, Err(MessageError::Malformed(cause)))
+                | (_, Err(MessageError::Corrupt(cause) | MessageError::Unexpected(cause))) => {
                     self.turn_away(id, cause, actions);
                 }
             }
--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -9,7 +9,7 @@
 use craneknot::{Controller, State, Transition};
 use craneknot_platform::config::Config;
 use craneknot_platform::discovery::{self, Roster};
-use craneknot_platform::news::News;
+use craneknot_platform::events::RelayEvent;
 use craneknot_platform::{probe, relay};
 use craneknot_settings::given::GivenNames;
 use http::{Response, StatusCode};
@@ -71,8 +71,8 @@
 
 impl Coordinator {
     pub fn new(config: Config, now: Nanos) -> Self {
-        let descriptors = Descriptors::divide(config.sockets);
-        let revision = config.known.as_ref().map(|known| known.revision);
+        let descriptors = Descriptors::divide(config.socket_limit);
+        let revision = config.known_roster.as_ref().map(|known| known.revision);
         let mut coordinator = Coordinator {
             proxies: config.settings.proxies,
             coverage: Coverage::new(&config.settings),
@@ -95,12 +95,12 @@
             wake_at: Some(now),
             shutting_down: false,
             backlog: false,
-            todo: Todo { log: config.notes.into_iter().map(LogEvent::Note).collect(), ..Todo::default() },
+            todo: Todo { log: config.warnings.into_iter().map(LogEvent::Note).collect(), ..Todo::default() },
             reports: 0,
             orders: 0,
             news_malformed: 0,
         };
-        if let Some(known) = config.known {
+        if let Some(known) = config.known_roster {
             coordinator.take_roster(now, known, Some(ListScope::Remembered));
         }
         coordinator
@@ -176,14 +176,14 @@
             );
         }
         let Some(decoder) = self.streams.decoder(link) else { return };
-        match decoder.take(bytes, &mut self.names, self.proxies) {
+        match decoder.decode(bytes, &mut self.names, self.proxies) {
             Ok(decoded) => {
                 for cause in decoded.malformed {
                     self.news_malformed += 1;
                     self.note(cause);
                 }
                 let mut out = Vec::new();
-                self.streams.heard(now, link, decoded.news, &mut out);
+                self.streams.heard(now, link, decoded.events, &mut out);
                 self.take_news(now, out);
             }
             Err(cause) => self.drop_event_stream(now, link, &cause),
@@ -195,23 +195,23 @@
         self.link_lost(now, link, cause);
     }
 
-    fn take_news(&mut self, now: Nanos, news: Vec<News>) {
+    fn take_news(&mut self, now: Nanos, news: Vec<RelayEvent>) {
         for news in news {
             self.events.push(match news {
-                News::Joined { proxy, zone, usual_rate } => {
+                RelayEvent::Joined { proxy, zone, usual_rate } => {
                     self.takeovers.joined(now, proxy);
                     self.coverage.joined(now, proxy, zone);
                     self.todo.log.push(LogEvent::ProxyJoined { proxy, zone });
                     Event::ProxyJoined { proxy, zone, usual_rate }
                 }
-                News::Left { proxy } => {
+                RelayEvent::Left { proxy } => {
                     self.takeovers.left(proxy);
                     self.order_queue.left(proxy);
                     self.coverage.left(proxy);
                     self.todo.log.push(LogEvent::ProxyLeft { proxy });
                     Event::ProxyLeft { proxy }
                 }
-                News::Applied { proxy, mark } => {
+                RelayEvent::Applied { proxy, mark } => {
                     self.takeovers.applied(now);
                     Event::Applied { proxy, mark }
                 }
@@ -234,7 +234,7 @@
             }
         } else if self.watch.has(link) {
             let list = if status == StatusCode::OK {
-                discovery::read(body, &mut self.names)
+                discovery::parse(body, &mut self.names)
             } else {
                 Err(format!("discovery answers {status}"))
             };
@@ -256,7 +256,7 @@
             }
         } else if let Some((server, took)) = self.probes.end(now, link) {
             self.todo.acts.push(Act::Drop { link });
-            let report = probe::report(body, &self.names);
+            let report = probe::parse_report(body, &self.names);
             self.events.push(Event::Probed { server, outcome: probes::outcome(status), took, report });
         } else if self.streams.has(link) {
             self.drop_event_stream(now, link, "the relay has ended its news");
@@ -395,7 +395,7 @@
 
     /// An order was not carried out: the decisions are told, with the next step.
     fn refuse(&mut self, order: Order, cause: &'static str) {
-        let text = relay::order(&order, &self.names).unwrap_or_default();
+        let text = relay::encode_order(&order, &self.names).unwrap_or_default();
         self.todo.log.push(LogEvent::OrderRefused { order: text, cause });
         self.events.push(Event::OrderRefused { order });
     }
@@ -516,9 +516,9 @@
         self.orders += 1;
         self.takeovers.ordered(now, order);
         self.coverage.ordered(order);
-        let subject = relay::subject(order);
+        let subject = relay::coalescing_key(order);
         let encoded = |text| EncodedOrder { order: order.clone(), text, proxy, subject };
-        self.order_queue.offer(relay::order(order, &self.names).map(encoded));
+        self.order_queue.offer(relay::encode_order(order, &self.names).map(encoded));
     }
 
     /// When the next turn is due though nothing comes in.
--- a/crates/craneknot-node/src/event_streams.rs
+++ b/crates/craneknot-node/src/event_streams.rs
@@ -6,7 +6,7 @@
 
 use craneknot::interface::{Nanos, ProxyId};
 use craneknot_http::request;
-use craneknot_platform::news::{self, Decoder, News};
+use craneknot_platform::events::{self, Decoder, RelayEvent};
 use http::{header, Method};
 
 use crate::link::{backoff, Act, LinkId, Links};
@@ -102,7 +102,7 @@
     }
 
     /// Ends and dials streams where that is due.
-    pub fn turn(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>, out: &mut Vec<News>) {
+    pub fn turn(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>, out: &mut Vec<RelayEvent>) {
         self.settle(now, out);
         self.end_late(now, acts, out);
         self.confirm(now, out);
@@ -114,7 +114,7 @@
 
     /// Ends streams that never opened, or fell silent. The last one heard is kept while nothing else speaks, since what
     /// is cut off may come back.
-    fn end_late(&mut self, now: Nanos, acts: &mut Vec<Act>, out: &mut Vec<News>) {
+    fn end_late(&mut self, now: Nanos, acts: &mut Vec<Act>, out: &mut Vec<RelayEvent>) {
         let speaking = self.streams.iter().any(|stream| stream.speaks(now));
         let open = self.streams.iter().filter(|stream| stream.open.is_some());
         let last = open.max_by_key(|stream| stream.heard).map(|stream| stream.link);
@@ -136,7 +136,7 @@
     fn dial(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>) {
         let (link, address) = (links.name(), self.address);
         let headers = [(header::ACCEPT, "text/event-stream")];
-        let request = request(&Method::GET, news::PATH, &address.to_string(), &headers, b"");
+        let request = request(&Method::GET, events::PATH, &address.to_string(), &headers, b"");
         acts.push(Act::Dial { link, address, request });
         self.streams.push(EventStream {
             link,
@@ -166,7 +166,7 @@
     }
 
     /// Bytes have come on a stream, with this news in them.
-    pub fn heard(&mut self, now: Nanos, link: LinkId, news: Vec<News>, out: &mut Vec<News>) {
+    pub fn heard(&mut self, now: Nanos, link: LinkId, news: Vec<RelayEvent>, out: &mut Vec<RelayEvent>) {
         let Some(place) = self.streams.iter().position(|stream| stream.link == link) else { return };
         let mut stream = self.streams.remove(place);
         if stream.open.is_none() {
@@ -184,12 +184,12 @@
     }
 
     /// Takes news of a stream that is not among the others for the moment.
-    fn take(&mut self, now: Nanos, account: &mut Account, news: News, out: &mut Vec<News>) {
+    fn take(&mut self, now: Nanos, account: &mut Account, news: RelayEvent, out: &mut Vec<RelayEvent>) {
         let is_followed = self.is_followed(now, news.proxy());
         match news {
-            News::Joined { .. } => self.presence.take_joined(now, account, &news, is_followed, out),
-            News::Left { proxy } => self.presence.take_left(now, account, proxy, is_followed, out),
-            News::Applied { proxy, mark } => {
+            RelayEvent::Joined { .. } => self.presence.take_joined(now, account, &news, is_followed, out),
+            RelayEvent::Left { proxy } => self.presence.take_left(now, account, proxy, is_followed, out),
+            RelayEvent::Applied { proxy, mark } => {
                 let is_new = self.applied.insert((proxy, mark), now).is_none();
                 out.extend((is_new && self.presence.is_joined(proxy)).then_some(news));
             }
@@ -202,7 +202,7 @@
     }
 
     /// A stream has ended.
-    pub fn lost(&mut self, now: Nanos, link: LinkId, out: &mut Vec<News>) {
+    pub fn lost(&mut self, now: Nanos, link: LinkId, out: &mut Vec<RelayEvent>) {
         let Some(place) = self.streams.iter().position(|stream| stream.link == link) else { return };
         let ended = self.streams.remove(place);
         self.dial_at = self.dial_at.max(now + self.wait());
@@ -219,7 +219,7 @@
 
     /// Whether a proxy came and went before a stream began is told by one that was open before: it has done so by some
     /// time after, or it is gone or quiet, and whoever may have done so is told as joined anew.
-    fn confirm(&mut self, now: Nanos, out: &mut Vec<News>) {
+    fn confirm(&mut self, now: Nanos, out: &mut Vec<RelayEvent>) {
         for place in 0..self.streams.len() {
             let mut stream = self.streams.remove(place);
             if let Some(since) = stream.account.assumed_since().filter(|_| !stream.is_quiet(now)) {
@@ -236,7 +236,7 @@
 
     /// Streams that have opened for long enough have told what stands; who is not named has left, unless a stream that
     /// is not quiet would have told of it.
-    fn settle(&mut self, now: Nanos, out: &mut Vec<News>) {
+    fn settle(&mut self, now: Nanos, out: &mut Vec<RelayEvent>) {
         for place in 0..self.streams.len() {
             let mut stream = self.streams.remove(place);
             if stream.settles_at().is_some_and(|at| at <= now) {
@@ -249,7 +249,7 @@
     }
 
     /// After a stream has ended the others have had time to tell what it told last.
-    fn end_doubt(&mut self, now: Nanos, out: &mut Vec<News>) {
+    fn end_doubt(&mut self, now: Nanos, out: &mut Vec<RelayEvent>) {
         let Some(at) = self.doubt_ends.filter(|at| *at <= now) else { return };
         self.doubt_ends = None;
         for place in 0..self.streams.len() {
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -8,7 +8,7 @@
 
 use craneknot::interface::{Nanos, Order, ProxyId};
 use craneknot_http::request;
-use craneknot_platform::relay::{self, Answer, Refusal};
+use craneknot_platform::relay::{self, Answer, Rejection};
 use http::{header, Method};
 
 use crate::link::{backoff, Act, Callee, LinkId, Links};
@@ -259,15 +259,15 @@
         let (mut orders, mut bytes) = (0, 0);
         for queued in &self.queue {
             bytes += queued.order.text.len() + ORDER_COST;
-            if bytes > relay::CALL_MOST && orders > 0 {
+            if bytes > relay::MAX_CALL_BYTES && orders > 0 {
                 break;
             }
             orders += 1;
         }
         let texts: Vec<&str> =
             self.queue.iter().take(orders).map(|queued| queued.order.text.as_str()).collect();
-        let (host, form) = (self.relay.host(), relay::form(&texts));
-        let headers = [(header::CONTENT_TYPE, relay::FORM)];
+        let (host, form) = (self.relay.host(), relay::call_body(&texts));
+        let headers = [(header::CONTENT_TYPE, relay::CONTENT_TYPE)];
         let request = request(&Method::POST, relay::PATH, &host, &headers, form.as_bytes());
         let kept = !self.relay.call(request, links, acts);
         let until = now + if kept { ANSWER_MOST } else { DIAL_MOST };
@@ -310,10 +310,10 @@
             self.relay.hang_up(acts);
             return Err("the relay answered what was not asked".into());
         };
-        let answer = relay::answer(body, orders);
-        self.is_throttled = matches!(answer, Ok(Answer::Refused(Refusal::Throttled)));
+        let answer = relay::parse_answer(body, orders);
+        self.is_throttled = matches!(answer, Ok(Answer::Rejected(Rejection::Throttled)));
         match answer {
-            Ok(Answer::Taken(taken)) => {
+            Ok(Answer::Accepted(taken)) => {
                 self.failures = 0;
                 self.acknowledge(taken);
                 self.refused_in_row = if taken < orders { self.refused_in_row } else { 0 };
@@ -323,15 +323,15 @@
                 self.rest(now);
                 given_up.map_or(Ok(()), |order| Err(format!("the relay can't use {}", order.text)))
             }
-            Ok(Answer::Refused(Refusal::Throttled)) => {
+            Ok(Answer::Rejected(Rejection::Throttled)) => {
                 self.rest(now + THROTTLED);
                 Ok(())
             }
-            Ok(Answer::Refused(Refusal::Passing)) => {
+            Ok(Answer::Rejected(Rejection::Transient)) => {
                 self.fail(now);
                 Ok(())
             }
-            Ok(Answer::Refused(Refusal::Invalid)) => {
+            Ok(Answer::Rejected(Rejection::Invalid)) => {
                 self.fail(now);
                 Err("the relay calls a call invalid".into())
             }
--- a/crates/craneknot-node/src/presence.rs
+++ b/crates/craneknot-node/src/presence.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use craneknot::interface::{Nanos, ProxyId};
-use craneknot_platform::news::News;
+use craneknot_platform::events::RelayEvent;
 
 /// How often a proxy has come and gone.
 type Count = u64;
@@ -25,7 +25,7 @@
 struct Entry {
     count: Count,
     /// How it joined last.
-    joining: Option<News>,
+    joining: Option<RelayEvent>,
     /// When it was named as joined, and taken for a joining that another stream had told.
     assumed_at: Option<Nanos>,
     /// It was named by the stream's beginning, which tells no count.
@@ -130,9 +130,9 @@
         &mut self,
         now: Nanos,
         account: &mut Account,
-        joining: &News,
+        joining: &RelayEvent,
         is_followed: bool,
-        out: &mut Vec<News>,
+        out: &mut Vec<RelayEvent>,
     ) {
         let proxy = joining.proxy();
         let is_first = !account.is_settled && !account.entries.contains_key(&proxy);
@@ -157,7 +157,7 @@
         account: &mut Account,
         proxy: ProxyId,
         is_followed: bool,
-        out: &mut Vec<News>,
+        out: &mut Vec<RelayEvent>,
     ) {
         let Some(entry) = account.entries.get_mut(&proxy).filter(|entry| is_joined(entry.count)) else {
             return;
@@ -170,7 +170,13 @@
     }
 
     /// Tells what a stream has told; false: it is known.
-    fn follow(&mut self, proxy: ProxyId, entry: &mut Entry, is_followed: bool, out: &mut Vec<News>) -> bool {
+    fn follow(
+        &mut self,
+        proxy: ProxyId,
+        entry: &mut Entry,
+        is_followed: bool,
+        out: &mut Vec<RelayEvent>,
+    ) -> bool {
         let told = out.len();
         if std::mem::take(&mut entry.is_doubted) && !is_followed {
             self.believe(proxy, entry, out);
@@ -181,7 +187,13 @@
     }
 
     /// Tells what is new, if the count goes beyond what is known.
-    fn advance(&mut self, proxy: ProxyId, count: Count, joining: Option<&News>, out: &mut Vec<News>) {
+    fn advance(
+        &mut self,
+        proxy: ProxyId,
+        count: Count,
+        joining: Option<&RelayEvent>,
+        out: &mut Vec<RelayEvent>,
+    ) {
         let known = self.counts.entry(proxy).or_default();
         if count <= *known {
             return;
@@ -189,14 +201,14 @@
         let was_joined = is_joined(*known);
         *known = count;
         if was_joined {
-            out.push(News::Left { proxy });
+            out.push(RelayEvent::Left { proxy });
         }
         out.extend(joining.filter(|_| is_joined(count)).cloned());
     }
 
     /// A stream has told who stands: those it has not named have left, unless one of the others follows them; its
     /// beginning may come in pieces.
-    pub fn settle(&mut self, account: &mut Account, others: &[&Account], out: &mut Vec<News>) {
+    pub fn settle(&mut self, account: &mut Account, others: &[&Account], out: &mut Vec<RelayEvent>) {
         account.is_settled = true;
         let known: Vec<ProxyId> = self.counts.keys().copied().collect();
         for proxy in known {
@@ -215,7 +227,7 @@
     }
 
     /// No other stream can tell whether those that a stream has named came and went before: they are told as joined anew.
-    pub fn join_assumed_anew(&mut self, account: &mut Account, out: &mut Vec<News>) {
+    pub fn join_assumed_anew(&mut self, account: &mut Account, out: &mut Vec<RelayEvent>) {
         account.assumed_since = None;
         for (proxy, entry) in &mut account.entries {
             if entry.assumed_at.take().is_some() {
@@ -226,7 +238,7 @@
 
     /// Believes a stream that may have missed some of a proxy's comings and goings. What others told counts as told, so
     /// that a stream that is late with it does not seem to be ahead.
-    fn believe(&mut self, proxy: ProxyId, entry: &mut Entry, out: &mut Vec<News>) {
+    fn believe(&mut self, proxy: ProxyId, entry: &mut Entry, out: &mut Vec<RelayEvent>) {
         let known = self.count(proxy).max(entry.count);
         let changes = is_joined(known) != is_joined(entry.count);
         entry.count = known + u64::from(changes);
@@ -234,7 +246,7 @@
         if self.count(proxy) < entry.count {
             self.advance(proxy, entry.count, entry.joining.as_ref(), out);
         } else if is_joined(entry.count) {
-            out.push(News::Left { proxy });
+            out.push(RelayEvent::Left { proxy });
             out.extend(entry.joining.clone());
         }
     }
@@ -265,7 +277,7 @@
         &mut self,
         account: &mut Account,
         is_followed: impl Fn(&Self, ProxyId) -> bool,
-        out: &mut Vec<News>,
+        out: &mut Vec<RelayEvent>,
     ) {
         for (proxy, entry) in &mut account.entries {
             if std::mem::take(&mut entry.is_doubted) && !is_followed(self, *proxy) {
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -12,7 +12,7 @@
 use craneknot::interface::Nanos;
 use craneknot_http::{Limits as HttpLimits, ResponseReader};
 use craneknot_platform::config::Config;
-use craneknot_platform::lines;
+use craneknot_platform::messages;
 use craneknot_reactor::system_errors::{is_momentary_at_start, is_own_failure};
 use craneknot_reactor::{
     read_regular_file, Clock, CloseCause, ConnId, Counter, Happened, Limits, ListenerId, Reactor, SendError,
@@ -138,7 +138,7 @@
             ConfigError::Wrong(told)
         }
     })?;
-    Config::read(&text).map_err(|cause| ConfigError::Wrong(format!("{}: {cause}", file.display())))
+    Config::parse(&text).map_err(|cause| ConfigError::Wrong(format!("{}: {cause}", file.display())))
 }
 
 /// Why a coordinator does not start.
@@ -174,7 +174,7 @@
         let is_unread = |cause: &ConfigError| matches!(cause, ConfigError::Momentary(_));
         let config = patiently(until, is_unread, || read_config(file, |file| fs::read(file)))
             .map_err(|cause| NoStart::Config(cause.into_text()))?;
-        let Descriptors { connections, accepts, .. } = Descriptors::divide(config.sockets);
+        let Descriptors { connections, accepts, .. } = Descriptors::divide(config.socket_limit);
         let limits = Limits { input: INPUT, output: OUTPUT, connections, accepts };
         let make = || -> io::Result<(Reactor<Due>, ListenerId, SocketAddr)> {
             let mut reactor = Reactor::new(clock.clone(), limits)?;
@@ -488,7 +488,7 @@
             }
             ClientAction::Widen(id) => {
                 if let Some(conn) = self.client_conns.get(&id) {
-                    self.reactor.limit_input(*conn, lines::LONGEST);
+                    self.reactor.limit_input(*conn, messages::MAX_MESSAGE_BYTES);
                 }
             }
             ClientAction::Reject(id, cause) => self.reject(id, &cause),
@@ -504,7 +504,7 @@
 
     fn answer(&mut self, id: ClientId) {
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
-        let line = Bytes::from_static(lines::heartbeat_answer());
+        let line = Bytes::from_static(messages::heartbeat_answer());
         match self.reactor.send(conn, [line]) {
             Ok(()) => self.coordinator.client_answered(id, self.reactor.waiting(conn) > 0),
             Err(SendError::Gone) => {
@@ -522,7 +522,7 @@
     fn reject(&mut self, id: ClientId, cause: &str) {
         self.log.write(&LogEvent::ClientRejected { client: id, cause: cause.to_owned() });
         let Some(conn) = self.forget(id, CloseReason::Rejected) else { return };
-        let _ = self.reactor.send(conn, [Bytes::from(lines::reject(cause))]);
+        let _ = self.reactor.send(conn, [Bytes::from(messages::reject(cause))]);
         self.reactor.finish(conn);
     }
 
--- a/crates/craneknot-node/src/watch.rs
+++ b/crates/craneknot-node/src/watch.rs
@@ -86,9 +86,9 @@
             State::Due => {
                 let (path, most) = match self.revision {
                     // What was missed is sent first, and a failure shows at once.
-                    Some(revision) if self.fresh => (discovery::watch(revision, Nanos(0)), FIRST_MOST),
-                    Some(revision) => (discovery::watch(revision, WAIT), WAIT + LATE),
-                    None => (discovery::whole(), FIRST_MOST),
+                    Some(revision) if self.fresh => (discovery::watch_path(revision, Nanos(0)), FIRST_MOST),
+                    Some(revision) => (discovery::watch_path(revision, WAIT), WAIT + LATE),
+                    None => (discovery::list_path(), FIRST_MOST),
                 };
                 let waits = self.revision.is_some() && !self.fresh;
                 self.fresh = false;
--- a/crates/craneknot-node/tests/coordinator.rs
+++ b/crates/craneknot-node/tests/coordinator.rs
@@ -31,7 +31,7 @@
 fn config_of(servers: &[(usize, u64)]) -> Config {
     let mut value = configuration(0);
     value["known"]["members"] = servers.iter().map(|(number, started)| listed(*number, *started)).collect();
-    Config::read(value.to_string().as_bytes()).unwrap()
+    Config::parse(value.to_string().as_bytes()).unwrap()
 }
 
 /// The platform as far as a coordinator sees it: it answers calls at once and remembers what they carried.
--- a/crates/craneknot-node/tests/event_streams.rs
+++ b/crates/craneknot-node/tests/event_streams.rs
@@ -3,23 +3,23 @@
 use craneknot::interface::{ProxyId, ZoneId};
 use craneknot_node::event_streams::EventStreams;
 use craneknot_node::link::{Act, LinkId, Links};
-use craneknot_platform::news::News;
+use craneknot_platform::events::RelayEvent;
 
 mod helpers;
 use helpers::{called, ms, ADDRESS, OTHER};
 
-fn joined(proxy: u16) -> News {
-    News::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), usual_rate: 1.0 }
+fn joined(proxy: u16) -> RelayEvent {
+    RelayEvent::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), usual_rate: 1.0 }
 }
 
-fn left(proxy: u16) -> News {
-    News::Left { proxy: ProxyId(proxy) }
+fn left(proxy: u16) -> RelayEvent {
+    RelayEvent::Left { proxy: ProxyId(proxy) }
 }
 
 struct Relay {
     streams: EventStreams,
     links: Links,
-    out: Vec<News>,
+    out: Vec<RelayEvent>,
 }
 
 impl Relay {
@@ -40,11 +40,11 @@
         acts
     }
 
-    fn hear(&mut self, at: u64, link: LinkId, news: Vec<News>) {
+    fn hear(&mut self, at: u64, link: LinkId, news: Vec<RelayEvent>) {
         self.streams.heard(ms(at), link, news, &mut self.out);
     }
 
-    fn told(&mut self) -> Vec<News> {
+    fn told(&mut self) -> Vec<RelayEvent> {
         std::mem::take(&mut self.out)
     }
 }
@@ -216,7 +216,7 @@
 /// Confirmed on reading: an acknowledgement that only the second stream brought was dropped, and its mark waited for.
 #[test]
 fn an_acknowledgement_that_two_streams_bring_is_told_once() {
-    let done = |mark| News::Applied { proxy: ProxyId(1), mark };
+    let done = |mark| RelayEvent::Applied { proxy: ProxyId(1), mark };
     let (mut relay, [first, second]) = Relay::with_two(&[1]);
     relay.turn(900);
     [first, second].iter().for_each(|link| relay.hear(1_000, *link, vec![done(7)]));
--- a/crates/craneknot-node/tests/helpers/mod.rs
+++ b/crates/craneknot-node/tests/helpers/mod.rs
@@ -33,7 +33,7 @@
 }
 
 pub fn config() -> Config {
-    Config::read(configuration(6).to_string().as_bytes()).unwrap()
+    Config::parse(configuration(6).to_string().as_bytes()).unwrap()
 }
 
 /// An order as the relay reads it; what it orders is of no account to the queue.
--- a/crates/craneknot-node/tests/helpers/platform.rs
+++ b/crates/craneknot-node/tests/helpers/platform.rs
@@ -205,7 +205,7 @@
         value["seed"] = format!("{:016x}", self.seed).into();
         let members: Vec<Value> = known.iter().map(|(id, server)| listed(id, server)).collect();
         value["known"] = json!({"revision": revision, "complete": true, "members": members});
-        Config::read(value.to_string().as_bytes()).unwrap()
+        Config::parse(value.to_string().as_bytes()).unwrap()
     }
 
     /// A coordinator starts with the list that it had before.
--- a/crates/craneknot-node/tests/walks.rs
+++ b/crates/craneknot-node/tests/walks.rs
@@ -9,7 +9,7 @@
 use craneknot_node::event_streams::EventStreams;
 use craneknot_node::link::{Act, LinkId, Links};
 use craneknot_node::order_queue::OrderQueue;
-use craneknot_platform::news::News;
+use craneknot_platform::events::RelayEvent;
 use http::{Response, StatusCode};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -192,14 +192,14 @@
 struct Pipe {
     link: LinkId,
     address: std::net::SocketAddr,
-    way: VecDeque<(u64, Option<News>)>,
+    way: VecDeque<(u64, Option<RelayEvent>)>,
     silent_until: u64,
     /// By how much it is late, beside the usual.
     lag: u64,
 }
 
-fn joined(proxy: u16) -> News {
-    News::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), usual_rate: 1.0 }
+fn joined(proxy: u16) -> RelayEvent {
+    RelayEvent::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), usual_rate: 1.0 }
 }
 
 #[test]
@@ -217,7 +217,7 @@
             if !quiet && rng.random_range(0..10) == 0 {
                 let proxy = rng.random_range(0..PROXIES);
                 if truth.remove(&proxy).is_some() {
-                    news.push(News::Left { proxy: ProxyId(proxy) });
+                    news.push(RelayEvent::Left { proxy: ProxyId(proxy) });
                 }
                 if rng.random() {
                     truth.insert(proxy, now);
@@ -289,17 +289,17 @@
             }
             for news in out {
                 match news {
-                    News::Joined { proxy, .. } => {
+                    RelayEvent::Joined { proxy, .. } => {
                         let twice = told.insert(proxy.0, now);
                         assert!(twice.is_none(), "seed {seed}: {proxy:?} joins twice at {now}");
                     }
-                    News::Left { proxy } => {
+                    RelayEvent::Left { proxy } => {
                         assert!(
                             told.remove(&proxy.0).is_some(),
                             "seed {seed}: {proxy:?} leaves twice at {now}"
                         );
                     }
-                    News::Applied { .. } => {}
+                    RelayEvent::Applied { .. } => {}
                 }
             }
             let next = streams.next_at(ms(now));
--- a/crates/craneknot-platform/src/config.rs
+++ b/crates/craneknot-platform/src/config.rs
@@ -20,17 +20,17 @@
     pub relay: SocketAddr,
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub socket_limit: usize,
     pub settings: Settings,
     pub names: GivenNames,
     /// The list as this coordinator last had it; it may be old.
-    pub known: Option<Roster>,
+    pub known_roster: Option<Roster>,
     /// What of it can't be read, and is done without: discovery tells the list anyway.
-    pub notes: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 impl Config {
-    pub fn read(text: &[u8]) -> Result<Self, String> {
+    pub fn parse(text: &[u8]) -> Result<Self, String> {
         let value: Value = serde_json::from_slice(text).map_err(|cause| format!("not JSON: {cause}"))?;
         let object = Object::new("configuration", &value)?;
         let address = |object: &Object, key: &str| -> Result<SocketAddr, String> {
@@ -46,15 +46,15 @@
         // Whatever the settings say of a simulator's list, here discovery tells only who asks: where the list counted
         // as pushed nobody asked, and drains were never heard of.
         settings.list_on_request = true;
-        let mut notes = Vec::new();
+        let mut warnings = Vec::new();
         let known = object.get("known").filter(|known| !known.is_null());
-        let known = known.and_then(|known| match discovery::roster(known, &mut names) {
+        let known_roster = known.and_then(|known| match discovery::parse_value(known, &mut names) {
             Ok(roster) => {
-                notes.extend(roster.malformed.iter().map(|(_, cause)| format!("known: {cause}")));
+                warnings.extend(roster.malformed.iter().map(|(_, cause)| format!("known: {cause}")));
                 Some(roster)
             }
             Err(cause) => {
-                notes.push(format!("known: {cause}"));
+                warnings.push(format!("known: {cause}"));
                 None
             }
         });
@@ -64,11 +64,11 @@
             discovery: address(&object, "discovery")?,
             relay: address(&relay, "address")?,
             seed,
-            sockets: limits.whole("sockets", SOCKETS.1)?.max(SOCKETS.0) as usize,
+            socket_limit: limits.whole("sockets", SOCKETS.1)?.max(SOCKETS.0) as usize,
             settings,
             names,
-            known,
-            notes,
+            known_roster,
+            warnings,
         })
     }
 }
--- a/crates/craneknot-platform/src/discovery.rs
+++ b/crates/craneknot-platform/src/discovery.rs
@@ -26,21 +26,21 @@
 }
 
 /// The path of a call for the whole list.
-pub fn whole() -> String {
+pub fn list_path() -> String {
     PATH.to_owned()
 }
 
 /// The path of a call that waits for something newer than a revision.
-pub fn watch(revision: u64, wait: Nanos) -> String {
+pub fn watch_path(revision: u64, wait: Nanos) -> String {
     format!("{PATH}?index={revision}&wait={}", wait.0 / 1_000_000)
 }
 
-pub fn read(text: &[u8], names: &mut GivenNames) -> Result<Roster, String> {
+pub fn parse(text: &[u8], names: &mut GivenNames) -> Result<Roster, String> {
     let value: Value = serde_json::from_slice(text).map_err(|cause| format!("list: not JSON: {cause}"))?;
-    roster(&value, names)
+    parse_value(&value, names)
 }
 
-pub fn roster(value: &Value, names: &mut GivenNames) -> Result<Roster, String> {
+pub fn parse_value(value: &Value, names: &mut GivenNames) -> Result<Roster, String> {
     let object = Object::new("list", value)?;
     let members = object.need("members")?.as_array().ok_or_else(|| object.wrong("members", "a list"))?;
     let revision = object.whole("revision", u64::MAX)?;
--- a/crates/craneknot-platform/src/news.rs
+++ b/crates/craneknot-platform/src/events.rs
@@ -9,16 +9,18 @@
 
 /// One piece of news.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum RelayEvent {
     Joined { proxy: ProxyId, zone: ZoneId, usual_rate: f64 },
     Left { proxy: ProxyId },
     Applied { proxy: ProxyId, mark: u16 },
 }
 
-impl News {
+impl RelayEvent {
     pub fn proxy(&self) -> ProxyId {
         match self {
-            News::Joined { proxy, .. } | News::Left { proxy } | News::Applied { proxy, .. } => *proxy,
+            RelayEvent::Joined { proxy, .. }
+            | RelayEvent::Left { proxy }
+            | RelayEvent::Applied { proxy, .. } => *proxy,
         }
     }
 }
@@ -35,14 +37,14 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decoded {
     /// In the order in which they came.
-    pub news: Vec<News>,
+    pub events: Vec<RelayEvent>,
     /// Why events were left out, one by one: a field was absent, wrong or out of range.
     pub malformed: Vec<String>,
 }
 
 impl Decoder {
     /// An event with a bad field costs itself alone. An error ends the stream: what follows can't be trusted.
-    pub fn take(&mut self, bytes: &[u8], names: &mut GivenNames, proxies: u32) -> Result<Decoded, String> {
+    pub fn decode(&mut self, bytes: &[u8], names: &mut GivenNames, proxies: u32) -> Result<Decoded, String> {
         self.rest.extend_from_slice(bytes);
         let mut decoded = Decoded::default();
         while let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
@@ -52,7 +54,7 @@
             if line.is_empty() {
                 let (event, data) = (std::mem::take(&mut self.event), std::mem::take(&mut self.data));
                 match read(&event, &data, names, proxies) {
-                    Ok(news) => decoded.news.extend(news),
+                    Ok(news) => decoded.events.extend(news),
                     Err(cause) => decoded.malformed.push(cause),
                 }
                 continue;
@@ -73,7 +75,7 @@
     }
 }
 
-fn read(event: &str, data: &str, names: &mut GivenNames, proxies: u32) -> Result<Option<News>, String> {
+fn read(event: &str, data: &str, names: &mut GivenNames, proxies: u32) -> Result<Option<RelayEvent>, String> {
     let wrong = |key: &str| format!("news: {event}: {key} is missing or wrong in {data:?}");
     let pairs: Vec<_> = form_urlencoded::parse(data.as_bytes()).collect();
     let get = |key: &str| {
@@ -88,14 +90,14 @@
         "attach" => {
             let rate = get("w")?.parse::<f64>().ok().filter(|rate| rate.is_finite() && *rate >= 0.0);
             let usual_rate = rate.ok_or_else(|| wrong("w"))?;
-            Some(News::Joined { proxy: proxy()?, zone: names.zone(get("locality")?), usual_rate })
+            Some(RelayEvent::Joined { proxy: proxy()?, zone: names.zone(get("locality")?), usual_rate })
         }
-        "detach" => Some(News::Left { proxy: proxy()? }),
+        "detach" => Some(RelayEvent::Left { proxy: proxy()? }),
         "done" => {
             let mark = get("nonce")?.parse().map_err(|_| wrong("nonce"))?;
-            Some(News::Applied { proxy: proxy()?, mark })
+            Some(RelayEvent::Applied { proxy: proxy()?, mark })
         }
-        // News of a later relay.
+        // RelayEvent of a later relay.
         _ => None,
     })
 }
--- a/crates/craneknot-platform/src/lib.rs
+++ b/crates/craneknot-platform/src/lib.rs
@@ -4,8 +4,8 @@
 
 pub mod config;
 pub mod discovery;
-pub mod lines;
-pub mod news;
+pub mod events;
+pub mod messages;
 pub mod probe;
 pub mod relay;
 
--- a/crates/craneknot-platform/src/lines.rs
+++ b/crates/craneknot-platform/src/messages.rs
@@ -9,7 +9,7 @@
 use crate::fields::Object;
 
 /// The longest message, in bytes, its end included.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 const TRIES_MOST: u64 = 1 << 32; // in one report: more is no count
 const SPAN_MOST: Nanos = Nanos::from_millis(3_600_000); // ms; an hour, of any span or wait: more is no time
 const LOAD_MOST: f64 = 1e9; // of any value in a load report
@@ -27,11 +27,11 @@
 
 /// Why a line is no message.
 #[derive(Debug, PartialEq)]
-pub enum Unread {
+pub enum MessageError {
     /// No JSON object with a type: what follows on this connection can't be trusted either.
     Corrupt(String),
     /// No message that may come here, such as an order.
-    Foreign(String),
+    Unexpected(String),
     /// A report with a field that is absent, wrong or out of range; the messages around it may be good.
     Malformed(String),
 }
@@ -59,23 +59,25 @@
     names.report(|_, name| value(name).or_else(|| value(paged(name)?)))
 }
 
-pub fn read(line: &[u8], names: &GivenNames, proxies: u32) -> Result<Message, Unread> {
+pub fn parse(line: &[u8], names: &GivenNames, proxies: u32) -> Result<Message, MessageError> {
     let value: Value =
-        serde_json::from_slice(line).map_err(|cause| Unread::Corrupt(format!("not JSON: {cause}")))?;
-    let object = Object::new("message", &value).map_err(Unread::Corrupt)?;
-    let kind = object.text("type").map_err(Unread::Corrupt)?;
+        serde_json::from_slice(line).map_err(|cause| MessageError::Corrupt(format!("not JSON: {cause}")))?;
+    let object = Object::new("message", &value).map_err(MessageError::Corrupt)?;
+    let kind = object.text("type").map_err(MessageError::Corrupt)?;
     match kind {
         "hb" => Ok(Message::Heartbeat),
         "telemetry" => {
-            let zone = object.text("locality").map_err(Unread::Foreign)?;
+            let zone = object.text("locality").map_err(MessageError::Unexpected)?;
             let known = names.known_zone(zone);
             known
                 .map(Message::Collector)
-                .ok_or_else(|| Unread::Foreign(format!("there is no locality {zone:?}")))
+                .ok_or_else(|| MessageError::Unexpected(format!("there is no locality {zone:?}")))
         }
-        "upstream_stats" => heard(&object, names).map(Message::Report).map_err(Unread::Malformed),
-        "client_stats" => demand(&object, names, proxies).map(Message::Report).map_err(Unread::Malformed),
-        other => Err(Unread::Foreign(format!("{other:?} is no message for this address"))),
+        "upstream_stats" => heard(&object, names).map(Message::Report).map_err(MessageError::Malformed),
+        "client_stats" => {
+            demand(&object, names, proxies).map(Message::Report).map_err(MessageError::Malformed)
+        }
+        other => Err(MessageError::Unexpected(format!("{other:?} is no message for this address"))),
     }
 }
 
--- a/crates/craneknot-platform/src/probe.rs
+++ b/crates/craneknot-platform/src/probe.rs
@@ -3,12 +3,12 @@
 use craneknot::interface::LoadReport;
 use craneknot_settings::given::GivenNames;
 
-use crate::lines;
+use crate::messages;
 
 pub const PATH: &str = "/metrics/load";
 
 /// The load report in the body of an answer; what can't be read is left out.
-pub fn report(body: &[u8], names: &GivenNames) -> LoadReport {
+pub fn parse_report(body: &[u8], names: &GivenNames) -> LoadReport {
     let text = std::str::from_utf8(body).unwrap_or_default().trim();
     let values = text.strip_prefix("TEXT").unwrap_or_default();
     let value = |wanted: &str| {
@@ -16,5 +16,5 @@
         let (_, value) = pairs.find(|(name, _)| name.trim() == wanted)?;
         value.trim().parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)
     };
-    lines::load(names, value)
+    messages::load(names, value)
 }
--- a/crates/craneknot-platform/src/relay.rs
+++ b/crates/craneknot-platform/src/relay.rs
@@ -6,12 +6,12 @@
 use quick_xml::Reader;
 
 pub const PATH: &str = "/api/";
-pub const FORM: &str = "application/x-www-form-urlencoded";
+pub const CONTENT_TYPE: &str = "application/x-www-form-urlencoded";
 /// Bytes of orders that one call carries.
-pub const CALL_MOST: usize = 60_000;
+pub const MAX_CALL_BYTES: usize = 60_000;
 
 /// One order in the relay's words; nothing for what is no order to proxies.
-pub fn order(order: &Order, names: &GivenNames) -> Option<String> {
+pub fn encode_order(order: &Order, names: &GivenNames) -> Option<String> {
     let classes = |set: ClassSet| names.classes_in(set).collect::<Vec<&str>>().join("+");
     match order {
         Order::Line { table, server, weight } => Some(format!("share,{},{},{weight}", table.0, server.0)),
@@ -33,7 +33,7 @@
 }
 
 /// What an order sets, where a later one that sets the same leaves nothing of it.
-pub fn subject(order: &Order) -> Option<String> {
+pub fn coalescing_key(order: &Order) -> Option<String> {
     match order {
         Order::Line { table, server, .. } => Some(format!("share,{},{}", table.0, server.0)),
         Order::Bind { proxy, classes, .. } => Some(format!("bind,{},{}", proxy.0, classes.0)),
@@ -44,7 +44,7 @@
 }
 
 /// The body of a call that carries these orders.
-pub fn form(orders: &[&str]) -> String {
+pub fn call_body(orders: &[&str]) -> String {
     let mut form = form_urlencoded::Serializer::new(String::new());
     form.append_pair("Action", "ApplyOrders").append_pair("ops", &orders.join(";"));
     form.finish()
@@ -54,23 +54,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// So many orders were taken, counting from the first.
-    Taken(usize),
+    Accepted(usize),
     /// Turned away as a whole.
-    Refused(Refusal),
+    Rejected(Rejection),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// It takes no calls yet, or too many have come.
     Throttled,
     /// It has not been carried out, by no fault of the call's.
-    Passing,
+    Transient,
     /// It was no call that the relay knows.
     Invalid,
 }
 
 /// Reads the answer to a call of so many orders; an answer that counts more is not believed.
-pub fn answer(body: &[u8], orders: usize) -> Result<Answer, String> {
+pub fn parse_answer(body: &[u8], orders: usize) -> Result<Answer, String> {
     let mut reader = Reader::from_reader(body);
     let (mut within, mut taken, mut refusal) = (Vec::new(), None, None);
     loop {
@@ -85,9 +85,9 @@
                     taken = Some(text.parse::<usize>().map_err(|_| format!("answer: ok_count is {text:?}"))?);
                 }
                 refusal = refusal.or(match text {
-                    "throttled" => Some(Refusal::Throttled),
-                    "conflict" | "internal" => Some(Refusal::Passing),
-                    "invalid" => Some(Refusal::Invalid),
+                    "throttled" => Some(Rejection::Throttled),
+                    "conflict" | "internal" => Some(Rejection::Transient),
+                    "invalid" => Some(Rejection::Invalid),
                     _ => None,
                 });
             }
@@ -97,9 +97,9 @@
         }
     }
     match (taken, refusal) {
-        (Some(taken), _) if taken <= orders => Ok(Answer::Taken(taken)),
+        (Some(taken), _) if taken <= orders => Ok(Answer::Accepted(taken)),
         (Some(taken), _) => Err(format!("answer: {taken} orders taken of {orders}")),
-        (None, Some(refusal)) => Ok(Answer::Refused(refusal)),
+        (None, Some(refusal)) => Ok(Answer::Rejected(refusal)),
         (None, None) => Err("answer: neither a count nor an error".into()),
     }
 }
--- a/crates/craneknot-platform/tests/messages.rs
+++ b/crates/craneknot-platform/tests/messages.rs
@@ -2,9 +2,9 @@
 
 use craneknot::interface::*;
 use craneknot_platform::config::Config;
-use craneknot_platform::lines::{self, Message, Unread};
-use craneknot_platform::news::{Decoder, News};
-use craneknot_platform::relay::{self, Answer, Refusal};
+use craneknot_platform::events::{Decoder, RelayEvent};
+use craneknot_platform::messages::{self, Message, MessageError};
+use craneknot_platform::relay::{self, Answer, Rejection};
 use craneknot_platform::{discovery, probe};
 use craneknot_settings::given::GivenNames;
 use quickcheck::QuickCheck;
@@ -15,15 +15,15 @@
 }
 
 fn config() -> Config {
-    Config::read(configuration().to_string().as_bytes()).unwrap()
+    Config::parse(configuration().to_string().as_bytes()).unwrap()
 }
 
 #[test]
 fn a_configuration_is_read_and_errors_name_the_place() {
     let config = config();
-    assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 256));
+    assert_eq!((config.seed, config.socket_limit), (0x8c1f_30d2_7a5b_e964, 256));
     assert_eq!((config.settings.proxies, config.settings.classes.len()), (150, 2));
-    let known = config.known.unwrap();
+    let known = config.known_roster.unwrap();
     assert_eq!((known.revision, known.servers[0].0.started), (41, None));
     assert_eq!(known.servers[1].0.started, Some(Nanos::from_millis(1_700_000_000_000)));
     assert_eq!(known.servers[1].0.readiness, Readiness::Draining);
@@ -35,7 +35,7 @@
     ] {
         let mut value = configuration();
         *value.pointer_mut(pointer).unwrap() = bad;
-        let error = Config::read(value.to_string().as_bytes()).err().unwrap();
+        let error = Config::parse(value.to_string().as_bytes()).err().unwrap();
         assert!(error.contains(told), "{pointer}: {error}");
     }
 }
@@ -47,7 +47,7 @@
         let mut value = configuration();
         value["settings"]["registry-mode"] = mode.into();
         value["settings"]["rules"]["ask-within"] = within.into();
-        let config = Config::read(value.to_string().as_bytes()).unwrap();
+        let config = Config::parse(value.to_string().as_bytes()).unwrap();
         assert!(config.settings.list_on_request, "{mode}");
     }
 }
@@ -62,17 +62,17 @@
     ] {
         let mut value = configuration();
         *value.pointer_mut(pointer).unwrap() = bad;
-        let config = Config::read(value.to_string().as_bytes()).unwrap();
-        let known = config.known.unwrap();
+        let config = Config::parse(value.to_string().as_bytes()).unwrap();
+        let known = config.known_roster.unwrap();
         assert_eq!((known.servers.len(), &*known.servers[0].0.server.0), (1, "s-2"), "{pointer}");
-        assert!(config.notes.len() == 1 && config.notes[0].starts_with(told), "{:?}", config.notes);
+        assert!(config.warnings.len() == 1 && config.warnings[0].starts_with(told), "{:?}", config.warnings);
     }
     for bad in [json!(7), json!({"revision": 41}), json!({"revision": 41, "complete": true, "members": [7]})]
     {
         let mut value = configuration();
         value["known"] = bad;
-        let config = Config::read(value.to_string().as_bytes()).unwrap();
-        assert!(config.known.is_none() && config.notes.len() == 1, "{:?}", config.notes);
+        let config = Config::parse(value.to_string().as_bytes()).unwrap();
+        assert!(config.known_roster.is_none() && config.warnings.len() == 1, "{:?}", config.warnings);
     }
 }
 
@@ -83,17 +83,17 @@
     let entry = |id: &str, phase: Value| json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "flavor": "m2", "phase": phase});
     let list = json!({"revision": 44, "complete": false,
         "members": [entry("s-1", json!("DRAINING")), entry("s-2", json!(7)), {"phase": "SERVING"}]});
-    let roster = discovery::read(list.to_string().as_bytes(), &mut names).unwrap();
+    let roster = discovery::parse(list.to_string().as_bytes(), &mut names).unwrap();
     assert_eq!((roster.servers.len(), roster.revision), (1, 44));
     let ids: Vec<Option<&str>> =
         roster.malformed.iter().map(|(id, _)| id.as_ref().map(|id| &*id.0)).collect();
     assert_eq!(ids, [Some("s-2"), None]);
     let nothing = json!({"revision": 44, "complete": true, "members": [entry("s-1", json!(7))]});
-    assert!(discovery::read(nothing.to_string().as_bytes(), &mut names).is_err(), "nothing is known of it");
+    assert!(discovery::parse(nothing.to_string().as_bytes(), &mut names).is_err(), "nothing is known of it");
 }
 
-fn read(names: &GivenNames, value: &Value) -> Result<Message, Unread> {
-    lines::read(value.to_string().as_bytes(), names, 150)
+fn read(names: &GivenNames, value: &Value) -> Result<Message, MessageError> {
+    messages::parse(value.to_string().as_bytes(), names, 150)
 }
 
 /// Found on the long day: metrics go by the names that the settings give them; read by others, every busy share was
@@ -113,8 +113,8 @@
         assert_eq!((tries, unanswered, zone), (212, 3, ZoneId(0)));
         assert_eq!((latency.0, span.secs()), (41_700_000, 1.0));
     }
-    assert_eq!(probe::report(b"TEXT inflight=7, queue=2, util=0.61", &names).busy, Some(0.61));
-    assert_eq!(probe::report(b"\xff nonsense", &names), LoadReport::default());
+    assert_eq!(probe::parse_report(b"TEXT inflight=7, queue=2, util=0.61", &names).busy, Some(0.61));
+    assert_eq!(probe::parse_report(b"\xff nonsense", &names), LoadReport::default());
 }
 
 #[test]
@@ -141,7 +141,7 @@
     ] {
         let mut line = good.clone();
         line[key] = bad;
-        assert!(matches!(read(&names, &line), Err(Unread::Malformed(_))), "{line}");
+        assert!(matches!(read(&names, &line), Err(MessageError::Malformed(_))), "{line}");
     }
     assert_eq!(
         read(&names, &json!({"type": "telemetry", "locality": "b"})),
@@ -150,10 +150,13 @@
     let foreign =
         [json!({"type": "telemetry", "locality": "z"}), json!({"type": "share"}), json!({"type": "attach"})];
     for line in foreign {
-        assert!(matches!(read(&names, &line), Err(Unread::Foreign(_))), "{line}");
+        assert!(matches!(read(&names, &line), Err(MessageError::Unexpected(_))), "{line}");
     }
     for line in ["", "GET / HTTP/1.1\r", "[1]", "{\"type\":7}", "{\"type\":\"hb\"", "\u{0}"] {
-        assert!(matches!(lines::read(line.as_bytes(), &names, 150), Err(Unread::Corrupt(_))), "{line}");
+        assert!(
+            matches!(messages::parse(line.as_bytes(), &names, 150), Err(MessageError::Corrupt(_))),
+            "{line}"
+        );
     }
 }
 
@@ -161,12 +164,12 @@
 fn no_bytes_make_a_reader_panic() {
     fn all(bytes: Vec<u8>) -> bool {
         let mut names = config().names;
-        let _ = lines::read(&bytes, &names, 150);
-        let _ = relay::answer(&bytes, 3);
-        let _ = probe::report(&bytes, &names);
-        let _ = discovery::read(&bytes, &mut names);
-        let _ = Config::read(&bytes);
-        let _ = Decoder::default().take(&bytes, &mut names, 150);
+        let _ = messages::parse(&bytes, &names, 150);
+        let _ = relay::parse_answer(&bytes, 3);
+        let _ = probe::parse_report(&bytes, &names);
+        let _ = discovery::parse(&bytes, &mut names);
+        let _ = Config::parse(&bytes);
+        let _ = Decoder::default().decode(&bytes, &mut names, 150);
         true
     }
     QuickCheck::new().quickcheck(all as fn(Vec<u8>) -> bool);
@@ -186,10 +189,10 @@
         ),
         (Order::Mark { mark: 905 }, "mark,905,0"),
     ] {
-        assert_eq!(relay::order(&order, &names).as_deref(), Some(text));
+        assert_eq!(relay::encode_order(&order, &names).as_deref(), Some(text));
     }
-    assert_eq!(relay::order(&Order::WatchList, &names), None);
-    assert_eq!(relay::form(&["clear,4", "mark,1,0"]), "Action=ApplyOrders&ops=clear%2C4%3Bmark%2C1%2C0");
+    assert_eq!(relay::encode_order(&Order::WatchList, &names), None);
+    assert_eq!(relay::call_body(&["clear,4", "mark,1,0"]), "Action=ApplyOrders&ops=clear%2C4%3Bmark%2C1%2C0");
 }
 
 #[test]
@@ -198,11 +201,11 @@
         let head = "<?xml version=\"1.0\"?>\n<Response><entries><item><ok_count>";
         format!("{head}{count}</ok_count></item></entries></Response>").into_bytes()
     };
-    assert_eq!(relay::answer(&xml("2"), 3), Ok(Answer::Taken(2)));
+    assert_eq!(relay::parse_answer(&xml("2"), 3), Ok(Answer::Accepted(2)));
     let throttled = b"<Response><Errors><Error><Code>throttled</Code></Error></Errors></Response>";
-    assert_eq!(relay::answer(throttled, 3), Ok(Answer::Refused(Refusal::Throttled)));
+    assert_eq!(relay::parse_answer(throttled, 3), Ok(Answer::Rejected(Rejection::Throttled)));
     for bad in [&xml("4")[..], &xml("-1"), &xml("two"), b"", b"<Response>", b"{\"ok_count\":2}", b"<a></b>"] {
-        assert!(relay::answer(bad, 3).is_err(), "{}", String::from_utf8_lossy(bad));
+        assert!(relay::parse_answer(bad, 3).is_err(), "{}", String::from_utf8_lossy(bad));
     }
 }
 
@@ -211,15 +214,15 @@
     let text = "event: attach\ndata: node=17&locality=a&w=21.5&cold=1\n\n:\n\nevent: done\n\
                 data: node=17&nonce=905&latency=310.4\n\nevent: later\ndata: x=1\n\nevent: detach\ndata: node=17\n\n";
     let whole = vec![
-        News::Joined { proxy: ProxyId(17), zone: ZoneId(0), usual_rate: 21.5 },
-        News::Applied { proxy: ProxyId(17), mark: 905 },
-        News::Left { proxy: ProxyId(17) },
+        RelayEvent::Joined { proxy: ProxyId(17), zone: ZoneId(0), usual_rate: 21.5 },
+        RelayEvent::Applied { proxy: ProxyId(17), mark: 905 },
+        RelayEvent::Left { proxy: ProxyId(17) },
     ];
     for part in 1..text.len() {
         let (mut decoder, mut names) = (Decoder::default(), config().names);
         let parts = text.as_bytes().chunks(part);
-        let news: Vec<News> =
-            parts.flat_map(|part| decoder.take(part, &mut names, 150).unwrap().news).collect();
+        let news: Vec<RelayEvent> =
+            parts.flat_map(|part| decoder.decode(part, &mut names, 150).unwrap().events).collect();
         assert_eq!(news, whole, "cut into {part}");
     }
     // An event with a bad field is left out, and told; those around it are taken.
@@ -228,10 +231,10 @@
         ["event: attach\ndata: node=150&locality=a&w=1\n\n", "event: attach\ndata: node=1&locality=a&w=x\n\n"]
     {
         let (mut decoder, mut names) = (Decoder::default(), config().names);
-        let decoded = decoder.take(format!("{good}{bad}{good}").as_bytes(), &mut names, 150).unwrap();
-        assert_eq!(decoded.news, vec![News::Left { proxy: ProxyId(17) }; 2], "{bad}");
+        let decoded = decoder.decode(format!("{good}{bad}{good}").as_bytes(), &mut names, 150).unwrap();
+        assert_eq!(decoded.events, vec![RelayEvent::Left { proxy: ProxyId(17) }; 2], "{bad}");
         assert_eq!(decoded.malformed.len(), 1, "{bad}");
     }
     let (mut decoder, mut names) = (Decoder::default(), config().names);
-    assert!(decoder.take(b"event: \xff\n\n", &mut names, 150).is_err(), "what is no text ends the stream");
+    assert!(decoder.decode(b"event: \xff\n\n", &mut names, 150).is_err(), "what is no text ends the stream");
 }
