--- a/crates/craneknot-agent/src/shell.rs
+++ b/crates/craneknot-agent/src/shell.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use craneknot::interface::Nanos;
 use craneknot_http::{request, response, Limits as HttpLimits, RequestReader, ResponseReader};
-use craneknot_reactor::{Clock, ConnId, Happened, Limits, Reactor, SignalFlags};
+use craneknot_reactor::{Clock, ConnId, Limits, Reactor, ReactorEvent, SignalFlags};
 use craneknot_settings::{AgentSettings, NodeSettings};
 use craneknot_store::{replace, Disk, RealDisk, FRESH};
 use craneknot_xds::discovery::{DiscoveryRequest, DiscoveryResponse, Kind, Locality, Node, Status};
@@ -174,7 +174,7 @@
 
     /// Takes these signals as a wish to end.
     pub fn end_on(&mut self, signals: SignalFlags) {
-        self.reactor.heed(signals);
+        self.reactor.watch_signals(signals);
     }
 
     /// Runs until a signal ends it.
@@ -186,23 +186,23 @@
     /// Waits for what happens, `most` at the longest, and acts on it; false: a signal asks for the end.
     pub fn round(&mut self, most: Option<std::time::Duration>) -> io::Result<bool> {
         self.reactor.poll(most)?;
-        while let Some(happened) = self.reactor.happened() {
+        while let Some(happened) = self.reactor.next_event() {
             match happened {
-                Happened::Accepted { conn, .. } => {
+                ReactorEvent::Accepted { conn, .. } => {
                     let reader = RequestReader::new(HttpLimits::default());
                     self.proxies.insert(conn, ProxyPeer { reader });
                 }
-                Happened::Connected { conn } => match self.uses.get(&conn).copied() {
+                ReactorEvent::Connected { conn } => match self.uses.get(&conn).copied() {
                     Some(Use::Stream(place)) => self.stream_connected(place, conn),
                     Some(Use::Reports(_)) | None => {}
                 },
-                Happened::Came { conn } => match self.uses.get(&conn).copied() {
+                ReactorEvent::Received { conn } => match self.uses.get(&conn).copied() {
                     Some(Use::Stream(place)) => self.read_stream(place, conn),
                     Some(Use::Reports(place)) => self.read_report_answer(place, conn),
                     None => self.read_proxy(conn),
                 },
-                Happened::Flushed { .. } | Happened::Ready(_) => {}
-                Happened::Closed { conn, cause } => match self.uses.get(&conn).copied() {
+                ReactorEvent::Flushed { .. } | ReactorEvent::Ready(_) => {}
+                ReactorEvent::Closed { conn, cause } => match self.uses.get(&conn).copied() {
                     Some(Use::Stream(place)) => self.lost(place, &format!("{cause:?}")),
                     Some(Use::Reports(place)) => {
                         self.uses.remove(&conn);
@@ -214,8 +214,8 @@
                         self.proxies.remove(&conn);
                     }
                 },
-                Happened::Timer(due) => self.due(due),
-                Happened::Signal(signal) => {
+                ReactorEvent::Timer(due) => self.due(due),
+                ReactorEvent::Signal(signal) => {
                     info!(signal, "ending; the files stand");
                     return Ok(false);
                 }
@@ -382,7 +382,7 @@
                 return;
             }
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     fn take(&mut self, place: usize, answer: &Response<Bytes>) {
@@ -514,7 +514,7 @@
             }
             Err(wrong) => self.lost(place, &wrong.to_string()),
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     fn read_proxy(&mut self, conn: ConnId) {
@@ -530,7 +530,7 @@
                     let answer = response(wrong.status(), &[], wrong.to_string().as_bytes());
                     let _ = self.reactor.send(conn, [answer]);
                     self.proxies.remove(&conn);
-                    self.reactor.finish(conn);
+                    self.reactor.close_gracefully(conn);
                     return;
                 }
             };
@@ -540,7 +540,7 @@
                 return;
             }
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     fn take_report(&mut self, body: &[u8]) -> (StatusCode, Vec<u8>) {
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -16,7 +16,7 @@
     request, response, response_chunks, Limits as HttpLimits, RequestReader, ResponseReader,
 };
 use craneknot_reactor::{
-    read_regular_file, Clock, ConnId, Counter, FolderWatch, Happened, Limits, ListenerId, Reactor,
+    read_regular_file, Clock, ConnId, Counter, FolderWatch, Limits, ListenerId, Reactor, ReactorEvent,
     SignalFlags,
 };
 use craneknot_settings::{parse, CoordinatorSettings, SharedSettings};
@@ -231,7 +231,7 @@
 
     /// Takes these signals as a wish to end.
     pub fn end_on(&mut self, signals: SignalFlags) {
-        self.reactor.heed(signals);
+        self.reactor.watch_signals(signals);
     }
 
     /// Tells this count in the status: of log lines that were not written.
@@ -283,8 +283,8 @@
                 Ok(true) => {}
                 Ok(false) => {
                     self.write_ledger();
-                    self.reactor.unlisten(self.listener);
-                    self.peers.keys().for_each(|conn| self.reactor.finish(*conn));
+                    self.reactor.close_listener(self.listener);
+                    self.peers.keys().for_each(|conn| self.reactor.close_gracefully(*conn));
                     if let Err(cause) = self.reactor.flush(FLUSH_MOST) {
                         warn!(%cause, "the last answers could not be written");
                     }
@@ -299,9 +299,9 @@
     pub fn round(&mut self) -> io::Result<bool> {
         self.turn();
         self.reactor.poll(None)?;
-        while let Some(happened) = self.reactor.happened() {
+        while let Some(happened) = self.reactor.next_event() {
             match happened {
-                Happened::Accepted { conn, from, .. } => {
+                ReactorEvent::Accepted { conn, from, .. } => {
                     self.next_stream += 1;
                     let limits =
                         HttpLimits { body: self.settings.streams.request_bytes, ..HttpLimits::default() };
@@ -309,30 +309,30 @@
                     let (stream, asked) = (StreamId(self.next_stream), VecDeque::new());
                     self.peers.insert(conn, Peer { reader, stream, joined: false, from, asked });
                 }
-                Happened::Connected { conn } => self.ask_probe(conn),
-                Happened::Came { conn } if self.probes.has(conn) => self.read_probe(conn, false),
-                Happened::Came { conn } => self.read(conn),
-                Happened::Flushed { .. } => {}
-                Happened::Closed { conn, cause } => {
+                ReactorEvent::Connected { conn } => self.ask_probe(conn),
+                ReactorEvent::Received { conn } if self.probes.has(conn) => self.read_probe(conn, false),
+                ReactorEvent::Received { conn } => self.read(conn),
+                ReactorEvent::Flushed { .. } => {}
+                ReactorEvent::Closed { conn, cause } => {
                     if self.probes.has(conn) {
                         self.end_probe(conn, ProbeOutcome::Failed, None);
                     } else {
                         self.gone(conn, &format!("{cause:?}"));
                     }
                 }
-                Happened::Timer(Due::Turn) => self.turn_at = None,
-                Happened::Timer(Due::Sweep) => self.sweep(),
-                Happened::Timer(Due::Keep) => self.keep_ledger(),
-                Happened::Ready(DATAGRAMS) => self.read_datagrams(),
-                Happened::Ready(_) => {
+                ReactorEvent::Timer(Due::Turn) => self.turn_at = None,
+                ReactorEvent::Timer(Due::Sweep) => self.sweep(),
+                ReactorEvent::Timer(Due::Keep) => self.keep_ledger(),
+                ReactorEvent::Ready(DATAGRAMS) => self.read_datagrams(),
+                ReactorEvent::Ready(_) => {
                     self.watch.changes()?;
                     self.read_roster = true;
                 }
-                Happened::Signal(HANG_UP) => {
+                ReactorEvent::Signal(HANG_UP) => {
                     self.read_roster = true;
                     self.reload();
                 }
-                Happened::Signal(signal) => {
+                ReactorEvent::Signal(signal) => {
                     info!(signal, "ending");
                     return Ok(false);
                 }
@@ -493,7 +493,7 @@
         let headers = [(header::CONTENT_TYPE, "text/plain"), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(status, &headers, cause.as_bytes())]);
         self.gone(conn, cause);
-        self.reactor.finish(conn);
+        self.reactor.close_gracefully(conn);
     }
 
     fn read(&mut self, conn: ConnId) {
@@ -507,7 +507,7 @@
                 Err(wrong) => return self.turn_down(conn, wrong.status(), &wrong.to_string()),
             }
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     fn serve(&mut self, conn: ConnId, now: Nanos, message: &Request<Bytes>) {
@@ -540,7 +540,7 @@
         }
         if !RequestReader::persistent(message) && !self.peers.get(&conn).is_some_and(|peer| peer.joined) {
             self.peers.remove(&conn);
-            self.reactor.finish(conn);
+            self.reactor.close_gracefully(conn);
         }
     }
 
@@ -603,7 +603,7 @@
                     .reactor
                     .send(conn, [response(StatusCode::SERVICE_UNAVAILABLE, &again, text.as_bytes())]);
                 self.gone(conn, &text);
-                self.reactor.finish(conn);
+                self.reactor.close_gracefully(conn);
             }
             Err(refused) => self.turn_down(conn, StatusCode::BAD_REQUEST, &refused.to_string()),
         }
@@ -615,7 +615,7 @@
         let headers = [(header::LOCATION, place.as_str()), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(StatusCode::TEMPORARY_REDIRECT, &headers, b"")]);
         self.gone(conn, "another coordinator is in charge");
-        self.reactor.finish(conn);
+        self.reactor.close_gracefully(conn);
     }
 
     fn send_on(&mut self, stream: StreamId, to: &str) {
@@ -676,8 +676,12 @@
         for conn in slow {
             self.turn_down(conn, StatusCode::REQUEST_TIMEOUT, "the request did not come whole in time");
         }
-        let mute: Vec<ConnId> =
-            self.peers.keys().filter(|conn| self.reactor.stuck(**conn) > stuck).copied().collect();
+        let mute: Vec<ConnId> = self
+            .peers
+            .keys()
+            .filter(|conn| self.reactor.write_stalled_for(**conn) > stuck)
+            .copied()
+            .collect();
         for conn in mute {
             self.gone(conn, "the peer does not read");
             self.reactor.close(conn);
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -13,10 +13,10 @@
 use craneknot_http::{Limits as HttpLimits, ResponseReader};
 use craneknot_platform::config::Config;
 use craneknot_platform::messages;
-use craneknot_reactor::system_errors::{is_momentary_at_start, is_own_failure};
+use craneknot_reactor::system_errors::{is_local_failure, is_transient_at_start};
 use craneknot_reactor::{
-    read_regular_file, Clock, CloseCause, ConnId, Counter, Happened, Limits, ListenerId, Reactor, SendError,
-    SignalFlags,
+    read_regular_file, Clock, CloseCause, ConnId, Counter, Limits, ListenerId, Reactor, ReactorEvent,
+    SendError, SignalFlags,
 };
 use tracing::{debug, error, info, warn};
 
@@ -132,7 +132,7 @@
 fn read_config(file: &Path, read: impl Fn(&Path) -> io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
     let text = read(file).map_err(|cause| {
         let told = format!("{}: {cause}", file.display());
-        if is_momentary_at_start(&cause) {
+        if is_transient_at_start(&cause) {
             ConfigError::Momentary(told)
         } else {
             ConfigError::Wrong(told)
@@ -181,9 +181,9 @@
             let (listener, address) = reactor.listen(config.listen)?;
             Ok((reactor, listener, address))
         };
-        let made = patiently(until, is_momentary_at_start, make).map_err(NoStart::System)?;
+        let made = patiently(until, is_transient_at_start, make).map_err(NoStart::System)?;
         let (mut reactor, listener, address) = made;
-        reactor.heed(flags);
+        reactor.watch_signals(flags);
         let now = reactor.now();
         info!(
             coordinator = %config.name, %address, relay = %config.relay, discovery = %config.discovery,
@@ -238,11 +238,11 @@
             self.end();
             return Ok(false);
         }
-        self.reactor.set_accept_room(self.listener, self.coordinator.accept_room());
+        self.reactor.set_accept_quota(self.listener, self.coordinator.accept_room());
         let is_draining = self.shutdown != Shutdown::No;
         self.coordinator.set_backlog(is_draining && self.reactor.is_listening(self.listener));
         self.reactor.poll(None)?;
-        while let Some(happened) = self.reactor.happened() {
+        while let Some(happened) = self.reactor.next_event() {
             if !self.handle(happened) {
                 self.end();
                 return Ok(false);
@@ -252,24 +252,24 @@
     }
 
     /// Acts on what has happened; false: the time of a shutdown is over.
-    fn handle(&mut self, happened: Happened<Due>) -> bool {
+    fn handle(&mut self, happened: ReactorEvent<Due>) -> bool {
         match happened {
-            Happened::Accepted { conn, .. } => self.accept(conn),
-            Happened::Connected { conn } => {
+            ReactorEvent::Accepted { conn, .. } => self.accept(conn),
+            ReactorEvent::Connected { conn } => {
                 let first = self.links.get_mut(&conn).and_then(|link| link.first.take());
                 if let Some(first) = first {
                     // A connection that has ended already is told of as closed.
                     let _ = self.reactor.send(conn, [first]);
                 }
             }
-            Happened::Came { conn } => self.read(conn),
-            Happened::Flushed { conn } => {
+            ReactorEvent::Received { conn } => self.read(conn),
+            ReactorEvent::Flushed { conn } => {
                 if let Some(client) = self.clients.get(&conn) {
                     self.coordinator.client_flushed(*client);
                 }
             }
-            Happened::Ready(_) => {}
-            Happened::Closed { conn, cause } => {
+            ReactorEvent::Ready(_) => {}
+            ReactorEvent::Closed { conn, cause } => {
                 if let Some(client) = self.clients.remove(&conn) {
                     self.client_conns.remove(&client);
                     debug!(client = client.0, ?cause, "a client's connection has ended");
@@ -280,22 +280,22 @@
                 }
                 self.lose_link(conn, &format!("{cause:?}"));
             }
-            Happened::Timer(Due::Turn) => self.turn_at = None,
-            Happened::Timer(Due::Status) => {
+            ReactorEvent::Timer(Due::Turn) => self.turn_at = None,
+            ReactorEvent::Timer(Due::Status) => {
                 write_status(&self.coordinator.status(), self.process_figures());
                 self.log.begin_anew();
                 self.tell_beliefs();
                 self.reactor.set_timer(self.reactor.now() + STATUS_EVERY, Due::Status);
             }
-            Happened::Timer(Due::Shutdown) => return false,
-            Happened::Timer(Due::Reload(failed)) => self.reload(failed),
-            Happened::Timer(Due::Redial) => {
+            ReactorEvent::Timer(Due::Shutdown) => return false,
+            ReactorEvent::Timer(Due::Reload(failed)) => self.reload(failed),
+            ReactorEvent::Timer(Due::Redial) => {
                 for Redial { id, address, request } in std::mem::take(&mut self.redials) {
                     self.dial(id, address, request);
                 }
             }
-            Happened::Signal(SIGHUP) => self.reload(0),
-            Happened::Signal(signal) => self.shut_down(signal),
+            ReactorEvent::Signal(SIGHUP) => self.reload(0),
+            ReactorEvent::Signal(signal) => self.shut_down(signal),
         }
         true
     }
@@ -318,8 +318,8 @@
                 info!(signal, "shutting down");
                 self.shutdown = Shutdown::Draining;
                 self.coordinator.shut_down();
-                self.reactor.set_accept_room(self.listener, self.coordinator.accept_room());
-                self.reactor.unlisten(self.listener);
+                self.reactor.set_accept_quota(self.listener, self.coordinator.accept_room());
+                self.reactor.close_listener(self.listener);
                 self.reactor.set_timer(self.reactor.now() + SHUTDOWN_MOST, Due::Shutdown);
             }
             Shutdown::Draining if signal != SIGTERM => {
@@ -333,7 +333,7 @@
     /// The process ends now: what has come until now is answered, and what stays owed is counted and told.
     fn end(&mut self) {
         for conn in self.clients.keys().copied().collect::<Vec<_>>() {
-            if self.reactor.read_last(conn) {
+            if self.reactor.read_pending(conn) {
                 self.read(conn);
             }
         }
@@ -341,7 +341,7 @@
         if let Err(cause) = self.reactor.flush(FLUSH_MOST) {
             warn!(%cause, "the last answers could not be written");
         }
-        let waiting = |conn: &ConnId| self.reactor.waiting(*conn) > 0;
+        let waiting = |conn: &ConnId| self.reactor.unsent_bytes(*conn) > 0;
         for (conn, client) in self.clients.iter().filter(|(conn, _)| !waiting(conn)) {
             debug!(?conn, client = client.0, "ending with all written");
             self.coordinator.client_flushed(*client);
@@ -374,7 +374,7 @@
     fn process_figures(&self) -> ProcessFigures {
         ProcessFigures {
             connections: self.reactor.connections(),
-            system_calls_retried: self.reactor.system_failures(),
+            system_calls_retried: self.reactor.system_calls_retried(),
             log_lines_dropped: self.log_lines_dropped.get(),
         }
     }
@@ -429,7 +429,7 @@
             if let Some(input) = self.reactor.input(conn) {
                 self.coordinator.client_input(now, *client, input);
             }
-            self.reactor.taken(conn);
+            self.reactor.input_consumed(conn);
         } else if self.links.contains_key(&conn) {
             self.read_link(conn);
         }
@@ -459,7 +459,7 @@
                 }
             }
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     /// Lets the coordinator act, and carries out what it asks for.
@@ -496,7 +496,7 @@
             ClientAction::Close(id, cause) => {
                 self.log.write(&LogEvent::ClientClosed { client: id, cause: cause.to_string() });
                 if let Some(conn) = self.forget(id, CloseReason::Dropped) {
-                    self.reactor.finish(conn);
+                    self.reactor.close_gracefully(conn);
                 }
             }
         }
@@ -506,8 +506,8 @@
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
         let line = Bytes::from_static(messages::heartbeat_answer());
         match self.reactor.send(conn, [line]) {
-            Ok(()) => self.coordinator.client_answered(id, self.reactor.waiting(conn) > 0),
-            Err(SendError::Gone) => {
+            Ok(()) => self.coordinator.client_answered(id, self.reactor.unsent_bytes(conn) > 0),
+            Err(SendError::Closed) => {
                 self.forget(id, CloseReason::ByPeer);
             }
             Err(SendError::Full) => {
@@ -523,17 +523,17 @@
         self.log.write(&LogEvent::ClientRejected { client: id, cause: cause.to_owned() });
         let Some(conn) = self.forget(id, CloseReason::Rejected) else { return };
         let _ = self.reactor.send(conn, [Bytes::from(messages::reject(cause))]);
-        self.reactor.finish(conn);
+        self.reactor.close_gracefully(conn);
     }
 
     /// Closes an idle connection, unless the client has asked for something meanwhile.
     fn evict(&mut self, id: ClientId, cause: &str) {
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
-        if self.reactor.read_last(conn) {
+        if self.reactor.read_pending(conn) {
             self.read(conn);
         } else if !self.coordinator.owes(id) {
             self.reject(id, cause);
-        } else if self.reactor.stuck(conn) >= STUCK_MOST {
+        } else if self.reactor.write_stalled_for(conn) >= STUCK_MOST {
             self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD.to_owned() });
             self.forget(id, CloseReason::ByPeer);
             self.reactor.close(conn);
@@ -556,7 +556,7 @@
                 self.links.insert(conn, Link { id, reader, first: Some(request) });
                 self.link_conns.insert(id, conn);
             }
-            Err(cause) if is_own_failure(&cause) => {
+            Err(cause) if is_local_failure(&cause) => {
                 debug!(%address, %cause, "dialling again");
                 if self.redials.is_empty() {
                     self.reactor.set_timer(self.reactor.now() + REDIAL_AFTER, Due::Redial);
--- a/crates/craneknot-reactor/src/clock.rs
+++ b/crates/craneknot-reactor/src/clock.rs
@@ -12,7 +12,7 @@
     fn now(&self) -> Nanos;
 
     /// True: time passes only when a test says so, and nothing ever waits for it.
-    fn is_driven(&self) -> bool {
+    fn is_manual(&self) -> bool {
         false
     }
 }
@@ -45,11 +45,11 @@
 
 /// A clock that stands until a test moves it.
 #[derive(Default)]
-pub struct DrivenClock(AtomicU64);
+pub struct ManualClock(AtomicU64);
 
-impl DrivenClock {
+impl ManualClock {
     pub fn at(now: Nanos) -> Self {
-        DrivenClock(AtomicU64::new(now.0))
+        ManualClock(AtomicU64::new(now.0))
     }
 
     pub fn advance(&self, span: Nanos) {
@@ -57,12 +57,12 @@
     }
 }
 
-impl Clock for DrivenClock {
+impl Clock for ManualClock {
     fn now(&self) -> Nanos {
         Nanos(self.0.load(Ordering::SeqCst))
     }
 
-    fn is_driven(&self) -> bool {
+    fn is_manual(&self) -> bool {
         true
     }
 }
--- a/crates/craneknot-reactor/src/conn.rs
+++ b/crates/craneknot-reactor/src/conn.rs
@@ -8,7 +8,7 @@
 use craneknot::interface::Nanos;
 
 use crate::reactor::CloseCause;
-use crate::system_errors::{is_shortage, is_soft_network_error};
+use crate::system_errors::{is_soft_network_error, is_transient};
 
 const READS: usize = 16; // of 16 KiB a turn and connection: a fast peer must not hold up others
 const READ_SIZE: usize = 16 * 1024; // bytes read at once
@@ -100,7 +100,7 @@
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-                Err(cause) => return !is_shortage(&cause),
+                Err(cause) => return !is_transient(&cause),
             }
         }
         false
@@ -128,7 +128,7 @@
                 }
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
                 // The poller tells of the bytes again, or of the end.
-                Err(cause) if is_shortage(&cause) || is_soft_network_error(&cause) => return None,
+                Err(cause) if is_transient(&cause) || is_soft_network_error(&cause) => return None,
                 Err(cause) => return Some(CloseCause::Broken(cause)),
             }
         }
@@ -147,7 +147,7 @@
                     self.take_written(count);
                 }
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-                Err(cause) if is_shortage(&cause) || is_soft_network_error(&cause) => return Ok(()),
+                Err(cause) if is_transient(&cause) || is_soft_network_error(&cause) => return Ok(()),
                 Err(cause) => return Err(cause),
             }
         }
--- a/crates/craneknot-reactor/src/lib.rs
+++ b/crates/craneknot-reactor/src/lib.rs
@@ -12,10 +12,10 @@
 mod timers;
 mod watch;
 
-pub use clock::{Clock, DrivenClock, SteadyClock};
+pub use clock::{Clock, ManualClock, SteadyClock};
 pub use counter::Counter;
 pub use files::read_regular_file;
-pub use reactor::{reserve, CloseCause, ConnId, Happened, Limits, ListenerId, Reactor, SendError};
+pub use reactor::{reserve, CloseCause, ConnId, Limits, ListenerId, Reactor, ReactorEvent, SendError};
 pub use signals::SignalFlags;
 pub use timers::{TimerId, Timers};
 pub use watch::FolderWatch;
--- a/crates/craneknot-reactor/src/reactor/connections.rs
+++ b/crates/craneknot-reactor/src/reactor/connections.rs
@@ -10,12 +10,12 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::{
-    CloseCause, ConnId, Happened, Reactor, SendError, Source, LINGER, LINGERING_MOST, LINGER_CROWDED,
+    CloseCause, ConnId, Reactor, ReactorEvent, SendError, Source, LINGER, LINGERING_MOST, LINGER_CROWDED,
 };
 use crate::conn::{Closing, Conn};
 
 impl<T> Reactor<T> {
-    /// Dials; [`Happened::Connected`] or [`Happened::Closed`] tells how it went.
+    /// Dials; [`ReactorEvent::Connected`] or [`ReactorEvent::Closed`] tells how it went.
     pub fn connect(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -82,12 +82,12 @@
     }
 
     /// Bytes waiting to be written.
-    pub fn waiting(&self, id: ConnId) -> usize {
+    pub fn unsent_bytes(&self, id: ConnId) -> usize {
         self.conn(id).map_or(0, |conn| conn.waiting)
     }
 
     /// How long bytes have waited without any leaving.
-    pub fn stuck(&self, id: ConnId) -> Nanos {
+    pub fn write_stalled_for(&self, id: ConnId) -> Nanos {
         let now = self.clock.now();
         self.conn(id).filter(|conn| conn.waiting > 0).map_or(Nanos(0), |conn| now - conn.progress)
     }
@@ -104,7 +104,7 @@
     pub fn send(&mut self, id: ConnId, chunks: impl IntoIterator<Item = Bytes>) -> Result<(), SendError> {
         let (now, limit) = (self.clock.now(), self.limits.output);
         let conn = self.conn_mut(id).filter(|conn| conn.closing == Closing::No && !conn.ended);
-        let conn = conn.ok_or(SendError::Gone)?;
+        let conn = conn.ok_or(SendError::Closed)?;
         let chunks: Vec<Bytes> = chunks.into_iter().filter(|chunk| !chunk.is_empty()).collect();
         let added: usize = chunks.iter().map(Bytes::len).sum();
         if conn.waiting + added > limit {
@@ -139,7 +139,7 @@
     }
 
     /// Closes once all that waits is written and the peer has seen the end, or 300 ms have passed.
-    pub fn finish(&mut self, id: ConnId) {
+    pub fn close_gracefully(&mut self, id: ConnId) {
         let Some(conn) = self.conn_mut(id) else { return };
         conn.closing = Closing::AfterOutput;
         if conn.waiting == 0 {
@@ -199,14 +199,14 @@
         match self.poller.modify_with_mode(&conn.socket, interest, PollMode::Level) {
             Ok(()) => conn.wanted = wanted,
             Err(_) => {
-                self.system_failures += 1;
+                self.system_calls_retried += 1;
                 self.unarmed.push(key);
             }
         }
     }
 
     /// Whether bytes have come that are not read yet; they are read now. For an owner that is about to close.
-    pub fn read_last(&mut self, id: ConnId) -> bool {
+    pub fn read_pending(&mut self, id: ConnId) -> bool {
         let Some(conn) = self.conn_mut(id).filter(|conn| !conn.ended && !conn.connecting) else {
             return false;
         };
@@ -240,7 +240,7 @@
             let before = conn.input.len();
             end = conn.read_some();
             if conn.input.len() > before {
-                self.happened.push_back(Happened::Came { conn: id });
+                self.happened.push_back(ReactorEvent::Received { conn: id });
             }
         }
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return };
@@ -249,7 +249,7 @@
             Some(CloseCause::PeerClosed) if conn.waiting > 0 => conn.read_closed = true,
             Some(cause) => {
                 conn.ended = true;
-                self.happened.push_back(Happened::Closed { conn: id, cause });
+                self.happened.push_back(ReactorEvent::Closed { conn: id, cause });
             }
             None => {}
         }
@@ -263,14 +263,14 @@
         match conn.socket.take_error() {
             Ok(None) if conn.socket.peer_addr().is_ok() => {
                 conn.connecting = false;
-                self.happened.push_back(Happened::Connected { conn: id });
+                self.happened.push_back(ReactorEvent::Connected { conn: id });
                 true
             }
             Ok(None) => false,
             Ok(Some(cause)) | Err(cause) => {
                 conn.ended = true;
                 let cause = CloseCause::ConnectFailed(cause);
-                self.happened.push_back(Happened::Closed { conn: id, cause });
+                self.happened.push_back(ReactorEvent::Closed { conn: id, cause });
                 self.rearm(key);
                 false
             }
@@ -297,7 +297,7 @@
                 None
             }
             (Ok(()), _) if is_empty => {
-                self.happened.push_back(Happened::Flushed { conn: id });
+                self.happened.push_back(ReactorEvent::Flushed { conn: id });
                 read_closed.then_some(CloseCause::PeerClosed)
             }
             (Ok(()), _) => None,
@@ -306,7 +306,7 @@
     }
 
     /// To be called after taking input: reading goes on where the buffer was full.
-    pub fn taken(&mut self, id: ConnId) {
+    pub fn input_consumed(&mut self, id: ConnId) {
         if self.conn(id).is_some() {
             self.rearm(id.key);
         }
--- a/crates/craneknot-reactor/src/reactor/listeners.rs
+++ b/crates/craneknot-reactor/src/reactor/listeners.rs
@@ -6,7 +6,7 @@
 use polling::{Event, PollMode};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use super::{Happened, Listener, ListenerId, Reactor, Source};
+use super::{Listener, ListenerId, Reactor, ReactorEvent, Source};
 use crate::system_errors::is_failed_connection;
 
 impl<T> Reactor<T> {
@@ -57,7 +57,7 @@
     }
 
     /// Accepts so many connections of a listener until told anew; all others wait in the system's queue.
-    pub fn set_accept_room(&mut self, id: ListenerId, room: usize) {
+    pub fn set_accept_quota(&mut self, id: ListenerId, room: usize) {
         if let Some(listener) = self.listener_mut(id) {
             listener.room = room;
         }
@@ -70,7 +70,7 @@
 
     /// Takes no more connections. Those that the system has completed already are accepted first, as room allows:
     /// they would be reset with the listener.
-    pub fn unlisten(&mut self, id: ListenerId) {
+    pub fn close_listener(&mut self, id: ListenerId) {
         if let Some(listener) = self.listener_mut(id) {
             listener.closing = true;
             self.accept(id.key, usize::MAX);
@@ -94,7 +94,7 @@
             match self.poller.modify_with_mode(&listener.socket, interest, PollMode::Level) {
                 Ok(()) => listener.watched = wanted,
                 Err(_) => {
-                    self.system_failures += 1;
+                    self.system_calls_retried += 1;
                     listener.resting = true;
                 }
             }
@@ -130,7 +130,7 @@
                 Err(_) => {
                     // Out of descriptors or buffers: without a rest the loop would spin.
                     listener.resting = true;
-                    self.system_failures += 1;
+                    self.system_calls_retried += 1;
                     return;
                 }
             }
@@ -140,13 +140,13 @@
     /// Takes in an accepted connection; where the poller has no room for it, it is held until it has.
     pub(super) fn take_in(&mut self, listener: ListenerId, stream: TcpStream, from: SocketAddr) {
         if stream.set_nonblocking(true).is_err() {
-            self.system_failures += 1;
+            self.system_calls_retried += 1;
             return self.unregistered.push((listener, stream, from));
         }
         match self.add_conn(stream, true) {
-            Ok(conn) => self.happened.push_back(Happened::Accepted { listener, conn, from }),
+            Ok(conn) => self.happened.push_back(ReactorEvent::Accepted { listener, conn, from }),
             Err((stream, _)) => {
-                self.system_failures += 1;
+                self.system_calls_retried += 1;
                 self.unregistered.push((listener, stream, from));
             }
         }
--- a/crates/craneknot-reactor/src/reactor/mod.rs
+++ b/crates/craneknot-reactor/src/reactor/mod.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::conn::Conn;
 use crate::signals::{self, SignalFlags};
-use crate::system_errors::is_shortage;
+use crate::system_errors::is_transient;
 use crate::timers::{TimerId, Timers};
 
 /// What one loop and one connection may hold.
@@ -65,14 +65,14 @@
 #[derive(Debug)]
 pub enum SendError {
     /// The connection is gone.
-    Gone,
+    Closed,
     /// More bytes would wait than the limit allows.
     Full,
 }
 
 /// What has happened since the last look.
 #[derive(Debug)]
-pub enum Happened<T> {
+pub enum ReactorEvent<T> {
     Accepted {
         listener: ListenerId,
         conn: ConnId,
@@ -82,7 +82,7 @@
         conn: ConnId,
     },
     /// Bytes came in; see [`Reactor::input`].
-    Came {
+    Received {
         conn: ConnId,
     },
     /// All that waited has been written.
@@ -127,7 +127,7 @@
     timers: Timers<T>,
     clock: Arc<dyn Clock>,
     limits: Limits,
-    happened: VecDeque<Happened<T>>,
+    happened: VecDeque<ReactorEvent<T>>,
     conns: usize,
     accepted: usize,
     made: u64,
@@ -138,7 +138,7 @@
     unarmed: Vec<usize>,
     lingering: Vec<ConnId>,
     signals: SignalFlags,
-    system_failures: u64,
+    system_calls_retried: u64,
 }
 
 const RETRY_AFTER: Duration = Duration::from_millis(50); // until a system call that failed for a moment is made again
@@ -166,7 +166,7 @@
             unarmed: Vec::new(),
             lingering: Vec::new(),
             signals: SignalFlags::default(),
-            system_failures: 0,
+            system_calls_retried: 0,
         })
     }
 
@@ -180,8 +180,8 @@
     }
 
     /// System calls that failed for a moment and were made again.
-    pub fn system_failures(&self) -> u64 {
-        self.system_failures
+    pub fn system_calls_retried(&self) -> u64 {
+        self.system_calls_retried
     }
 
     /// Tells when a descriptor can be read, by a number of the caller's.
@@ -194,15 +194,15 @@
     }
 
     /// From now on the signal no longer ends the process but happens here.
-    pub fn signal(&mut self, number: i32) -> io::Result<()> {
+    pub fn watch_signal(&mut self, number: i32) -> io::Result<()> {
         let mut flags = SignalFlags::default();
         flags.add(number)?;
-        self.heed(flags);
+        self.watch_signals(flags);
         Ok(())
     }
 
     /// Tells of these signals from now on. Where no pipe can be had to wake the loop with, they are seen a little later.
-    pub fn heed(&mut self, flags: SignalFlags) {
+    pub fn watch_signals(&mut self, flags: SignalFlags) {
         let added = signals::wake_pipe(&flags.numbers()).and_then(|pipe| {
             let key = self.sources.insert(Source::Wake { pipe });
             let Some(Source::Wake { pipe }) = self.sources.get(key) else { unreachable!() };
@@ -210,7 +210,7 @@
             let added = unsafe { self.poller.add_with_mode(pipe, Event::readable(key), PollMode::Level) };
             added.inspect_err(|_| drop(self.sources.remove(key)))
         });
-        self.system_failures += u64::from(added.is_err());
+        self.system_calls_retried += u64::from(added.is_err());
         self.signals.extend(flags);
     }
 
@@ -218,23 +218,25 @@
         self.timers.set(at, what)
     }
 
-    pub fn withdraw_timer(&mut self, id: TimerId) -> Option<T> {
-        self.timers.withdraw(id)
+    pub fn cancel_timer(&mut self, id: TimerId) -> Option<T> {
+        self.timers.cancel(id)
     }
 
     /// The next thing that has happened; nothing: time to [`Reactor::poll`] again.
-    pub fn happened(&mut self) -> Option<Happened<T>> {
+    pub fn next_event(&mut self) -> Option<ReactorEvent<T>> {
         loop {
             let happened = self.happened.pop_front()?;
             match happened {
                 // Closed meanwhile by the owner: no longer of interest.
-                Happened::Came { conn } | Happened::Connected { conn } | Happened::Flushed { conn }
+                ReactorEvent::Received { conn }
+                | ReactorEvent::Connected { conn }
+                | ReactorEvent::Flushed { conn }
                     if self.conn(conn).is_none() => {}
-                Happened::Accepted { conn, .. } if self.conn(conn).is_none() => {}
-                Happened::Closed { conn, cause } => {
+                ReactorEvent::Accepted { conn, .. } if self.conn(conn).is_none() => {}
+                ReactorEvent::Closed { conn, cause } => {
                     if self.conn(conn).is_some() {
                         self.remove_conn(conn.key);
-                        return Some(Happened::Closed { conn, cause });
+                        return Some(ReactorEvent::Closed { conn, cause });
                     }
                 }
                 other => return Some(other),
@@ -251,8 +253,8 @@
         match self.poller.wait(&mut self.events, wait) {
             Ok(_) => {}
             Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-            Err(cause) if is_shortage(&cause) => {
-                self.system_failures += 1;
+            Err(cause) if is_transient(&cause) => {
+                self.system_calls_retried += 1;
                 std::thread::sleep(RETRY_AFTER);
             }
             Err(cause) => return Err(cause),
@@ -261,11 +263,11 @@
         for event in seen {
             self.look(event);
         }
-        self.happened.extend(self.signals.take().into_iter().map(Happened::Signal));
+        self.happened.extend(self.signals.take().into_iter().map(ReactorEvent::Signal));
         let now = self.clock.now();
         self.end_lingering(now);
-        while let Some(what) = self.timers.due(now) {
-            self.happened.push_back(Happened::Timer(what));
+        while let Some(what) = self.timers.pop_due(now) {
+            self.happened.push_back(ReactorEvent::Timer(what));
         }
         Ok(())
     }
@@ -283,7 +285,7 @@
 
     /// How long the next wait may last.
     fn wait(&self, most: Option<Duration>) -> Option<Duration> {
-        if self.clock.is_driven() || !self.happened.is_empty() {
+        if self.clock.is_manual() || !self.happened.is_empty() {
             return Some(Duration::ZERO);
         }
         let now = self.clock.now();
@@ -317,7 +319,7 @@
         let key = event.key;
         match self.sources.get_mut(key) {
             None => {}
-            Some(Source::Watched { number, .. }) => self.happened.push_back(Happened::Ready(*number)),
+            Some(Source::Watched { number, .. }) => self.happened.push_back(ReactorEvent::Ready(*number)),
             Some(Source::Wake { pipe }) => signals::drain(pipe),
             Some(Source::Listener(_)) => self.accept(key, self.limits.accepts),
             Some(Source::Conn(_)) => self.serve(key, event),
--- a/crates/craneknot-reactor/src/system_errors.rs
+++ b/crates/craneknot-reactor/src/system_errors.rs
@@ -33,7 +33,7 @@
 
 /// Whether the system is short of something for a moment, or a signal came: the same call may succeed later, and the
 /// object that it was made on is as it was.
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     is_one_of(error, SHORTAGES) || error.kind() == io::ErrorKind::WouldBlock
 }
 
@@ -43,8 +43,8 @@
 }
 
 /// Whether a start that failed so may succeed a moment later.
-pub fn is_momentary_at_start(error: &io::Error) -> bool {
-    is_shortage(error) || is_one_of(error, ADDRESS_NOT_READY) || is_one_of(error, &[libc::EIO])
+pub fn is_transient_at_start(error: &io::Error) -> bool {
+    is_transient(error) || is_one_of(error, ADDRESS_NOT_READY) || is_one_of(error, &[libc::EIO])
 }
 
 /// Whether a read or write failed by what the network told of a connection, which may stand all the same. Of one that does
@@ -55,6 +55,6 @@
 
 /// Whether a dial failed on our own side, before the neighbour had any part in it: for want of a descriptor, a buffer, an
 /// address or a route.
-pub fn is_own_failure(error: &io::Error) -> bool {
-    is_shortage(error) || is_one_of(error, &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENETDOWN])
+pub fn is_local_failure(error: &io::Error) -> bool {
+    is_transient(error) || is_one_of(error, &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENETDOWN])
 }
--- a/crates/craneknot-reactor/src/timers.rs
+++ b/crates/craneknot-reactor/src/timers.rs
@@ -27,7 +27,7 @@
         id
     }
 
-    pub fn withdraw(&mut self, id: TimerId) -> Option<T> {
+    pub fn cancel(&mut self, id: TimerId) -> Option<T> {
         self.waiting.remove(&id)
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// The earliest that is due at `now`, if any.
-    pub fn due(&mut self, now: Nanos) -> Option<T> {
+    pub fn pop_due(&mut self, now: Nanos) -> Option<T> {
         match self.waiting.first_entry() {
             Some(entry) if entry.key().0 <= now => Some(entry.remove()),
             Some(_) | None => None,
@@ -64,11 +64,11 @@
         timers.set(Nanos(10), 'a');
         let gone = timers.set(Nanos(10), 'x');
         timers.set(Nanos(10), 'b');
-        assert_eq!(timers.withdraw(gone), Some('x'));
-        assert_eq!(timers.due(Nanos(9)), None);
+        assert_eq!(timers.cancel(gone), Some('x'));
+        assert_eq!(timers.pop_due(Nanos(9)), None);
         assert_eq!(timers.next_at(), Some(Nanos(10)));
         let mut came = String::new();
-        while let Some(what) = timers.due(Nanos(20)) {
+        while let Some(what) = timers.pop_due(Nanos(20)) {
             came.push(what);
         }
         assert_eq!(came, "abc");
--- a/crates/craneknot-reactor/tests/sockets.rs
+++ b/crates/craneknot-reactor/tests/sockets.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use craneknot::interface::Nanos;
 use craneknot_reactor::{
-    CloseCause, DrivenClock, FolderWatch, Happened, Limits, Reactor, SendError, SteadyClock,
+    CloseCause, FolderWatch, Limits, ManualClock, Reactor, ReactorEvent, SendError, SteadyClock,
 };
 
 fn any() -> SocketAddr {
@@ -21,10 +21,10 @@
 }
 
 /// Polls until `done` says so; bounded by the number of rounds, each of which waits for something to happen.
-fn until(reactor: &mut Reactor<u32>, mut done: impl FnMut(&mut Reactor<u32>, Happened<u32>) -> bool) {
+fn until(reactor: &mut Reactor<u32>, mut done: impl FnMut(&mut Reactor<u32>, ReactorEvent<u32>) -> bool) {
     for _ in 0..100_000 {
         reactor.poll(Some(Duration::from_secs(5))).unwrap();
-        while let Some(happened) = reactor.happened() {
+        while let Some(happened) = reactor.next_event() {
             if done(reactor, happened) {
                 return;
             }
@@ -45,10 +45,10 @@
     let mut answered = 0;
     until(&mut reactor, |reactor, happened| {
         match happened {
-            Happened::Connected { conn } => {
+            ReactorEvent::Connected { conn } => {
                 reactor.send(conn, [Bytes::from(format!("{:04}", dialled[&conn]))]).unwrap();
             }
-            Happened::Came { conn } => {
+            ReactorEvent::Received { conn } => {
                 let input = reactor.input(conn).unwrap();
                 if input.len() < 4 {
                     return false;
@@ -77,7 +77,7 @@
     let mut peer = TcpStream::connect(address).unwrap();
     let mut accepted = None;
     until(&mut reactor, |_, happened| {
-        if let Happened::Accepted { conn, .. } = happened {
+        if let ReactorEvent::Accepted { conn, .. } = happened {
             accepted = Some(conn);
         }
         accepted.is_some()
@@ -92,16 +92,16 @@
         }
         assert!(sent < 1 << 30, "bytes wait without bound");
     };
-    assert!(matches!(full, SendError::Full) && reactor.waiting(conn) <= limits.output);
+    assert!(matches!(full, SendError::Full) && reactor.unsent_bytes(conn) <= limits.output);
     // Once it reads, all that was taken arrives, in order.
     let reader = std::thread::spawn(move || {
         let mut bytes = vec![0; sent];
         peer.read_exact(&mut bytes).unwrap();
         bytes.iter().all(|byte| *byte == 7)
     });
-    until(&mut reactor, |_, happened| matches!(happened, Happened::Flushed { .. }));
+    until(&mut reactor, |_, happened| matches!(happened, ReactorEvent::Flushed { .. }));
     assert!(reader.join().unwrap());
-    assert_eq!(reactor.stuck(conn), Nanos(0));
+    assert_eq!(reactor.write_stalled_for(conn), Nanos(0));
 }
 
 #[test]
@@ -115,14 +115,14 @@
     let (mut taken, mut ended) = (0, false);
     until(&mut reactor, |reactor, happened| {
         match happened {
-            Happened::Came { conn } => {
+            ReactorEvent::Received { conn } => {
                 let input = reactor.input(conn).unwrap();
                 assert!(input.len() <= 4_096);
                 taken += input.len();
                 input.clear();
-                reactor.taken(conn);
+                reactor.input_consumed(conn);
             }
-            Happened::Closed { cause, .. } => {
+            ReactorEvent::Closed { cause, .. } => {
                 assert!(matches!(cause, CloseCause::PeerClosed));
                 ended = true;
             }
@@ -143,20 +143,20 @@
     peers.iter_mut().for_each(|peer| peer.write_all(b"ask").unwrap());
     let mut accepted = Vec::new();
     until(&mut reactor, |_, happened| {
-        if let Happened::Accepted { conn, .. } = happened {
+        if let ReactorEvent::Accepted { conn, .. } = happened {
             accepted.push(conn);
         }
         accepted.len() == 2
     });
     for _ in 0..5 {
         reactor.poll(Some(Duration::ZERO)).unwrap();
-        while let Some(happened) = reactor.happened() {
-            assert!(!matches!(happened, Happened::Accepted { .. }), "there is no room");
+        while let Some(happened) = reactor.next_event() {
+            assert!(!matches!(happened, ReactorEvent::Accepted { .. }), "there is no room");
         }
     }
     reactor.close(accepted[0]);
     until(&mut reactor, |reactor, happened| match happened {
-        Happened::Accepted { conn, .. } => {
+        ReactorEvent::Accepted { conn, .. } => {
             reactor.send(conn, [Bytes::from_static(b"answer")]).unwrap();
             true
         }
@@ -173,25 +173,25 @@
 fn a_dial_to_nobody_fails_and_its_id_is_void() {
     let mut reactor = reactor(Limits::default());
     let (listener, address) = reactor.listen(any()).unwrap();
-    reactor.unlisten(listener);
+    reactor.close_listener(listener);
     let conn = reactor.connect(address).unwrap();
     until(&mut reactor, |_, happened| {
-        matches!(happened, Happened::Closed { cause: CloseCause::ConnectFailed(_), .. })
+        matches!(happened, ReactorEvent::Closed { cause: CloseCause::ConnectFailed(_), .. })
     });
     assert!(reactor.input(conn).is_none());
-    assert!(matches!(reactor.send(conn, [Bytes::from_static(b"x")]), Err(SendError::Gone)));
+    assert!(matches!(reactor.send(conn, [Bytes::from_static(b"x")]), Err(SendError::Closed)));
 }
 
 #[test]
 fn a_driven_clock_never_waits() {
-    let clock = Arc::new(DrivenClock::at(Nanos(5)));
+    let clock = Arc::new(ManualClock::at(Nanos(5)));
     let mut reactor: Reactor<u32> = Reactor::new(clock.clone(), Limits::default()).unwrap();
     reactor.set_timer(Nanos::from_millis(3_600_000), 7);
     reactor.poll(None).unwrap();
-    assert!(reactor.happened().is_none());
+    assert!(reactor.next_event().is_none());
     clock.advance(Nanos::from_millis(3_600_000));
     reactor.poll(None).unwrap();
-    assert!(matches!(reactor.happened(), Some(Happened::Timer(7))));
+    assert!(matches!(reactor.next_event(), Some(ReactorEvent::Timer(7))));
 }
 
 #[test]
@@ -208,7 +208,7 @@
     }
     let mut named = Vec::new();
     until(&mut reactor, |_, happened| {
-        if let Happened::Ready(3) = happened {
+        if let ReactorEvent::Ready(3) = happened {
             let changes = watch.changes().unwrap();
             named.extend(changes.into_iter().filter_map(|(_, name)| name?.into_string().ok()));
         }
@@ -228,7 +228,7 @@
     peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let mut asked = None;
     until(&mut reactor, |_, happened| match happened {
-        Happened::Accepted { conn, .. } => {
+        ReactorEvent::Accepted { conn, .. } => {
             asked = Some(conn);
             true
         }
@@ -241,17 +241,17 @@
     peer.shutdown(std::net::Shutdown::Write).unwrap();
     let mut input = 0;
     until(&mut reactor, |reactor, happened| {
-        let came = matches!(happened, Happened::Came { .. });
+        let came = matches!(happened, ReactorEvent::Received { .. });
         input += reactor.input(conn).filter(|_| came).map_or(0, |input| std::mem::take(input).len());
         input == said.len()
     });
-    while let Some(happened) = reactor.happened() {
-        assert!(!matches!(happened, Happened::Closed { .. }), "the owner has not had its turn yet");
+    while let Some(happened) = reactor.next_event() {
+        assert!(!matches!(happened, ReactorEvent::Closed { .. }), "the owner has not had its turn yet");
     }
-    reactor.taken(conn);
+    reactor.input_consumed(conn);
     assert!(reactor.send(conn, [Bytes::from_static(b"answer")]).is_ok());
     until(&mut reactor, |_, happened| {
-        matches!(happened, Happened::Closed { cause: CloseCause::PeerClosed, .. })
+        matches!(happened, ReactorEvent::Closed { cause: CloseCause::PeerClosed, .. })
     });
     let mut answer = String::new();
     peer.read_to_string(&mut answer).unwrap();
@@ -269,7 +269,7 @@
     let _peer = TcpStream::connect(address).unwrap();
     let mut accepted = 0;
     until(&mut reactor, |_, happened| {
-        accepted += u64::from(matches!(happened, Happened::Accepted { .. }));
+        accepted += u64::from(matches!(happened, ReactorEvent::Accepted { .. }));
         accepted > 0
     });
     assert_eq!((accepted, reactor.connections()), (1, 4));
@@ -280,11 +280,11 @@
     let mut reactor = reactor(Limits::default());
     let (listener, address) = reactor.listen(any()).unwrap();
     let mut peers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(address).unwrap()).collect();
-    reactor.unlisten(listener);
+    reactor.close_listener(listener);
     assert!(TcpStream::connect(address).is_err(), "nobody else is taken in");
     let mut accepted = 0;
-    while let Some(happened) = reactor.happened() {
-        if let Happened::Accepted { conn, .. } = happened {
+    while let Some(happened) = reactor.next_event() {
+        if let ReactorEvent::Accepted { conn, .. } = happened {
             accepted += 1;
             reactor.send(conn, [Bytes::from_static(b"x")]).unwrap();
         }
@@ -305,10 +305,10 @@
     peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     peer.write_all(b"more that nobody reads").unwrap();
     until(&mut reactor, |reactor, happened| match happened {
-        Happened::Accepted { conn, .. } => {
+        ReactorEvent::Accepted { conn, .. } => {
             reactor.limit_input(conn, 1);
             reactor.send(conn, [Bytes::from_static(b"last")]).unwrap();
-            reactor.finish(conn);
+            reactor.close_gracefully(conn);
             true
         }
         _ => false,
@@ -341,7 +341,7 @@
         peer.read_to_end(&mut answer).map(|_| answer.len())
     });
     until(&mut reactor, |reactor, happened| match happened {
-        Happened::Came { conn } => {
+        ReactorEvent::Received { conn } => {
             reactor.input(conn).unwrap().clear();
             reactor.send(conn, [Bytes::from(vec![1; LENGTH])]).unwrap();
             true
@@ -349,7 +349,7 @@
         _ => false,
     });
     until(&mut reactor, |_, happened| {
-        matches!(happened, Happened::Closed { cause: CloseCause::PeerClosed, .. })
+        matches!(happened, ReactorEvent::Closed { cause: CloseCause::PeerClosed, .. })
     });
     assert_eq!(reader.join().unwrap().unwrap(), LENGTH);
 }
--- a/crates/craneknot-rehearsal/src/conduct.rs
+++ b/crates/craneknot-rehearsal/src/conduct.rs
@@ -12,7 +12,7 @@
 
 use craneknot::interface::Nanos;
 use craneknot_http::{request, Limits as HttpLimits, ResponseReader};
-use craneknot_reactor::{Clock, ConnId, Happened, Limits, Reactor, SteadyClock};
+use craneknot_reactor::{Clock, ConnId, Limits, Reactor, ReactorEvent, SteadyClock};
 use craneknot_settings::{
     AgentSettings, CoordinatorAddress, CoordinatorSettings, MemberSettings, NodeSettings, ProbeSettings,
     RosterSettings, SharedSettings, Span, StreamSettings,
@@ -554,28 +554,34 @@
         self.reactor.set_timer(end, Due::End);
         loop {
             self.reactor.poll(None)?;
-            while let Some(happened) = self.reactor.happened() {
+            while let Some(happened) = self.reactor.next_event() {
                 match happened {
-                    Happened::Accepted { listener, conn, .. } => {
+                    ReactorEvent::Accepted { listener, conn, .. } => {
                         self.relays.accept(&mut self.reactor, listener, conn);
                     }
-                    Happened::Came { conn } if self.relays.has(conn) => {
+                    ReactorEvent::Received { conn } if self.relays.has(conn) => {
                         if let Some(at) = self.relays.came(&mut self.reactor, &mut self.log, conn) {
                             self.reactor.set_timer(at, Due::Deliver);
                         }
                     }
-                    Happened::Came { conn } => self.read_status(conn),
-                    Happened::Closed { conn, .. } => {
+                    ReactorEvent::Received { conn } => self.read_status(conn),
+                    ReactorEvent::Closed { conn, .. } => {
                         self.asking.remove(&conn);
                         self.relays.closed(&mut self.reactor, &mut self.log, conn);
                     }
-                    Happened::Timer(Due::End) => return Ok(()),
-                    Happened::Timer(Due::Status) => self.ask_status(),
-                    Happened::Timer(Due::Deliver) => self.relays.deliver(&mut self.reactor, &mut self.log),
-                    Happened::Timer(Due::Act(place)) => self.act(self.plan.fleet_acts[place].1.clone())?,
-                    Happened::Timer(Due::Ready(coordinator)) => self.look_for(coordinator),
-                    Happened::Ready(way) => self.mail.pass(way),
-                    Happened::Connected { .. } | Happened::Flushed { .. } | Happened::Signal(_) => {}
+                    ReactorEvent::Timer(Due::End) => return Ok(()),
+                    ReactorEvent::Timer(Due::Status) => self.ask_status(),
+                    ReactorEvent::Timer(Due::Deliver) => {
+                        self.relays.deliver(&mut self.reactor, &mut self.log)
+                    }
+                    ReactorEvent::Timer(Due::Act(place)) => {
+                        self.act(self.plan.fleet_acts[place].1.clone())?
+                    }
+                    ReactorEvent::Timer(Due::Ready(coordinator)) => self.look_for(coordinator),
+                    ReactorEvent::Ready(way) => self.mail.pass(way),
+                    ReactorEvent::Connected { .. }
+                    | ReactorEvent::Flushed { .. }
+                    | ReactorEvent::Signal(_) => {}
                 }
             }
         }
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -11,7 +11,7 @@
 use craneknot::interface::Nanos;
 use craneknot_http::{request, response, Limits as HttpLimits, RequestReader, ResponseReader};
 use craneknot_reactor::{
-    reserve, Clock, ConnId, FolderWatch, Happened, Limits, ListenerId, Reactor, TimerId,
+    reserve, Clock, ConnId, FolderWatch, Limits, ListenerId, Reactor, ReactorEvent, TimerId,
 };
 use craneknot_settings::Repeats;
 use craneknot_xds::discovery::{Kind, Node};
@@ -111,7 +111,7 @@
     up: bool,
     down_since: Option<Nanos>,
     stalled_until: Option<Nanos>,
-    deferred: Vec<Happened<Due>>,
+    deferred: Vec<ReactorEvent<Due>>,
     unread: BTreeSet<Kind>,
     idle: BTreeMap<usize, Vec<ConnId>>,
     conns: BTreeSet<ConnId>,
@@ -268,8 +268,8 @@
         self.reactor.set_timer(end, Due::End);
         loop {
             self.reactor.poll(None)?;
-            while let Some(happened) = self.reactor.happened() {
-                if let Happened::Timer(Due::End) = happened {
+            while let Some(happened) = self.reactor.next_event() {
+                if let ReactorEvent::Timer(Due::End) = happened {
                     return Ok(self.log);
                 }
                 if let Some(happened) = self.defer(happened) {
@@ -280,15 +280,15 @@
     }
 
     /// Keeps what happens to a proxy that stands still for later.
-    fn defer(&mut self, happened: Happened<Due>) -> Option<Happened<Due>> {
+    fn defer(&mut self, happened: ReactorEvent<Due>) -> Option<ReactorEvent<Due>> {
         let conn = match &happened {
-            Happened::Came { conn } | Happened::Connected { conn } => *conn,
-            Happened::Accepted { .. }
-            | Happened::Flushed { .. }
-            | Happened::Closed { .. }
-            | Happened::Timer(_)
-            | Happened::Ready(_)
-            | Happened::Signal(_) => return Some(happened),
+            ReactorEvent::Received { conn } | ReactorEvent::Connected { conn } => *conn,
+            ReactorEvent::Accepted { .. }
+            | ReactorEvent::Flushed { .. }
+            | ReactorEvent::Closed { .. }
+            | ReactorEvent::Timer(_)
+            | ReactorEvent::Ready(_)
+            | ReactorEvent::Signal(_) => return Some(happened),
         };
         let proxy = match self.uses.get(&conn) {
             Some(Use::FromClient { proxy, .. } | Use::ToServer { proxy, .. }) => *proxy,
@@ -301,9 +301,9 @@
         Some(happened)
     }
 
-    fn happen(&mut self, folder: &Path, happened: Happened<Due>) -> io::Result<()> {
+    fn happen(&mut self, folder: &Path, happened: ReactorEvent<Due>) -> io::Result<()> {
         match happened {
-            Happened::Accepted { listener, conn, .. } => {
+            ReactorEvent::Accepted { listener, conn, .. } => {
                 let Some(proxy) = self.by_listener.get(&listener).copied() else {
                     self.reactor.close(conn);
                     return Ok(());
@@ -312,22 +312,22 @@
                 let reader = RequestReader::new(LIMITS);
                 self.uses.insert(conn, Use::FromClient { proxy, reader, serving: None });
             }
-            Happened::Connected { conn } => {
+            ReactorEvent::Connected { conn } => {
                 if let Some(Use::ToServer { connected, .. }) = self.uses.get_mut(&conn) {
                     *connected = true;
                 }
             }
-            Happened::Came { conn } => self.came(conn),
-            Happened::Closed { conn, .. } => self.closed(conn),
-            Happened::Flushed { .. } | Happened::Signal(_) => {}
-            Happened::Ready(_) => {
+            ReactorEvent::Received { conn } => self.came(conn),
+            ReactorEvent::Closed { conn, .. } => self.closed(conn),
+            ReactorEvent::Flushed { .. } | ReactorEvent::Signal(_) => {}
+            ReactorEvent::Ready(_) => {
                 for (home, name) in self.watch.changes()? {
                     let Some(proxy) = self.by_folder.get(&home).copied() else { continue };
                     let named = |kind: &Kind| name.as_ref().is_none_or(|name| name == kind.file());
                     Kind::ALL.into_iter().filter(named).for_each(|kind| self.take_up(proxy, kind));
                 }
             }
-            Happened::Timer(due) => self.due(folder, due),
+            ReactorEvent::Timer(due) => self.due(folder, due),
         }
         Ok(())
     }
@@ -475,7 +475,7 @@
     /// A client's attempt has ended; `drop` closes its connection, on which an answer may still be due.
     fn client_done(&mut self, number: u64, answer: Answer, drop: bool) {
         let Some(Asking { operation, conn, over }) = self.asking.remove(&number) else { return };
-        self.reactor.withdraw_timer(over);
+        self.reactor.cancel_timer(over);
         if drop {
             self.uses.remove(&conn);
             self.reactor.close(conn);
@@ -555,7 +555,7 @@
                 },
             }
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     fn drop_conn(&mut self, conn: ConnId) {
@@ -770,7 +770,7 @@
         let (proxy, class, client, until) = (serving.proxy, serving.class, serving.client, serving.until);
         let conn = serving.conn.take();
         if let Some(over) = serving.over.take() {
-            self.reactor.withdraw_timer(over);
+            self.reactor.cancel_timer(over);
         }
         let took = now - serving.sent;
         let (tries, op_never) = (serving.tried.len(), self.script.classes[class].repeats == Repeats::Never);
@@ -810,7 +810,7 @@
                 let held = &mut self.proxies[proxy];
                 if let Some(listener) = held.listener.take() {
                     self.by_listener.remove(&listener);
-                    self.reactor.unlisten(listener);
+                    self.reactor.close_listener(listener);
                 }
                 held.up = false;
                 held.down_since = Some(now);
--- a/crates/craneknot-rehearsal/src/relay.rs
+++ b/crates/craneknot-rehearsal/src/relay.rs
@@ -100,7 +100,7 @@
         let pipe = self.pipes.get_mut(&conn)?;
         let input = reactor.input(conn)?;
         let bytes = input.split().freeze();
-        reactor.taken(conn);
+        reactor.input_consumed(conn);
         if self.cut.contains(&(pipe.proxy, pipe.coordinator)) {
             // Lost on the way: neither end learns of it.
             return None;
--- a/crates/craneknot-rehearsal/src/servers.rs
+++ b/crates/craneknot-rehearsal/src/servers.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use craneknot::interface::Nanos;
 use craneknot_http::{response, Limits as HttpLimits, RequestReader};
-use craneknot_reactor::{reserve, Clock, ConnId, Happened, Limits, ListenerId, Reactor};
+use craneknot_reactor::{reserve, Clock, ConnId, Limits, ListenerId, Reactor, ReactorEvent};
 use craneknot_xds::orca;
 use http::{HeaderMap, HeaderName, Request, StatusCode};
 use rand::{Rng, SeedableRng};
@@ -138,18 +138,18 @@
         self.reactor.set_timer(end, Due::End);
         loop {
             self.reactor.poll(None)?;
-            while let Some(happened) = self.reactor.happened() {
+            while let Some(happened) = self.reactor.next_event() {
                 match happened {
-                    Happened::Accepted { listener, conn, .. } => self.accept(listener, conn),
-                    Happened::Came { conn } => self.read(conn),
-                    Happened::Closed { conn, .. } => self.gone(conn),
-                    Happened::Timer(Due::Act(place)) => self.act(place)?,
-                    Happened::Timer(Due::Done { server, life, job }) => self.done(server, life, job),
-                    Happened::Timer(Due::End) => return Ok(self.log),
-                    Happened::Connected { .. }
-                    | Happened::Flushed { .. }
-                    | Happened::Ready(_)
-                    | Happened::Signal(_) => {}
+                    ReactorEvent::Accepted { listener, conn, .. } => self.accept(listener, conn),
+                    ReactorEvent::Received { conn } => self.read(conn),
+                    ReactorEvent::Closed { conn, .. } => self.gone(conn),
+                    ReactorEvent::Timer(Due::Act(place)) => self.act(place)?,
+                    ReactorEvent::Timer(Due::Done { server, life, job }) => self.done(server, life, job),
+                    ReactorEvent::Timer(Due::End) => return Ok(self.log),
+                    ReactorEvent::Connected { .. }
+                    | ReactorEvent::Flushed { .. }
+                    | ReactorEvent::Ready(_)
+                    | ReactorEvent::Signal(_) => {}
                 }
             }
         }
@@ -192,11 +192,11 @@
                     let answer = response(wrong.status(), &[], wrong.to_string().as_bytes());
                     let _ = self.reactor.send(conn, [answer]);
                     self.gone(conn);
-                    return self.reactor.finish(conn);
+                    return self.reactor.close_gracefully(conn);
                 }
             }
         }
-        self.reactor.taken(conn);
+        self.reactor.input_consumed(conn);
     }
 
     fn answer(&mut self, server: usize, conn: ConnId, status: StatusCode, refused: bool) {
@@ -296,7 +296,7 @@
             self.reactor.reset(conn);
         }
         if let Some(listener) = held.listener.take() {
-            self.reactor.unlisten(listener);
+            self.reactor.close_listener(listener);
             self.by_listener.remove(&listener);
         }
         self.log.add(self.reactor.now(), What::Stopped { server });
