--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -538,7 +538,7 @@
         } else {
             self.reply(conn, StatusCode::NOT_FOUND, b"{\"error\":\"no such resource\"}");
         }
-        if !RequestReader::persistent(message) && !self.peers.get(&conn).is_some_and(|peer| peer.joined) {
+        if !RequestReader::is_persistent(message) && !self.peers.get(&conn).is_some_and(|peer| peer.joined) {
             self.peers.remove(&conn);
             self.reactor.close_gracefully(conn);
         }
@@ -670,7 +670,7 @@
         let slow: Vec<ConnId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.reader.partial_for(now) > within)
+            .filter(|(_, peer)| peer.reader.partial_message_age(now) > within)
             .map(|(c, _)| *c)
             .collect();
         for conn in slow {
--- a/crates/craneknot-http/src/lib.rs
+++ b/crates/craneknot-http/src/lib.rs
@@ -4,5 +4,5 @@
 mod reader;
 mod writer;
 
-pub use reader::{Limits, RequestReader, ResponseReader, Wrong};
+pub use reader::{Limits, ParseError, RequestReader, ResponseReader};
 pub use writer::{request, response, response_chunks};
--- a/crates/craneknot-http/src/reader.rs
+++ b/crates/craneknot-http/src/reader.rs
@@ -26,44 +26,44 @@
 
 /// What is wrong with a message; the connection cannot be used any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum ParseError {
     HeadTooLarge,
     BodyTooLarge,
     Malformed(String),
     /// Message bodies coded in a way that is not spoken here.
     Unsupported(String),
     /// The peer ended within a message.
-    CutShort,
+    Truncated,
 }
 
-impl Wrong {
+impl ParseError {
     /// The status to answer a request with.
     pub fn status(&self) -> StatusCode {
         match self {
-            Wrong::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            Wrong::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Wrong::Malformed(_) | Wrong::CutShort => StatusCode::BAD_REQUEST,
-            Wrong::Unsupported(_) => StatusCode::NOT_IMPLEMENTED,
+            ParseError::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            ParseError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            ParseError::Malformed(_) | ParseError::Truncated => StatusCode::BAD_REQUEST,
+            ParseError::Unsupported(_) => StatusCode::NOT_IMPLEMENTED,
         }
     }
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::HeadTooLarge => write!(f, "the head of the message is too large"),
-            Wrong::BodyTooLarge => write!(f, "the body of the message is too large"),
-            Wrong::Malformed(what) => write!(f, "malformed message: {what}"),
-            Wrong::Unsupported(what) => write!(f, "not supported: {what}"),
-            Wrong::CutShort => write!(f, "the message was cut short"),
+            ParseError::HeadTooLarge => write!(f, "the head of the message is too large"),
+            ParseError::BodyTooLarge => write!(f, "the body of the message is too large"),
+            ParseError::Malformed(what) => write!(f, "malformed message: {what}"),
+            ParseError::Unsupported(what) => write!(f, "not supported: {what}"),
+            ParseError::Truncated => write!(f, "the message was cut short"),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for ParseError {}
 
-fn malformed(what: impl fmt::Display) -> Wrong {
-    Wrong::Malformed(what.to_string())
+fn malformed(what: impl fmt::Display) -> ParseError {
+    ParseError::Malformed(what.to_string())
 }
 
 enum Stage {
@@ -95,7 +95,7 @@
     }
 
     /// The bytes of a whole head, once they are there.
-    fn head_bytes(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, Wrong> {
+    fn head_bytes(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, ParseError> {
         if self.searched == 0 {
             // Empty lines before a message are let pass.
             while input.starts_with(b"\r\n") {
@@ -106,12 +106,12 @@
         let from = self.searched.min(input.len()).saturating_sub(3);
         let end = input[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
         match end {
-            Some(end) if end > self.limits.head => Err(Wrong::HeadTooLarge),
+            Some(end) if end > self.limits.head => Err(ParseError::HeadTooLarge),
             Some(end) => {
                 self.searched = 0;
                 Ok(Some(input.split_to(end)))
             }
-            None if input.len() > self.limits.head => Err(Wrong::HeadTooLarge),
+            None if input.len() > self.limits.head => Err(ParseError::HeadTooLarge),
             None => {
                 self.searched = input.len();
                 Ok(None)
@@ -119,10 +119,10 @@
         }
     }
 
-    fn begin(&mut self, head: H, stage: Stage) -> Result<(), Wrong> {
+    fn begin(&mut self, head: H, stage: Stage) -> Result<(), ParseError> {
         if let Stage::Length(length) = stage {
             if length > self.limits.body {
-                return Err(Wrong::BodyTooLarge);
+                return Err(ParseError::BodyTooLarge);
             }
         }
         self.head = Some(head);
@@ -131,7 +131,7 @@
     }
 
     /// Takes in the body; a whole message once it is all there.
-    fn body(&mut self, input: &mut BytesMut) -> Result<Option<(H, Bytes)>, Wrong> {
+    fn body(&mut self, input: &mut BytesMut) -> Result<Option<(H, Bytes)>, ParseError> {
         loop {
             match self.stage {
                 Stage::Head => return Ok(None),
@@ -156,7 +156,7 @@
                     let size = digits.and_then(|digits| usize::from_str_radix(digits, 16).ok());
                     let size = size.ok_or_else(|| malformed("a chunk's size is not a number"))?;
                     if self.body.len() + size > self.limits.body {
-                        return Err(Wrong::BodyTooLarge);
+                        return Err(ParseError::BodyTooLarge);
                     }
                     self.stage = if size == 0 { Stage::Trailer } else { Stage::Chunk(size) };
                 }
@@ -188,9 +188,9 @@
         }
     }
 
-    fn take_body(&mut self, part: usize, input: &mut BytesMut) -> Result<(), Wrong> {
+    fn take_body(&mut self, part: usize, input: &mut BytesMut) -> Result<(), ParseError> {
         if self.body.len() + part > self.limits.body {
-            return Err(Wrong::BodyTooLarge);
+            return Err(ParseError::BodyTooLarge);
         }
         self.body.extend_from_slice(&input.split_to(part));
         Ok(())
@@ -210,7 +210,7 @@
 }
 
 /// A line that ends with CR LF, without these.
-fn line(input: &mut BytesMut) -> Result<Option<BytesMut>, Wrong> {
+fn line(input: &mut BytesMut) -> Result<Option<BytesMut>, ParseError> {
     match input.windows(2).take(CHUNK_LINE).position(|two| two == b"\r\n") {
         Some(end) => {
             let line = input.split_to(end);
@@ -222,7 +222,7 @@
     }
 }
 
-fn headers(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, Wrong> {
+fn headers(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, ParseError> {
     let mut headers = HeaderMap::with_capacity(parsed.len());
     for header in parsed {
         let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(malformed)?;
@@ -233,7 +233,7 @@
 }
 
 /// How the body comes: nothing where neither a length nor a coding is told.
-fn framing(headers: &HeaderMap) -> Result<Option<Stage>, Wrong> {
+fn framing(headers: &HeaderMap) -> Result<Option<Stage>, ParseError> {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     let length = lengths.next();
     if lengths.any(|other| Some(other) != length) {
@@ -245,7 +245,7 @@
         (Some(coding), None) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => {
             Ok(Some(Stage::ChunkSize))
         }
-        (Some(coding), None) => Err(Wrong::Unsupported(format!("transfer coding {coding:?}"))),
+        (Some(coding), None) => Err(ParseError::Unsupported(format!("transfer coding {coding:?}"))),
         (None, Some(length)) => {
             let digits = length.to_str().ok().filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
             let length = digits.and_then(|digits| digits.parse().ok());
@@ -280,7 +280,7 @@
     }
 
     /// The next whole request. An error ends the connection; its status is to be answered first.
-    pub fn next(&mut self, input: &mut BytesMut, now: Nanos) -> Result<Option<Request<Bytes>>, Wrong> {
+    pub fn next(&mut self, input: &mut BytesMut, now: Nanos) -> Result<Option<Request<Bytes>>, ParseError> {
         if let Stage::Head = self.0.stage {
             if let Some(bytes) = self.0.head_bytes(input)? {
                 let (head, stage) = request_head(&bytes)?;
@@ -293,23 +293,23 @@
     }
 
     /// How long a message that is not whole yet has been coming in.
-    pub fn partial_for(&self, now: Nanos) -> Nanos {
+    pub fn partial_message_age(&self, now: Nanos) -> Nanos {
         self.0.since.map_or(Nanos(0), |since| now - since)
     }
 
     /// Whether the connection stays open after the answer to this request.
-    pub fn persistent<B>(request: &Request<B>) -> bool {
+    pub fn is_persistent<B>(request: &Request<B>) -> bool {
         request.extensions().get::<Persistent>().is_none_or(|persistent| persistent.0)
     }
 }
 
-fn request_head(bytes: &[u8]) -> Result<(Request<()>, Stage), Wrong> {
+fn request_head(bytes: &[u8]) -> Result<(Request<()>, Stage), ParseError> {
     let mut space = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut space);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) => return Err(Wrong::CutShort),
-        Err(httparse::Error::TooManyHeaders) => return Err(Wrong::HeadTooLarge),
+        Ok(httparse::Status::Partial) => return Err(ParseError::Truncated),
+        Err(httparse::Error::TooManyHeaders) => return Err(ParseError::HeadTooLarge),
         Err(cause) => return Err(malformed(cause)),
     }
     let method = Method::from_bytes(parsed.method.unwrap_or_default().as_bytes()).map_err(malformed)?;
@@ -339,7 +339,7 @@
         input: &mut BytesMut,
         ended: bool,
         now: Nanos,
-    ) -> Result<Option<Response<Bytes>>, Wrong> {
+    ) -> Result<Option<Response<Bytes>>, ParseError> {
         if let Stage::Head = self.0.stage {
             if let Some(bytes) = self.0.head_bytes(input)? {
                 let (head, stage) = response_head(&bytes)?;
@@ -351,7 +351,7 @@
             whole = match self.0.stage {
                 Stage::UntilEnd => self.0.whole(),
                 Stage::Head if input.is_empty() => None,
-                _ => return Err(Wrong::CutShort),
+                _ => return Err(ParseError::Truncated),
             };
         }
         self.0.note(input, now);
@@ -360,28 +360,28 @@
 
     /// Takes what has come of a body that is not whole yet, with its status: for one that never ends. After a
     /// taking the limit on the body counts anew.
-    pub fn take_part(&mut self) -> Option<(StatusCode, Bytes)> {
+    pub fn take_partial_body(&mut self) -> Option<(StatusCode, Bytes)> {
         let status = self.0.head.as_ref()?.status();
         Some((status, self.0.body.split().freeze()))
     }
 
     /// How long a message that is not whole yet has been coming in.
-    pub fn partial_for(&self, now: Nanos) -> Nanos {
+    pub fn partial_message_age(&self, now: Nanos) -> Nanos {
         self.0.since.map_or(Nanos(0), |since| now - since)
     }
 
-    pub fn persistent<B>(response: &Response<B>) -> bool {
+    pub fn is_persistent<B>(response: &Response<B>) -> bool {
         response.extensions().get::<Persistent>().is_none_or(|persistent| persistent.0)
     }
 }
 
-fn response_head(bytes: &[u8]) -> Result<(Response<()>, Stage), Wrong> {
+fn response_head(bytes: &[u8]) -> Result<(Response<()>, Stage), ParseError> {
     let mut space = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Response::new(&mut space);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
-        Ok(httparse::Status::Partial) => return Err(Wrong::CutShort),
-        Err(httparse::Error::TooManyHeaders) => return Err(Wrong::HeadTooLarge),
+        Ok(httparse::Status::Partial) => return Err(ParseError::Truncated),
+        Err(httparse::Error::TooManyHeaders) => return Err(ParseError::HeadTooLarge),
         Err(cause) => return Err(malformed(cause)),
     }
     let status = StatusCode::from_u16(parsed.code.unwrap_or_default()).map_err(malformed)?;
--- a/crates/craneknot-http/tests/broken.rs
+++ b/crates/craneknot-http/tests/broken.rs
@@ -2,14 +2,14 @@
 
 use bytes::{Bytes, BytesMut};
 use craneknot::interface::Nanos;
-use craneknot_http::{request, Limits, RequestReader, ResponseReader, Wrong};
+use craneknot_http::{request, Limits, ParseError, RequestReader, ResponseReader};
 use http::{Method, StatusCode};
 use quickcheck::{QuickCheck, TestResult};
 
 const LIMITS: Limits = Limits { head: 2_048, body: 4_096 };
 
 /// Feeds a reader in pieces; the bodies that came out, and how it ended.
-fn feed(input: &[u8], cuts: &[u8]) -> (Vec<Bytes>, Option<Wrong>) {
+fn feed(input: &[u8], cuts: &[u8]) -> (Vec<Bytes>, Option<ParseError>) {
     let (mut reader, mut buffer) = (RequestReader::new(LIMITS), BytesMut::new());
     let (mut bodies, mut at, mut cut) = (Vec::new(), 0, cuts.iter().cycle());
     loop {
@@ -110,7 +110,7 @@
             .next(&mut BytesMut::from(text), ended, Nanos(0))
             .map(|whole| whole.map(|whole| whole.into_body()))
     };
-    assert_eq!(read("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nab", true), Err(Wrong::CutShort));
+    assert_eq!(read("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nab", true), Err(ParseError::Truncated));
     assert_eq!(read("HTTP/1.1 200 OK\r\n\r\nab", true), Ok(Some(Bytes::from("ab"))));
     assert_eq!(read("HTTP/1.1 304 Not Modified\r\n\r\n", false), Ok(Some(Bytes::new())));
 }
@@ -131,7 +131,7 @@
                 None
             );
             let ended = reader.next(&mut BytesMut::new(), true, Nanos(0));
-            assert!(matches!(ended, Ok(None) | Err(Wrong::CutShort)), "cut at {cut}: {ended:?}");
+            assert!(matches!(ended, Ok(None) | Err(ParseError::Truncated)), "cut at {cut}: {ended:?}");
         }
     }
 }
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -442,12 +442,12 @@
             let Some(input) = self.reactor.input(conn) else { return };
             match link.reader.next(input, false, now) {
                 Ok(Some(response)) => {
-                    let keeps = ResponseReader::persistent(&response);
+                    let keeps = ResponseReader::is_persistent(&response);
                     self.coordinator.answered(now, link.id, &response, keeps);
                 }
                 Ok(None) => {
                     if self.coordinator.is_event_stream(link.id) {
-                        if let Some((status, bytes)) = link.reader.take_part() {
+                        if let Some((status, bytes)) = link.reader.take_partial_body() {
                             self.coordinator.event_stream_input(now, link.id, status, &bytes);
                         }
                     }
