--- a/crates/craneknot-platform/src/config.rs
+++ b/crates/craneknot-platform/src/config.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is told at its start, and again whenever its configuration is replaced.
+//! The configuration of a coordinator, read at startup and again whenever it is replaced.
 
 use std::net::SocketAddr;
 
@@ -9,42 +9,45 @@
 use crate::discovery::{self, Roster};
 use crate::fields::Object;
 
-/// The least and most of what the platform may limit a coordinator to.
-const SOCKETS: (u64, u64) = (16, 1 << 20);
+/// Minimum and maximum of the file descriptor limit that the platform may set for a coordinator.
+const SOCKET_LIMIT_RANGE: (u64, u64) = (16, 1 << 20);
 
+/// The parsed configuration of one coordinator.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where the relay listens.
+    /// The address at which the relay listens.
     pub relay: SocketAddr,
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     pub socket_limit: usize,
     pub settings: Settings,
     pub names: GivenNames,
-    /// The list as this coordinator last had it; it may be old.
+    /// The list of servers as this coordinator last knew it; it may be outdated.
     pub known_roster: Option<Roster>,
-    /// What of it can't be read, and is done without: discovery tells the list anyway.
+    /// Parse errors of the known list. They are not fatal, because discovery delivers the list anyway.
     pub warnings: Vec<String>,
 }
 
 impl Config {
+    /// Parses the configuration from JSON; errors name the field.
     pub fn parse(text: &[u8]) -> Result<Self, String> {
         let value: Value = serde_json::from_slice(text).map_err(|cause| format!("not JSON: {cause}"))?;
         let object = Object::new("configuration", &value)?;
         let address = |object: &Object, key: &str| -> Result<SocketAddr, String> {
-            object.text(key)?.parse().map_err(|_| object.wrong(key, "an address such as 10.0.0.4:9000"))
+            object.text(key)?.parse().map_err(|_| object.invalid(key, "an address such as 10.0.0.4:9000"))
         };
-        let relay = Object::new("configuration: distributor", object.need("distributor")?)?;
-        let limits = Object::new("configuration: limits", object.need("limits")?)?;
+        let relay = Object::new("configuration: distributor", object.required("distributor")?)?;
+        let limits = Object::new("configuration: limits", object.required("limits")?)?;
         let seed = object.text("seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| object.wrong("seed", "up to 16 hex digits"))?;
+        let seed =
+            u64::from_str_radix(seed, 16).map_err(|_| object.invalid("seed", "up to 16 hex digits"))?;
         let mut names = GivenNames::default();
-        let mut settings = given::settings(object.need("settings")?, &mut names)
-            .map_err(|what| format!("configuration: settings: {what}"))?;
-        // Whatever the settings say of a simulator's list, here discovery tells only who asks: where the list counted
-        // as pushed nobody asked, and drains were never heard of.
+        let mut settings = given::settings(object.required("settings")?, &mut names)
+            .map_err(|cause| format!("configuration: settings: {cause}"))?;
+        // The setting describes a simulator. The platform's discovery only answers requests: when the list counted as
+        // pushed, it was never requested and drains went unnoticed.
         settings.list_on_request = true;
         let mut warnings = Vec::new();
         let known = object.get("known").filter(|known| !known.is_null());
@@ -64,7 +67,7 @@
             discovery: address(&object, "discovery")?,
             relay: address(&relay, "address")?,
             seed,
-            socket_limit: limits.whole("sockets", SOCKETS.1)?.max(SOCKETS.0) as usize,
+            socket_limit: limits.integer("sockets", SOCKET_LIMIT_RANGE.1)?.max(SOCKET_LIMIT_RANGE.0) as usize,
             settings,
             names,
             known_roster,
--- a/crates/craneknot-platform/src/events.rs
+++ b/crates/craneknot-platform/src/events.rs
@@ -1,13 +1,14 @@
-//! The relay's news: an event stream, of which bytes come in pieces.
+//! The event stream of the relay, decoded incrementally.
 
 use bytes::{Buf, BytesMut};
 use craneknot::interface::*;
 use craneknot_settings::given::GivenNames;
 
+/// The path of a request for the event stream.
 pub const PATH: &str = "/api/events";
-const LONGEST: usize = 64 * 1024; // bytes of one line: news are far shorter
+const MAX_LINE_BYTES: usize = 64 * 1024; // events are far shorter
 
-/// One piece of news.
+/// An event that the relay reports about a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent {
     Joined { proxy: ProxyId, zone: ZoneId, usual_rate: f64 },
@@ -25,41 +26,42 @@
     }
 }
 
-/// Takes bytes as they come and gives news, as the HTML standard reads an event stream.
+/// Decodes bytes as they arrive into events, following the event stream format of the HTML standard.
 #[derive(Default)]
 pub struct Decoder {
-    rest: BytesMut,
+    buffer: BytesMut,
     event: String,
     data: String,
 }
 
-/// What a piece of the stream held.
+/// The result of decoding one part of the stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decoded {
-    /// In the order in which they came.
+    /// The events in the order of their arrival.
     pub events: Vec<RelayEvent>,
-    /// Why events were left out, one by one: a field was absent, wrong or out of range.
+    /// The cause of each event that was skipped: a field was missing, malformed or out of range.
     pub malformed: Vec<String>,
 }
 
 impl Decoder {
-    /// An event with a bad field costs itself alone. An error ends the stream: what follows can't be trusted.
+    /// Skips events with an invalid field. An error ends the stream, because what follows can't be trusted.
     pub fn decode(&mut self, bytes: &[u8], names: &mut GivenNames, proxies: u32) -> Result<Decoded, String> {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut decoded = Decoded::default();
-        while let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
-            let line = self.rest.split_to(end);
-            self.rest.advance(1);
-            let line = std::str::from_utf8(&line).map_err(|_| "news: not UTF-8")?.trim_end_matches('\r');
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line = self.buffer.split_to(end);
+            self.buffer.advance(1);
+            let line =
+                std::str::from_utf8(&line).map_err(|_| "event stream: not UTF-8")?.trim_end_matches('\r');
             if line.is_empty() {
                 let (event, data) = (std::mem::take(&mut self.event), std::mem::take(&mut self.data));
-                match read(&event, &data, names, proxies) {
-                    Ok(news) => decoded.events.extend(news),
+                match parse_event(&event, &data, names, proxies) {
+                    Ok(event) => decoded.events.extend(event),
                     Err(cause) => decoded.malformed.push(cause),
                 }
                 continue;
             }
-            // A line that begins with a colon is a sign of life.
+            // A line that begins with a colon is a comment that keeps the connection alive.
             let (field, value) = line.split_once(':').unwrap_or((line, ""));
             let value = value.strip_prefix(' ').unwrap_or(value);
             match field {
@@ -68,36 +70,41 @@
                 _ => {}
             }
         }
-        if self.rest.len() > LONGEST {
-            return Err("news: a line without end".into());
+        if self.buffer.len() > MAX_LINE_BYTES {
+            return Err("event stream: line too long".into());
         }
         Ok(decoded)
     }
 }
 
-fn read(event: &str, data: &str, names: &mut GivenNames, proxies: u32) -> Result<Option<RelayEvent>, String> {
-    let wrong = |key: &str| format!("news: {event}: {key} is missing or wrong in {data:?}");
+fn parse_event(
+    event: &str,
+    data: &str,
+    names: &mut GivenNames,
+    proxies: u32,
+) -> Result<Option<RelayEvent>, String> {
+    let invalid = |key: &str| format!("event {event}: {key} is missing or invalid in {data:?}");
     let pairs: Vec<_> = form_urlencoded::parse(data.as_bytes()).collect();
     let get = |key: &str| {
         let found = pairs.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_ref());
-        found.ok_or_else(|| wrong(key))
+        found.ok_or_else(|| invalid(key))
     };
     let proxy = || {
         let number = get("node")?.parse::<u16>().ok().filter(|number| u32::from(*number) < proxies);
-        number.map(ProxyId).ok_or_else(|| wrong("node"))
+        number.map(ProxyId).ok_or_else(|| invalid("node"))
     };
     Ok(match event {
         "attach" => {
             let rate = get("w")?.parse::<f64>().ok().filter(|rate| rate.is_finite() && *rate >= 0.0);
-            let usual_rate = rate.ok_or_else(|| wrong("w"))?;
+            let usual_rate = rate.ok_or_else(|| invalid("w"))?;
             Some(RelayEvent::Joined { proxy: proxy()?, zone: names.zone(get("locality")?), usual_rate })
         }
         "detach" => Some(RelayEvent::Left { proxy: proxy()? }),
         "done" => {
-            let mark = get("nonce")?.parse().map_err(|_| wrong("nonce"))?;
+            let mark = get("nonce")?.parse().map_err(|_| invalid("nonce"))?;
             Some(RelayEvent::Applied { proxy: proxy()?, mark })
         }
-        // RelayEvent of a later relay.
+        // Event types of a later version of the relay are ignored.
         _ => None,
     })
 }
--- a/crates/craneknot-platform/src/lib.rs
+++ b/crates/craneknot-platform/src/lib.rs
@@ -1,6 +1,6 @@
-//! The users' platform's messages, without I/O: its configuration, the reports that collectors bring, the calls and
-//! the news of its relay, discovery, probes. Bytes become the decisions' events, orders become bytes. The
-//! platform's words stay in here; nothing is decided here but whether a message can be read.
+//! Codecs of the users' platform, without I/O: the configuration, the reports that collectors send, the calls to the
+//! relay and its event stream, discovery, and probes. They parse bytes into events for the decisions and encode orders
+//! into bytes. The platform's names are confined to this crate, which decides nothing except whether a message is valid.
 
 pub mod config;
 pub mod discovery;
--- a/crates/craneknot-platform/src/messages.rs
+++ b/crates/craneknot-platform/src/messages.rs
@@ -1,4 +1,4 @@
-//! What comes to the coordinator's own address: one JSON object a line.
+//! Messages received at the coordinator's own address: one JSON object per line.
 
 use std::sync::Arc;
 
@@ -8,57 +8,59 @@
 
 use crate::fields::Object;
 
-/// The longest message, in bytes, its end included.
+/// Maximum length of a message, including the line break.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-const TRIES_MOST: u64 = 1 << 32; // in one report: more is no count
-const SPAN_MOST: Nanos = Nanos::from_millis(3_600_000); // ms; an hour, of any span or wait: more is no time
-const LOAD_MOST: f64 = 1e9; // of any value in a load report
+const MAX_COUNT: u64 = 1 << 32; // of tries or operations in one report; a larger count is invalid
+const MAX_DURATION: Nanos = Nanos::from_millis(3_600_000); // one hour, for intervals and latencies; more is invalid
+const MAX_LOAD_VALUE: f64 = 1e9; // of any value in a load report
 
-/// A message of a peer that dialled.
+/// A message from a peer that connected to the coordinator.
 #[derive(Debug, PartialEq)]
 pub enum Message {
-    /// It asks for a sign of life.
+    /// The peer requests a heartbeat answer.
     Heartbeat,
-    /// It is the collector of that zone.
+    /// The peer is the collector of this zone.
     Collector(ZoneId),
-    /// What proxies met, or what came to them; only a collector brings one.
+    /// Outcomes observed by proxies, or the demand that arrived at them; only a collector sends reports.
     Report(Event),
 }
 
-/// Why a line is no message.
+/// Why a line is not a valid message.
 #[derive(Debug, PartialEq)]
 pub enum MessageError {
-    /// No JSON object with a type: what follows on this connection can't be trusted either.
+    /// Not a JSON object with a type; what follows on this connection can't be trusted either.
     Corrupt(String),
-    /// No message that may come here, such as an order.
+    /// A message that is not accepted at this address, such as an order.
     Unexpected(String),
-    /// A report with a field that is absent, wrong or out of range; the messages around it may be good.
+    /// A report with a field that is missing, of the wrong type or out of range; the messages around it may be valid.
     Malformed(String),
 }
 
+/// The answer to a heartbeat.
 pub fn heartbeat_answer() -> &'static [u8] {
     b"{\"type\":\"hb_ok\"}\n"
 }
 
-/// What a peer is told before its connection is closed.
+/// The rejection that is sent to a peer before its connection is closed.
 pub fn reject(cause: &str) -> Vec<u8> {
     let mut line = json!({"type": "reject", "cause": cause}).to_string().into_bytes();
     line.push(b'\n');
     line
 }
 
-/// A load report's values: they go by the names that the settings give them, on some deployments by those of the
-/// platform's own pages.
-pub fn load(names: &GivenNames, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
-    let paged = |name: &str| match name {
+/// A load report from named values. The values have the names that the settings give them or, in some deployments,
+/// those in the platform's documentation.
+pub fn load_report(names: &GivenNames, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
+    let documented_name = |name: &str| match name {
         "busy" => Some("util"),
         "rif" => Some("inflight"),
         "lat_ms" => Some("latency_ms"),
         _ => None,
     };
-    names.report(|_, name| value(name).or_else(|| value(paged(name)?)))
+    names.report(|_, name| value(name).or_else(|| value(documented_name(name)?)))
 }
 
+/// Parses one line, without its line break; `proxies` is the number of proxies of the instance.
 pub fn parse(line: &[u8], names: &GivenNames, proxies: u32) -> Result<Message, MessageError> {
     let value: Value =
         serde_json::from_slice(line).map_err(|cause| MessageError::Corrupt(format!("not JSON: {cause}")))?;
@@ -71,47 +73,52 @@
             let known = names.known_zone(zone);
             known
                 .map(Message::Collector)
-                .ok_or_else(|| MessageError::Unexpected(format!("there is no locality {zone:?}")))
+                .ok_or_else(|| MessageError::Unexpected(format!("unknown locality {zone:?}")))
+        }
+        "upstream_stats" => {
+            upstream_stats(&object, names).map(Message::Report).map_err(MessageError::Malformed)
         }
-        "upstream_stats" => heard(&object, names).map(Message::Report).map_err(MessageError::Malformed),
         "client_stats" => {
-            demand(&object, names, proxies).map(Message::Report).map_err(MessageError::Malformed)
+            client_stats(&object, names, proxies).map(Message::Report).map_err(MessageError::Malformed)
+        }
+        other => {
+            Err(MessageError::Unexpected(format!("message type {other:?} is not accepted at this address")))
         }
-        other => Err(MessageError::Unexpected(format!("{other:?} is no message for this address"))),
     }
 }
 
-/// Tries that ended, and those of them that failed: no more failed than ended.
-fn tries(object: &Object) -> Result<(u64, u64), String> {
-    let total = object.whole("total", TRIES_MOST)?;
-    Ok((total, object.whole("errors", total)?))
+/// The tries that ended and how many of them failed; there can't be more failures than tries.
+fn try_counts(object: &Object) -> Result<(u64, u64), String> {
+    let total = object.integer("total", MAX_COUNT)?;
+    Ok((total, object.integer("errors", total)?))
 }
 
-/// Operations that arrived, and those that were given up on, of which some arrived in the spans before.
-fn arrivals(object: &Object) -> Result<(u64, u64), String> {
-    Ok((object.whole("total", TRIES_MOST)?, object.whole("errors", TRIES_MOST)?))
+/// The operations that arrived and those that were abandoned, some of which arrived in earlier intervals.
+fn operation_counts(object: &Object) -> Result<(u64, u64), String> {
+    Ok((object.integer("total", MAX_COUNT)?, object.integer("errors", MAX_COUNT)?))
 }
 
-fn span(object: &Object) -> Result<Nanos, String> {
-    let span = object.millis("interval", SPAN_MOST)?;
-    (span > Nanos(0)).then_some(span).ok_or_else(|| object.wrong("interval", "more than nothing"))
+fn interval(object: &Object) -> Result<Nanos, String> {
+    let interval = object.millis("interval", MAX_DURATION)?;
+    (interval > Nanos(0)).then_some(interval).ok_or_else(|| object.invalid("interval", "greater than 0"))
 }
 
-fn heard(object: &Object, names: &GivenNames) -> Result<Event, String> {
+fn upstream_stats(object: &Object, names: &GivenNames) -> Result<Event, String> {
     let zone = object.text("locality")?;
-    let zone = names.known_zone(zone).ok_or_else(|| object.wrong("locality", "one of the settings"))?;
-    let (tries, unanswered) = tries(object)?;
+    let zone =
+        names.known_zone(zone).ok_or_else(|| object.invalid("locality", "one that the settings name"))?;
+    let (tries, unanswered) = try_counts(object)?;
     let report = match object.get("metrics") {
         None => LoadReport::default(),
         Some(metrics) => {
             let metrics = Object::new("metrics", metrics)?;
             let Some(keys) = object.get("metrics").and_then(Value::as_object) else {
-                return Err(object.wrong("metrics", "an object"));
+                return Err(object.invalid("metrics", "an object"));
             };
             for key in keys.keys() {
-                metrics.number(key, LOAD_MOST)?;
+                metrics.number(key, MAX_LOAD_VALUE)?;
             }
-            load(names, |name| metrics.number(name, LOAD_MOST).ok())
+            load_report(names, |name| metrics.number(name, MAX_LOAD_VALUE).ok())
         }
     };
     Ok(Event::Heard {
@@ -119,21 +126,21 @@
         server: ServerId(Arc::from(object.text("endpoint")?)),
         tries,
         unanswered,
-        latency: object.millis("rtt", SPAN_MOST)?,
-        span: span(object)?,
+        latency: object.millis("rtt", MAX_DURATION)?,
+        span: interval(object)?,
         report,
     })
 }
 
-fn demand(object: &Object, names: &GivenNames, proxies: u32) -> Result<Event, String> {
-    let proxy = object.whole("node", u64::from(proxies.clamp(1, 65_536)) - 1)? as u16;
+fn client_stats(object: &Object, names: &GivenNames, proxies: u32) -> Result<Event, String> {
+    let proxy = object.integer("node", u64::from(proxies.clamp(1, 65_536)) - 1)? as u16;
     let class = names.class(object.text("route")?);
-    let (arrived, unanswered) = arrivals(object)?;
+    let (arrived, unanswered) = operation_counts(object)?;
     Ok(Event::Demand {
         proxy: ProxyId(proxy),
-        class: class.ok_or_else(|| object.wrong("route", "one of the settings"))?,
+        class: class.ok_or_else(|| object.invalid("route", "one that the settings name"))?,
         arrived,
         unanswered,
-        span: span(object)?,
+        span: interval(object)?,
     })
 }
--- a/crates/craneknot-platform/src/relay.rs
+++ b/crates/craneknot-platform/src/relay.rs
@@ -1,16 +1,18 @@
-//! Calls to the relay: orders as a form, answered in XML.
+//! Calls to the relay: orders are sent as a form and answered in XML.
 
 use craneknot::interface::*;
 use craneknot_settings::given::GivenNames;
 use quick_xml::events::Event as Xml;
 use quick_xml::Reader;
 
+/// The path of a call.
 pub const PATH: &str = "/api/";
+/// The content type of a call's body.
 pub const CONTENT_TYPE: &str = "application/x-www-form-urlencoded";
-/// Bytes of orders that one call carries.
+/// Maximum number of bytes of orders in one call.
 pub const MAX_CALL_BYTES: usize = 60_000;
 
-/// One order in the relay's words; nothing for what is no order to proxies.
+/// Encodes an order for the relay; `None` for orders that are not addressed to proxies.
 pub fn encode_order(order: &Order, names: &GivenNames) -> Option<String> {
     let classes = |set: ClassSet| names.classes_in(set).collect::<Vec<&str>>().join("+");
     match order {
@@ -19,72 +21,74 @@
             Some(format!("bind,{},{},{}", proxy.0, table.0, classes(*set)))
         }
         Order::Level { table, classes: set, level, tries } => {
-            let how = match tries {
+            let retry_mode = match tries {
                 FurtherTries::Never => 0,
                 FurtherTries::Unrun => 1,
                 FurtherTries::Once => 2,
                 FurtherTries::Twice => 3,
             };
-            Some(format!("admit,{},{},{level},{how}", table.0, classes(*set)))
+            Some(format!("admit,{},{},{level},{retry_mode}", table.0, classes(*set)))
         }
         Order::Mark { mark } => Some(format!("mark,{mark},0")),
         Order::Probe { .. } | Order::WatchList | Order::Wake { .. } => None,
     }
 }
 
-/// What an order sets, where a later one that sets the same leaves nothing of it.
+/// The key of what an order sets: a later order with the same key fully replaces it.
 pub fn coalescing_key(order: &Order) -> Option<String> {
     match order {
         Order::Line { table, server, .. } => Some(format!("share,{},{}", table.0, server.0)),
         Order::Bind { proxy, classes, .. } => Some(format!("bind,{},{}", proxy.0, classes.0)),
         Order::Level { table, classes, .. } => Some(format!("admit,{},{}", table.0, classes.0)),
-        // Each mark is answered.
+        // Every mark is acknowledged, so none replaces another.
         Order::Mark { .. } | Order::Probe { .. } | Order::WatchList | Order::Wake { .. } => None,
     }
 }
 
-/// The body of a call that carries these orders.
+/// The form body of a call with these encoded orders.
 pub fn call_body(orders: &[&str]) -> String {
     let mut form = form_urlencoded::Serializer::new(String::new());
     form.append_pair("Action", "ApplyOrders").append_pair("ops", &orders.join(";"));
     form.finish()
 }
 
-/// What the relay says to a call.
+/// The relay's answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// So many orders were taken, counting from the first.
+    /// The number of orders that were accepted, counted from the first.
     Accepted(usize),
-    /// Turned away as a whole.
+    /// The call was rejected as a whole.
     Rejected(Rejection),
 }
 
+/// Why the relay rejected a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It takes no calls yet, or too many have come.
+    /// The relay accepts no calls yet, or has received too many.
     Throttled,
-    /// It has not been carried out, by no fault of the call's.
+    /// The call was not carried out, for a reason that does not lie in the call.
     Transient,
-    /// It was no call that the relay knows.
+    /// The relay does not recognise the call.
     Invalid,
 }
 
-/// Reads the answer to a call of so many orders; an answer that counts more is not believed.
+/// Parses the answer to a call with this number of orders; an answer that counts more is rejected.
 pub fn parse_answer(body: &[u8], orders: usize) -> Result<Answer, String> {
     let mut reader = Reader::from_reader(body);
-    let (mut within, mut taken, mut refusal) = (Vec::new(), None, None);
+    let (mut open_elements, mut accepted, mut rejection) = (Vec::new(), None, None);
     loop {
         match reader.read_event().map_err(|cause| format!("answer: not XML: {cause}"))? {
-            Xml::Start(start) => within.push(start.name().as_ref().to_vec()),
+            Xml::Start(start) => open_elements.push(start.name().as_ref().to_vec()),
             Xml::End(_) => {
-                within.pop();
+                open_elements.pop();
             }
             Xml::Text(text) => {
                 let text = std::str::from_utf8(&text).map_err(|_| "answer: not UTF-8")?.trim();
-                if within.last().is_some_and(|name| name == b"ok_count") {
-                    taken = Some(text.parse::<usize>().map_err(|_| format!("answer: ok_count is {text:?}"))?);
+                if open_elements.last().is_some_and(|name| name == b"ok_count") {
+                    accepted =
+                        Some(text.parse::<usize>().map_err(|_| format!("answer: ok_count is {text:?}"))?);
                 }
-                refusal = refusal.or(match text {
+                rejection = rejection.or(match text {
                     "throttled" => Some(Rejection::Throttled),
                     "conflict" | "internal" => Some(Rejection::Transient),
                     "invalid" => Some(Rejection::Invalid),
@@ -96,10 +100,10 @@
             Xml::CData(_) | Xml::GeneralRef(_) => {}
         }
     }
-    match (taken, refusal) {
-        (Some(taken), _) if taken <= orders => Ok(Answer::Accepted(taken)),
-        (Some(taken), _) => Err(format!("answer: {taken} orders taken of {orders}")),
-        (None, Some(refusal)) => Ok(Answer::Rejected(refusal)),
-        (None, None) => Err("answer: neither a count nor an error".into()),
+    match (accepted, rejection) {
+        (Some(accepted), _) if accepted <= orders => Ok(Answer::Accepted(accepted)),
+        (Some(accepted), _) => Err(format!("answer: {accepted} orders accepted of {orders}")),
+        (None, Some(rejection)) => Ok(Answer::Rejected(rejection)),
+        (None, None) => Err("answer: neither ok_count nor a known error code".into()),
     }
 }
--- a/crates/craneknot-platform/tests/messages.rs
+++ b/crates/craneknot-platform/tests/messages.rs
@@ -1,4 +1,4 @@
-//! The platform's messages as its pages show them, whole, in pieces and spoilt.
+//! Parsing and encoding of the platform's messages: as documented, in fragments and malformed.
 
 use craneknot::interface::*;
 use craneknot_platform::config::Config;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_configuration_is_read_and_errors_name_the_place() {
+fn a_configuration_is_parsed_and_errors_name_the_field() {
     let config = config();
     assert_eq!((config.seed, config.socket_limit), (0x8c1f_30d2_7a5b_e964, 256));
     assert_eq!((config.settings.proxies, config.settings.classes.len()), (150, 2));
@@ -27,7 +27,7 @@
     assert_eq!((known.revision, known.servers[0].0.started), (41, None));
     assert_eq!(known.servers[1].0.started, Some(Nanos::from_millis(1_700_000_000_000)));
     assert_eq!(known.servers[1].0.readiness, Readiness::Draining);
-    for (pointer, bad, told) in [
+    for (pointer, bad, expected) in [
         ("/seed", json!("xyz"), "seed must be up to 16 hex digits"),
         ("/distributor/address", json!(7), "address must be text"),
         ("/settings/extra/bare", Value::Null, "setting extra.bare must be a number"),
@@ -36,13 +36,13 @@
         let mut value = configuration();
         *value.pointer_mut(pointer).unwrap() = bad;
         let error = Config::parse(value.to_string().as_bytes()).err().unwrap();
-        assert!(error.contains(told), "{pointer}: {error}");
+        assert!(error.contains(expected), "{pointer}: {error}");
     }
 }
 
-/// Found on a deployment written here: with a pushed list nobody watched discovery, and the rule on drains broke.
+/// With a list that the settings declare as pushed, discovery was never watched and the rule on drains was broken.
 #[test]
-fn discovery_is_watched_whatever_the_settings_say_of_the_list() {
+fn discovery_is_watched_whatever_the_settings_say_about_the_list() {
     for (mode, within) in [("pushed", None), ("on_request", Some(10.0))] {
         let mut value = configuration();
         value["settings"]["registry-mode"] = mode.into();
@@ -52,20 +52,20 @@
     }
 }
 
-/// The list that is known from before is a help, not a condition: discovery tells the list anyway.
+/// The known list in the configuration is optional: discovery delivers the list anyway.
 #[test]
-fn a_malformed_entry_of_the_known_list_costs_itself_and_is_told_with_its_place() {
-    for (pointer, bad, told) in [
+fn a_malformed_entry_of_the_known_list_is_skipped_and_reported_with_its_index() {
+    for (pointer, bad, text) in [
         ("/known/members/0/phase", json!("up"), "known: list: members[0]: list entry: phase must be SERVING"),
         ("/known/members/0/host_port", json!(7), "known: list: members[0]: list entry: host_port must be"),
-        ("/known/members/0", json!([]), "known: list: members[0]: list entry: an object wanted"),
+        ("/known/members/0", json!([]), "known: list: members[0]: list entry: expected an object"),
     ] {
         let mut value = configuration();
         *value.pointer_mut(pointer).unwrap() = bad;
         let config = Config::parse(value.to_string().as_bytes()).unwrap();
         let known = config.known_roster.unwrap();
         assert_eq!((known.servers.len(), &*known.servers[0].0.server.0), (1, "s-2"), "{pointer}");
-        assert!(config.warnings.len() == 1 && config.warnings[0].starts_with(told), "{:?}", config.warnings);
+        assert!(config.warnings.len() == 1 && config.warnings[0].starts_with(text), "{:?}", config.warnings);
     }
     for bad in [json!(7), json!({"revision": 41}), json!({"revision": 41, "complete": true, "members": [7]})]
     {
@@ -76,9 +76,9 @@
     }
 }
 
-/// One entry that can't be read must not hide all the others' changes.
+/// One entry that can't be parsed must not hide the changes of the others.
 #[test]
-fn a_malformed_entry_of_a_list_costs_itself() {
+fn a_malformed_entry_of_a_list_is_skipped() {
     let mut names = config().names;
     let entry = |id: &str, phase: Value| json!({"id": id, "host_port": "127.0.0.1:9", "locality": "a", "flavor": "m2", "phase": phase});
     let list = json!({"revision": 44, "complete": false,
@@ -89,24 +89,24 @@
         roster.malformed.iter().map(|(id, _)| id.as_ref().map(|id| &*id.0)).collect();
     assert_eq!(ids, [Some("s-2"), None]);
     let nothing = json!({"revision": 44, "complete": true, "members": [entry("s-1", json!(7))]});
-    assert!(discovery::parse(nothing.to_string().as_bytes(), &mut names).is_err(), "nothing is known of it");
+    assert!(discovery::parse(nothing.to_string().as_bytes(), &mut names).is_err(), "no entry can be parsed");
 }
 
-fn read(names: &GivenNames, value: &Value) -> Result<Message, MessageError> {
+fn parse(names: &GivenNames, value: &Value) -> Result<Message, MessageError> {
     messages::parse(value.to_string().as_bytes(), names, 150)
 }
 
-/// Found on the long day: metrics go by the names that the settings give them; read by others, every busy share was
-/// unknown to the decisions.
+/// Metrics have the names that the settings give them. When they were looked up by other names, the decisions had no
+/// busy share of any server.
 #[test]
-fn load_reports_go_by_the_names_of_the_settings_or_of_the_pages() {
+fn load_reports_use_the_names_of_the_settings_or_of_the_documentation() {
     let names = config().names;
     for metrics in [json!({"busy": 0.92, "rif": 3.5, "lat_ms": 35.5}), json!({"util": 0.92, "inflight": 3.5})]
     {
         let line = json!({"type": "upstream_stats", "locality": "a", "endpoint": "s-1", "total": 212, "errors": 3,
                           "rtt": 41.7, "interval": 1000.0, "metrics": metrics});
-        let Ok(Message::Report(heard)) = read(&names, &line) else { panic!("{line}") };
-        let Event::Heard { zone, tries, unanswered, span, latency, report, .. } = heard else {
+        let Ok(Message::Report(event)) = parse(&names, &line) else { panic!("{line}") };
+        let Event::Heard { zone, tries, unanswered, span, latency, report, .. } = event else {
             panic!("{line}")
         };
         assert_eq!((report.busy, report.held), (Some(0.92), Some(3.5)));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn lines_that_are_no_messages_are_told_apart() {
+fn invalid_lines_are_classified() {
     let names = config().names;
     let good = json!({"type": "client_stats", "node": 17, "route": "lookup", "total": 0, "errors": 2, "interval": 500.0});
     let demand = Event::Demand {
@@ -128,7 +128,7 @@
         unanswered: 2,
         span: Nanos::from_millis(500),
     };
-    assert_eq!(read(&names, &good), Ok(Message::Report(demand)), "given up on in a later span");
+    assert_eq!(parse(&names, &good), Ok(Message::Report(demand)), "abandoned in a later interval");
     for (key, bad) in [
         ("node", json!(150)),
         ("node", json!(-1)),
@@ -141,16 +141,16 @@
     ] {
         let mut line = good.clone();
         line[key] = bad;
-        assert!(matches!(read(&names, &line), Err(MessageError::Malformed(_))), "{line}");
+        assert!(matches!(parse(&names, &line), Err(MessageError::Malformed(_))), "{line}");
     }
     assert_eq!(
-        read(&names, &json!({"type": "telemetry", "locality": "b"})),
+        parse(&names, &json!({"type": "telemetry", "locality": "b"})),
         Ok(Message::Collector(ZoneId(1)))
     );
-    let foreign =
+    let unexpected =
         [json!({"type": "telemetry", "locality": "z"}), json!({"type": "share"}), json!({"type": "attach"})];
-    for line in foreign {
-        assert!(matches!(read(&names, &line), Err(MessageError::Unexpected(_))), "{line}");
+    for line in unexpected {
+        assert!(matches!(parse(&names, &line), Err(MessageError::Unexpected(_))), "{line}");
     }
     for line in ["", "GET / HTTP/1.1\r", "[1]", "{\"type\":7}", "{\"type\":\"hb\"", "\u{0}"] {
         assert!(
@@ -161,8 +161,8 @@
 }
 
 #[test]
-fn no_bytes_make_a_reader_panic() {
-    fn all(bytes: Vec<u8>) -> bool {
+fn arbitrary_bytes_cause_no_panic() {
+    fn parse_all(bytes: Vec<u8>) -> bool {
         let mut names = config().names;
         let _ = messages::parse(&bytes, &names, 150);
         let _ = relay::parse_answer(&bytes, 3);
@@ -172,11 +172,11 @@
         let _ = Decoder::default().decode(&bytes, &mut names, 150);
         true
     }
-    QuickCheck::new().quickcheck(all as fn(Vec<u8>) -> bool);
+    QuickCheck::new().quickcheck(parse_all as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn orders_are_written_as_the_relay_reads_them() {
+fn orders_are_encoded_as_the_relay_expects_them() {
     let (names, table) = (config().names, TableId(4));
     let server = ServerId("s-5be2a07c".into());
     let both = ClassSet::of(ClassId(0)).with(ClassId(1));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn answers_of_the_relay_are_believed_only_where_they_make_sense() {
+fn implausible_answers_of_the_relay_are_rejected() {
     let xml = |count: &str| {
         let head = "<?xml version=\"1.0\"?>\n<Response><entries><item><ok_count>";
         format!("{head}{count}</ok_count></item></entries></Response>").into_bytes()
@@ -210,22 +210,22 @@
 }
 
 #[test]
-fn news_come_whole_however_their_bytes_are_cut() {
+fn events_are_decoded_wherever_their_bytes_are_split() {
     let text = "event: attach\ndata: node=17&locality=a&w=21.5&cold=1\n\n:\n\nevent: done\n\
                 data: node=17&nonce=905&latency=310.4\n\nevent: later\ndata: x=1\n\nevent: detach\ndata: node=17\n\n";
-    let whole = vec![
+    let expected = vec![
         RelayEvent::Joined { proxy: ProxyId(17), zone: ZoneId(0), usual_rate: 21.5 },
         RelayEvent::Applied { proxy: ProxyId(17), mark: 905 },
         RelayEvent::Left { proxy: ProxyId(17) },
     ];
-    for part in 1..text.len() {
+    for size in 1..text.len() {
         let (mut decoder, mut names) = (Decoder::default(), config().names);
-        let parts = text.as_bytes().chunks(part);
-        let news: Vec<RelayEvent> =
+        let parts = text.as_bytes().chunks(size);
+        let events: Vec<RelayEvent> =
             parts.flat_map(|part| decoder.decode(part, &mut names, 150).unwrap().events).collect();
-        assert_eq!(news, whole, "cut into {part}");
+        assert_eq!(events, expected, "parts of {size} bytes");
     }
-    // An event with a bad field is left out, and told; those around it are taken.
+    // An event with an invalid field is skipped and reported; those around it are decoded.
     let good = "event: detach\ndata: node=17\n\n";
     for bad in
         ["event: attach\ndata: node=150&locality=a&w=1\n\n", "event: attach\ndata: node=1&locality=a&w=x\n\n"]
@@ -236,5 +236,5 @@
         assert_eq!(decoded.malformed.len(), 1, "{bad}");
     }
     let (mut decoder, mut names) = (Decoder::default(), config().names);
-    assert!(decoder.decode(b"event: \xff\n\n", &mut names, 150).is_err(), "what is no text ends the stream");
+    assert!(decoder.decode(b"event: \xff\n\n", &mut names, 150).is_err(), "not UTF-8: the stream ends");
 }
