--- a/crates/craneknot-reactor/src/clock.rs
+++ b/crates/craneknot-reactor/src/clock.rs
@@ -1,32 +1,34 @@
-//! Clocks. All moments are nanoseconds since the Unix epoch.
+//! Clocks. All times are nanoseconds since the Unix epoch.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use craneknot::interface::Nanos;
 
-/// The latest date that a start believes, some 292 years after 1970: moments beyond it are left for timers.
-const DATE_MOST: Duration = Duration::from_nanos(u64::MAX / 2);
+/// The latest start time of a clock, some 292 years after 1970, which leaves the range beyond it for timers.
+const MAX_START_TIME: Duration = Duration::from_nanos(u64::MAX / 2);
 
+/// A source of the current time.
 pub trait Clock: Send + Sync {
     fn now(&self) -> Nanos;
 
-    /// True: time passes only when a test says so, and nothing ever waits for it.
+    /// True if time advances only when a test advances it, and nothing ever waits for it.
     fn is_manual(&self) -> bool {
         false
     }
 }
 
-/// The machine's date at its making, from then on the steady clock: a date that is set anew moves nothing.
+/// A monotonic clock that starts at the system time of its creation, so that later changes of the system time have no
+/// effect.
 pub struct SteadyClock {
     start: Instant,
-    date: Duration,
+    start_time: Duration,
 }
 
 impl SteadyClock {
     pub fn new() -> Self {
-        let date = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        SteadyClock { start: Instant::now(), date: date.min(DATE_MOST) }
+        let start_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        SteadyClock { start: Instant::now(), start_time: start_time.min(MAX_START_TIME) }
     }
 }
 
@@ -38,12 +40,12 @@
 
 impl Clock for SteadyClock {
     fn now(&self) -> Nanos {
-        let since = self.date + self.start.elapsed();
-        Nanos(u64::try_from(since.as_nanos()).unwrap_or(u64::MAX))
+        let now = self.start_time + self.start.elapsed();
+        Nanos(u64::try_from(now.as_nanos()).unwrap_or(u64::MAX))
     }
 }
 
-/// A clock that stands until a test moves it.
+/// A clock that stands still until a test advances it.
 #[derive(Default)]
 pub struct ManualClock(AtomicU64);
 
@@ -52,8 +54,8 @@
         ManualClock(AtomicU64::new(now.0))
     }
 
-    pub fn advance(&self, span: Nanos) {
-        self.0.fetch_add(span.0, Ordering::SeqCst);
+    pub fn advance(&self, duration: Nanos) {
+        self.0.fetch_add(duration.0, Ordering::SeqCst);
     }
 }
 
--- a/crates/craneknot-reactor/src/conn.rs
+++ b/crates/craneknot-reactor/src/conn.rs
@@ -1,4 +1,4 @@
-//! One connection: its socket, what was read ahead, and what waits to be written.
+//! One connection: its socket, the bytes received and the bytes queued for writing.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
@@ -10,65 +10,65 @@
 use crate::reactor::CloseCause;
 use crate::system_errors::{is_soft_network_error, is_transient};
 
-const READS: usize = 16; // of 16 KiB a turn and connection: a fast peer must not hold up others
-const READ_SIZE: usize = 16 * 1024; // bytes read at once
-const WRITE_CHUNKS: usize = 32; // chunks handed to one write
+const MAX_READS: usize = 16; // of 16 KiB per event, so that a fast peer does not hold up the others
+const READ_BYTES: usize = 16 * 1024; // per read
+const MAX_WRITE_CHUNKS: usize = 32; // per vectored write
 
-/// Where a connection stands on its way to the end.
+/// The stages of a graceful close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Closing {
-    /// It is in use.
+    /// The connection is in use.
     No,
-    /// The owner has no more use for it: it closes once all that waits is written.
+    /// The owner has finished with the connection; it closes once all queued bytes are written.
     AfterOutput,
-    /// All is written and our side is shut; what the peer still sends is read and dropped until it has seen that, so
-    /// that its last bytes do not make the system reset the connection under our last ones.
+    /// All bytes are written and the sending side is shut down. Input is read and discarded until the peer has seen
+    /// that: unread input would make the system reset the connection before the peer has received our last bytes.
     Lingering { since: Nanos },
 }
 
 pub(crate) struct Conn {
-    pub made: u64,
+    pub generation: u64,
     pub socket: TcpStream,
     pub accepted: bool,
     pub connecting: bool,
     pub input: BytesMut,
     pub output: VecDeque<Bytes>,
-    pub waiting: usize,
-    /// When a byte last left, or waiting began.
-    pub progress: Nanos,
+    pub unsent: usize,
+    /// When a byte was last written, or when bytes were first queued.
+    pub last_progress: Nanos,
     pub closing: Closing,
-    /// The peer has shut its sending side, and output still waits for it.
+    /// The peer has shut down its sending side while output is still queued for it.
     pub read_closed: bool,
     pub ended: bool,
     pub paused: bool,
-    /// What the poller watches for: reading, writing.
-    pub wanted: (bool, bool),
-    /// Bytes read ahead of their use.
-    pub input_most: usize,
+    /// The interest registered with the poller: reading, writing.
+    pub registered_interest: (bool, bool),
+    /// Limit of the bytes buffered for reading.
+    pub input_limit: usize,
 }
 
 impl Conn {
-    pub fn new(socket: TcpStream, accepted: bool, made: u64, now: Nanos, input_most: usize) -> Self {
+    pub fn new(socket: TcpStream, accepted: bool, generation: u64, now: Nanos, input_limit: usize) -> Self {
         let connecting = !accepted;
         Conn {
-            made,
+            generation,
             socket,
             accepted,
             connecting,
             input: BytesMut::new(),
             output: VecDeque::new(),
-            waiting: 0,
-            progress: now,
+            unsent: 0,
+            last_progress: now,
             closing: Closing::No,
             read_closed: false,
             ended: false,
             paused: false,
-            wanted: (!connecting, connecting),
-            input_most,
+            registered_interest: (!connecting, connecting),
+            input_limit,
         }
     }
 
-    /// What the poller is to watch for.
+    /// The interest that the poller should have.
     pub fn interest(&self) -> (bool, bool) {
         if self.ended {
             return (false, false);
@@ -78,24 +78,24 @@
         }
         match self.closing {
             Closing::Lingering { .. } => (true, false),
-            Closing::AfterOutput => (false, self.waiting > 0),
+            Closing::AfterOutput => (false, self.unsent > 0),
             Closing::No => {
-                let room = self.input.len() < self.input_most;
-                (room && !self.paused && !self.read_closed, self.waiting > 0)
+                let has_space = self.input.len() < self.input_limit;
+                (has_space && !self.paused && !self.read_closed, self.unsent > 0)
             }
         }
     }
 
-    /// Shuts our side; false: there is no use in waiting for the peer.
+    /// Shuts down the sending side; false if there is no point in waiting for the peer.
     pub fn begin_linger(&mut self, now: Nanos) -> bool {
         self.closing = Closing::Lingering { since: now };
         !self.read_closed && self.socket.shutdown(Shutdown::Write).is_ok()
     }
 
-    /// Drops what the peer sends after our end; true: the peer has ended too.
+    /// Discards what the peer sends after our end of stream; true if the peer has ended too.
     pub fn discard_input(&mut self) -> bool {
-        let mut buffer = [0; READ_SIZE];
-        for _ in 0..READS {
+        let mut buffer = [0; READ_BYTES];
+        for _ in 0..MAX_READS {
             match self.socket.read(&mut buffer) {
                 Ok(0) => return true,
                 Ok(_) => {}
@@ -106,28 +106,28 @@
         false
     }
 
-    /// Reads what has come, as far as there is room for it.
-    pub fn read_some(&mut self) -> Option<CloseCause> {
-        let mut buffer = [0; READ_SIZE];
+    /// Reads the available bytes, up to the limit of the input buffer.
+    pub fn read_available(&mut self) -> Option<CloseCause> {
+        let mut buffer = [0; READ_BYTES];
         let before = self.input.len();
-        for _ in 0..READS {
-            let room = self.input_most.saturating_sub(self.input.len()).min(buffer.len());
-            if room == 0 {
+        for _ in 0..MAX_READS {
+            let space = self.input_limit.saturating_sub(self.input.len()).min(buffer.len());
+            if space == 0 {
                 return None;
             }
-            match self.socket.read(&mut buffer[..room]) {
-                // The owner sees the last bytes first, and may still answer them: a peer that has shut its sending
-                // side reads on. The poller tells of the end again.
+            match self.socket.read(&mut buffer[..space]) {
+                // The owner handles the last bytes first and may answer them, since a peer that has shut down its
+                // sending side may still read. The poller reports the end again.
                 Ok(0) if self.input.len() > before => return None,
                 Ok(0) => return Some(CloseCause::PeerClosed),
                 Ok(count) => {
                     self.input.extend_from_slice(&buffer[..count]);
-                    if count < room {
+                    if count < space {
                         return None;
                     }
                 }
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-                // The poller tells of the bytes again, or of the end.
+                // The poller reports the bytes or the end again.
                 Err(cause) if is_transient(&cause) || is_soft_network_error(&cause) => return None,
                 Err(cause) => return Some(CloseCause::Broken(cause)),
             }
@@ -135,16 +135,16 @@
         None
     }
 
-    /// Writes as much of what waits as the system takes.
-    pub fn write_some(&mut self, now: Nanos) -> io::Result<()> {
-        while self.waiting > 0 {
-            let chunks = self.output.iter().take(WRITE_CHUNKS);
+    /// Writes as many of the queued bytes as the system accepts.
+    pub fn write_available(&mut self, now: Nanos) -> io::Result<()> {
+        while self.unsent > 0 {
+            let chunks = self.output.iter().take(MAX_WRITE_CHUNKS);
             let slices: Vec<IoSlice> = chunks.map(|chunk| IoSlice::new(chunk)).collect();
             match self.socket.write_vectored(&slices) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => {
-                    self.progress = now;
-                    self.take_written(count);
+                    self.last_progress = now;
+                    self.remove_written(count);
                 }
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
                 Err(cause) if is_transient(&cause) || is_soft_network_error(&cause) => return Ok(()),
@@ -154,8 +154,8 @@
         Ok(())
     }
 
-    fn take_written(&mut self, mut count: usize) {
-        self.waiting -= count;
+    fn remove_written(&mut self, mut count: usize) {
+        self.unsent -= count;
         while count > 0 {
             let Some(first) = self.output.front_mut() else { return };
             let part = count.min(first.len());
--- a/crates/craneknot-reactor/src/counter.rs
+++ b/crates/craneknot-reactor/src/counter.rs
@@ -1,9 +1,9 @@
-//! A count shared between threads.
+//! A counter shared between threads.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// A count that one thread raises and others read; its clones share it.
+/// A counter that one thread increments and others read; clones share the same value.
 #[derive(Clone, Debug, Default)]
 pub struct Counter(Arc<AtomicU64>);
 
--- a/crates/craneknot-reactor/src/lib.rs
+++ b/crates/craneknot-reactor/src/lib.rs
@@ -1,6 +1,6 @@
-//! One event loop on the `polling` crate: sockets, one timer queue in whole nanoseconds, signals and watched
-//! folders, with bounded buffers and back pressure. No thread and no async runtime; the owner asks
-//! [`Reactor::poll`] for what has happened and acts on it.
+//! An event loop on the `polling` crate: sockets, a timer queue in whole nanoseconds, signals and watched folders, with
+//! bounded buffers and back pressure. It uses no threads and no async runtime; the owner calls [`Reactor::poll`] and
+//! handles the events of [`Reactor::next_event`].
 
 mod clock;
 mod conn;
--- a/crates/craneknot-reactor/src/reactor/connections.rs
+++ b/crates/craneknot-reactor/src/reactor/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: dialled and accepted, read and written, closed and lingered on.
+//! Connections: connecting, reading, writing, closing and lingering.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpStream};
@@ -10,18 +10,19 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 use super::{
-    CloseCause, ConnId, Reactor, ReactorEvent, SendError, Source, LINGER, LINGERING_MOST, LINGER_CROWDED,
+    CloseCause, ConnId, Reactor, ReactorEvent, SendError, Source, CROWDED_LINGER_TIMEOUT, LINGER_TIMEOUT,
+    MAX_LINGERING,
 };
 use crate::conn::{Closing, Conn};
 
 impl<T> Reactor<T> {
-    /// Dials; [`ReactorEvent::Connected`] or [`ReactorEvent::Closed`] tells how it went.
+    /// Connects to an address; [`ReactorEvent::Connected`] or [`ReactorEvent::Closed`] reports the outcome.
     pub fn connect(&mut self, address: SocketAddr) -> io::Result<ConnId> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&address.into()) {
             Ok(()) => {}
-            // Interrupted, it goes on in the background, as one that is in progress does.
+            // An interrupted connect continues in the background, like one in progress.
             Err(cause)
                 if cause.raw_os_error() == Some(libc::EINPROGRESS)
                     || matches!(cause.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
@@ -36,10 +37,10 @@
         accepted: bool,
     ) -> Result<ConnId, (TcpStream, io::Error)> {
         let _ = socket.set_nodelay(true);
-        self.made += 1;
-        let made = self.made;
-        let conn = Conn::new(socket, accepted, made, self.clock.now(), self.limits.input);
-        let wanted = conn.wanted;
+        self.last_generation += 1;
+        let generation = self.last_generation;
+        let conn = Conn::new(socket, accepted, generation, self.clock.now(), self.limits.input);
+        let wanted = conn.registered_interest;
         let key = self.sources.insert(Source::Conn(Box::new(conn)));
         let Some(Source::Conn(conn)) = self.sources.get(key) else { unreachable!() };
         let interest = Event::new(key, wanted.0, wanted.1);
@@ -49,50 +50,50 @@
             let Source::Conn(conn) = self.sources.remove(key) else { unreachable!() };
             return Err((conn.socket, cause));
         }
-        self.conns += 1;
-        self.accepted += usize::from(accepted);
-        Ok(ConnId { key, made })
+        self.connection_count += 1;
+        self.accepted_count += usize::from(accepted);
+        Ok(ConnId { key, generation })
     }
 
     pub(super) fn conn(&self, id: ConnId) -> Option<&Conn> {
         match self.sources.get(id.key) {
-            Some(Source::Conn(conn)) if conn.made == id.made => Some(conn),
+            Some(Source::Conn(conn)) if conn.generation == id.generation => Some(conn),
             Some(_) | None => None,
         }
     }
 
     pub(super) fn conn_mut(&mut self, id: ConnId) -> Option<&mut Conn> {
         match self.sources.get_mut(id.key) {
-            Some(Source::Conn(conn)) if conn.made == id.made => Some(conn),
+            Some(Source::Conn(conn)) if conn.generation == id.generation => Some(conn),
             Some(_) | None => None,
         }
     }
 
-    /// What has come in and was not taken yet; the caller takes from its front.
+    /// The received bytes that are not consumed yet; the caller consumes them from the front.
     pub fn input(&mut self, id: ConnId) -> Option<&mut BytesMut> {
         self.conn_mut(id).map(|conn| &mut conn.input)
     }
 
-    /// Reads at most so many bytes of a connection ahead of their use: less where a peer is not known yet.
-    pub fn limit_input(&mut self, id: ConnId, most: usize) {
+    /// Limits the bytes buffered for reading on a connection, for example while its peer is not identified yet.
+    pub fn limit_input(&mut self, id: ConnId, max: usize) {
         if let Some(conn) = self.conn_mut(id) {
-            conn.input_most = most;
+            conn.input_limit = max;
             self.rearm(id.key);
         }
     }
 
-    /// Bytes waiting to be written.
+    /// Number of bytes queued for writing.
     pub fn unsent_bytes(&self, id: ConnId) -> usize {
-        self.conn(id).map_or(0, |conn| conn.waiting)
+        self.conn(id).map_or(0, |conn| conn.unsent)
     }
 
-    /// How long bytes have waited without any leaving.
+    /// How long bytes have been queued without any progress.
     pub fn write_stalled_for(&self, id: ConnId) -> Nanos {
         let now = self.clock.now();
-        self.conn(id).filter(|conn| conn.waiting > 0).map_or(Nanos(0), |conn| now - conn.progress)
+        self.conn(id).filter(|conn| conn.unsent > 0).map_or(Nanos(0), |conn| now - conn.last_progress)
     }
 
-    /// Reads no more of a connection, or goes on: back pressure by choice.
+    /// Pauses or resumes reading from a connection, for back pressure decided by the owner.
     pub fn pause(&mut self, id: ConnId, paused: bool) {
         if let Some(conn) = self.conn_mut(id) {
             conn.paused = paused;
@@ -100,37 +101,37 @@
         }
     }
 
-    /// Queues chunks to be written in order; shared bytes are not copied.
+    /// Queues chunks for writing in order, without copying them.
     pub fn send(&mut self, id: ConnId, chunks: impl IntoIterator<Item = Bytes>) -> Result<(), SendError> {
         let (now, limit) = (self.clock.now(), self.limits.output);
         let conn = self.conn_mut(id).filter(|conn| conn.closing == Closing::No && !conn.ended);
         let conn = conn.ok_or(SendError::Closed)?;
         let chunks: Vec<Bytes> = chunks.into_iter().filter(|chunk| !chunk.is_empty()).collect();
         let added: usize = chunks.iter().map(Bytes::len).sum();
-        if conn.waiting + added > limit {
+        if conn.unsent + added > limit {
             return Err(SendError::Full);
         }
-        if conn.waiting == 0 {
-            conn.progress = now;
+        if conn.unsent == 0 {
+            conn.last_progress = now;
         }
-        conn.waiting += added;
+        conn.unsent += added;
         conn.output.extend(chunks);
         if !conn.connecting {
-            // An error shows again when the poller looks.
-            let _ = conn.write_some(now);
+            // The poller reports an error again.
+            let _ = conn.write_available(now);
         }
         self.rearm(id.key);
         Ok(())
     }
 
-    /// Closes at once; what waits is lost. Nothing happens for it any more.
+    /// Closes immediately and drops the queued bytes. No more events are reported for the connection.
     pub fn close(&mut self, id: ConnId) {
         if self.conn(id).is_some() {
             self.remove_conn(id.key);
         }
     }
 
-    /// Ends with a reset in place of an orderly close, as a process does that dies.
+    /// Resets the connection instead of closing it in an orderly way, as happens when a process dies.
     pub fn reset(&mut self, id: ConnId) {
         if let Some(conn) = self.conn(id) {
             let _ = socket2::SockRef::from(&conn.socket).set_linger(Some(Duration::ZERO));
@@ -138,44 +139,44 @@
         }
     }
 
-    /// Closes once all that waits is written and the peer has seen the end, or 300 ms have passed.
+    /// Closes once all queued bytes are written and the peer has seen the end of the stream, or 300 ms have passed.
     pub fn close_gracefully(&mut self, id: ConnId) {
         let Some(conn) = self.conn_mut(id) else { return };
         conn.closing = Closing::AfterOutput;
-        if conn.waiting == 0 {
+        if conn.unsent == 0 {
             self.linger(id.key);
         } else {
             self.rearm(id.key);
         }
     }
 
-    /// Shuts our side of a connection on which nothing waits; it closes once the peer has ended too.
+    /// Shuts down the sending side of a connection without queued bytes; it closes once the peer has ended too.
     pub(super) fn linger(&mut self, key: usize) {
         let now = self.clock.now();
-        let room = self.lingering.len() < LINGERING_MOST;
+        let below_limit = self.lingering.len() < MAX_LINGERING;
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return };
-        let id = ConnId { key, made: conn.made };
-        if !room || conn.ended || conn.connecting || !conn.begin_linger(now) || conn.discard_input() {
+        let id = ConnId { key, generation: conn.generation };
+        if !below_limit || conn.ended || conn.connecting || !conn.begin_linger(now) || conn.discard_input() {
             return self.remove_conn(key);
         }
         self.lingering.push(id);
         self.rearm(key);
     }
 
-    /// Until when a connection lingers, if it does: for less where others wait for its place.
-    pub(super) fn lingers_until(&self, conn: &Conn) -> Option<Nanos> {
+    /// When a lingering connection is closed; sooner while the limit of connections is reached.
+    pub(super) fn linger_deadline(&self, conn: &Conn) -> Option<Nanos> {
         let Closing::Lingering { since } = conn.closing else { return None };
-        let is_full = self.accepted >= self.limits.connections;
-        Some(since + if is_full { LINGER_CROWDED } else { LINGER })
+        let is_full = self.accepted_count >= self.limits.connections;
+        Some(since + if is_full { CROWDED_LINGER_TIMEOUT } else { LINGER_TIMEOUT })
     }
 
-    /// Closes the connections that have lingered for long enough.
-    pub(super) fn end_lingering(&mut self, now: Nanos) {
+    /// Closes the connections whose linger timeout has expired.
+    pub(super) fn close_expired_lingering(&mut self, now: Nanos) {
         for id in std::mem::take(&mut self.lingering) {
-            let until = self.conn(id).and_then(|conn| self.lingers_until(conn));
-            match until {
+            let deadline = self.conn(id).and_then(|conn| self.linger_deadline(conn));
+            match deadline {
                 None => {}
-                Some(until) if until <= now => self.remove_conn(id.key),
+                Some(deadline) if deadline <= now => self.remove_conn(id.key),
                 Some(_) => self.lingering.push(id),
             }
         }
@@ -184,20 +185,20 @@
     pub(super) fn remove_conn(&mut self, key: usize) {
         if let Source::Conn(conn) = self.sources.remove(key) {
             let _ = self.poller.delete(&conn.socket);
-            self.conns -= 1;
-            self.accepted -= usize::from(conn.accepted);
+            self.connection_count -= 1;
+            self.accepted_count -= usize::from(conn.accepted);
         }
     }
 
     pub(super) fn rearm(&mut self, key: usize) {
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return };
         let wanted = conn.interest();
-        if wanted == conn.wanted {
+        if wanted == conn.registered_interest {
             return;
         }
         let interest = Event::new(key, wanted.0, wanted.1);
         match self.poller.modify_with_mode(&conn.socket, interest, PollMode::Level) {
-            Ok(()) => conn.wanted = wanted,
+            Ok(()) => conn.registered_interest = wanted,
             Err(_) => {
                 self.system_calls_retried += 1;
                 self.unarmed.push(key);
@@ -205,20 +206,21 @@
         }
     }
 
-    /// Whether bytes have come that are not read yet; they are read now. For an owner that is about to close.
+    /// Reads the bytes that have arrived but are not read yet, for an owner that is about to close; true if there were
+    /// any.
     pub fn read_pending(&mut self, id: ConnId) -> bool {
         let Some(conn) = self.conn_mut(id).filter(|conn| !conn.ended && !conn.connecting) else {
             return false;
         };
         let before = conn.input.len();
         if conn.closing == Closing::No {
-            // An end or an error is told by the poller.
-            let _ = conn.read_some();
+            // The poller reports an end or an error again.
+            let _ = conn.read_available();
         }
         conn.input.len() > before
     }
 
-    pub(super) fn serve(&mut self, key: usize, event: Event) {
+    pub(super) fn handle_socket_event(&mut self, key: usize, event: Event) {
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return };
         if conn.ended {
             return;
@@ -229,64 +231,64 @@
             }
             return;
         }
-        if conn.connecting && !self.connected(key) {
+        if conn.connecting && !self.check_connect(key) {
             return;
         }
-        let mut end = self.write_waiting(key);
+        let mut end = self.write_unsent(key);
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return };
-        let id = ConnId { key, made: conn.made };
+        let id = ConnId { key, generation: conn.generation };
         if event.readable && !conn.paused && end.is_none() && conn.closing == Closing::No && !conn.read_closed
         {
             let before = conn.input.len();
-            end = conn.read_some();
+            end = conn.read_available();
             if conn.input.len() > before {
-                self.happened.push_back(ReactorEvent::Received { conn: id });
+                self.pending_events.push_back(ReactorEvent::Received { conn: id });
             }
         }
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return };
         match end {
-            // A peer that has shut its sending side reads on: what waits for it is written first.
-            Some(CloseCause::PeerClosed) if conn.waiting > 0 => conn.read_closed = true,
+            // A peer that has shut down its sending side may still read: queued bytes are written first.
+            Some(CloseCause::PeerClosed) if conn.unsent > 0 => conn.read_closed = true,
             Some(cause) => {
                 conn.ended = true;
-                self.happened.push_back(ReactorEvent::Closed { conn: id, cause });
+                self.pending_events.push_back(ReactorEvent::Closed { conn: id, cause });
             }
             None => {}
         }
         self.rearm(key);
     }
 
-    /// Looks how a dial went; true: the connection stands.
-    pub(super) fn connected(&mut self, key: usize) -> bool {
+    /// Checks the outcome of a connect; true if the connection is established.
+    pub(super) fn check_connect(&mut self, key: usize) -> bool {
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return false };
-        let id = ConnId { key, made: conn.made };
+        let id = ConnId { key, generation: conn.generation };
         match conn.socket.take_error() {
             Ok(None) if conn.socket.peer_addr().is_ok() => {
                 conn.connecting = false;
-                self.happened.push_back(ReactorEvent::Connected { conn: id });
+                self.pending_events.push_back(ReactorEvent::Connected { conn: id });
                 true
             }
             Ok(None) => false,
             Ok(Some(cause)) | Err(cause) => {
                 conn.ended = true;
                 let cause = CloseCause::ConnectFailed(cause);
-                self.happened.push_back(ReactorEvent::Closed { conn: id, cause });
+                self.pending_events.push_back(ReactorEvent::Closed { conn: id, cause });
                 self.rearm(key);
                 false
             }
         }
     }
 
-    /// Writes what waits; gives why the connection ends, if it does.
-    pub(super) fn write_waiting(&mut self, key: usize) -> Option<CloseCause> {
+    /// Writes queued bytes; returns the cause if the connection ends.
+    pub(super) fn write_unsent(&mut self, key: usize) -> Option<CloseCause> {
         let now = self.clock.now();
         let Some(Source::Conn(conn)) = self.sources.get_mut(key) else { return None };
-        if conn.waiting == 0 {
+        if conn.unsent == 0 {
             return None;
         }
-        let id = ConnId { key, made: conn.made };
-        let written = conn.write_some(now);
-        let (is_empty, closing, read_closed) = (conn.waiting == 0, conn.closing, conn.read_closed);
+        let id = ConnId { key, generation: conn.generation };
+        let written = conn.write_available(now);
+        let (is_empty, closing, read_closed) = (conn.unsent == 0, conn.closing, conn.read_closed);
         match (written, closing) {
             (Ok(()), Closing::AfterOutput) if is_empty => {
                 self.linger(key);
@@ -297,7 +299,7 @@
                 None
             }
             (Ok(()), _) if is_empty => {
-                self.happened.push_back(ReactorEvent::Flushed { conn: id });
+                self.pending_events.push_back(ReactorEvent::Flushed { conn: id });
                 read_closed.then_some(CloseCause::PeerClosed)
             }
             (Ok(()), _) => None,
@@ -305,7 +307,7 @@
         }
     }
 
-    /// To be called after taking input: reading goes on where the buffer was full.
+    /// Resumes reading where the buffer was full; to be called after consuming input.
     pub fn input_consumed(&mut self, id: ConnId) {
         if self.conn(id).is_some() {
             self.rearm(id.key);
--- a/crates/craneknot-reactor/src/reactor/listeners.rs
+++ b/crates/craneknot-reactor/src/reactor/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners: who is accepted when, and who waits in the system's queue.
+//! Listeners: which connections are accepted when, and which wait in the listen backlog.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,11 +10,12 @@
 use crate::system_errors::is_failed_connection;
 
 impl<T> Reactor<T> {
+    /// Listens at an address; returns it with its actual port.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<(ListenerId, SocketAddr)> {
         self.listen_as(address, false)
     }
 
-    /// Listens at an address that another socket of ours keeps: see [`reserve`].
+    /// Listens at an address that another socket of this process holds; see [`reserve`].
     pub fn listen_reserved(&mut self, address: SocketAddr) -> io::Result<ListenerId> {
         self.listen_as(address, true).map(|(listener, _)| listener)
     }
@@ -32,10 +33,16 @@
         socket.listen(4096)?;
         let socket: TcpListener = socket.into();
         let local = socket.local_addr()?;
-        self.made += 1;
-        let made = self.made;
-        let listener =
-            Listener { made, socket, room: usize::MAX, resting: false, closing: false, watched: true };
+        self.last_generation += 1;
+        let generation = self.last_generation;
+        let listener = Listener {
+            generation,
+            socket,
+            accept_quota: usize::MAX,
+            backing_off: false,
+            closing: false,
+            watched: true,
+        };
         let key = self.sources.insert(Source::Listener(listener));
         let Some(Source::Listener(listener)) = self.sources.get(key) else { unreachable!() };
         // SAFETY: the source is deleted from the poller before it is dropped.
@@ -46,30 +53,31 @@
             return Err(cause);
         }
         self.listeners.push(key);
-        Ok((ListenerId { key, made }, local))
+        Ok((ListenerId { key, generation }, local))
     }
 
     pub(super) fn listener_mut(&mut self, id: ListenerId) -> Option<&mut Listener> {
         match self.sources.get_mut(id.key) {
-            Some(Source::Listener(listener)) if listener.made == id.made => Some(listener),
+            Some(Source::Listener(listener)) if listener.generation == id.generation => Some(listener),
             Some(_) | None => None,
         }
     }
 
-    /// Accepts so many connections of a listener until told anew; all others wait in the system's queue.
-    pub fn set_accept_quota(&mut self, id: ListenerId, room: usize) {
+    /// Accepts at most this many connections from a listener until the next call; others wait in the listen backlog.
+    pub fn set_accept_quota(&mut self, id: ListenerId, quota: usize) {
         if let Some(listener) = self.listener_mut(id) {
-            listener.room = room;
+            listener.accept_quota = quota;
         }
     }
 
-    /// Whether a listener stands: one that was told to end stands while connections wait that it has no room for.
+    /// Whether a listener is open. One that is closing stays open while its backlog holds connections beyond its quota
+    /// or the limit.
     pub fn is_listening(&self, id: ListenerId) -> bool {
-        matches!(self.sources.get(id.key), Some(Source::Listener(listener)) if listener.made == id.made)
+        matches!(self.sources.get(id.key), Some(Source::Listener(listener)) if listener.generation == id.generation)
     }
 
-    /// Takes no more connections. Those that the system has completed already are accepted first, as room allows:
-    /// they would be reset with the listener.
+    /// Stops listening. Connections that the system has completed already are accepted first, as far as the limits
+    /// allow, because they would be reset with the listener.
     pub fn close_listener(&mut self, id: ListenerId) {
         if let Some(listener) = self.listener_mut(id) {
             listener.closing = true;
@@ -85,40 +93,40 @@
     }
 
     pub(super) fn rearm_listener(&mut self, key: usize) {
-        let has_room = self.accepted < self.limits.connections;
+        let below_limit = self.accepted_count < self.limits.connections;
         let Some(Source::Listener(listener)) = self.sources.get_mut(key) else { return };
-        listener.resting = false;
-        let wanted = has_room && listener.room > 0;
+        listener.backing_off = false;
+        let wanted = below_limit && listener.accept_quota > 0;
         if wanted != listener.watched {
             let interest = if wanted { Event::readable(key) } else { Event::none(key) };
             match self.poller.modify_with_mode(&listener.socket, interest, PollMode::Level) {
                 Ok(()) => listener.watched = wanted,
                 Err(_) => {
                     self.system_calls_retried += 1;
-                    listener.resting = true;
+                    listener.backing_off = true;
                 }
             }
         }
         if listener.closing && wanted {
-            // The poller does not tell that nobody waits any more.
+            // The poller does not report that the backlog has become empty.
             self.accept(key, self.limits.accepts);
         }
     }
 
-    /// A storm of connections must not hold up those that stand: so many at a time, and no more than there is room
-    /// for. Who is not accepted waits in the system's queue.
-    pub(super) fn accept(&mut self, key: usize, most: usize) {
-        for _ in 0..most {
-            let has_room = self.accepted + self.unregistered.len() < self.limits.connections;
+    /// Accepts at most `max` connections, and none beyond the limits, so that a burst of new connections does not hold
+    /// up the open ones. The others wait in the listen backlog.
+    pub(super) fn accept(&mut self, key: usize, max: usize) {
+        for _ in 0..max {
+            let below_limit = self.accepted_count + self.unregistered.len() < self.limits.connections;
             let Some(Source::Listener(listener)) = self.sources.get_mut(key) else { return };
-            if !has_room || listener.room == 0 || listener.resting {
+            if !below_limit || listener.accept_quota == 0 || listener.backing_off {
                 return;
             }
-            let id = ListenerId { key, made: listener.made };
+            let id = ListenerId { key, generation: listener.generation };
             match listener.socket.accept() {
                 Ok((stream, from)) => {
-                    listener.room -= 1;
-                    self.take_in(id, stream, from);
+                    listener.accept_quota -= 1;
+                    self.register_accepted(id, stream, from);
                 }
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => {
                     if listener.closing {
@@ -128,8 +136,8 @@
                 }
                 Err(cause) if cause.kind() == ErrorKind::Interrupted || is_failed_connection(&cause) => {}
                 Err(_) => {
-                    // Out of descriptors or buffers: without a rest the loop would spin.
-                    listener.resting = true;
+                    // Out of descriptors or buffers: without a pause the loop would spin.
+                    listener.backing_off = true;
                     self.system_calls_retried += 1;
                     return;
                 }
@@ -137,14 +145,14 @@
         }
     }
 
-    /// Takes in an accepted connection; where the poller has no room for it, it is held until it has.
-    pub(super) fn take_in(&mut self, listener: ListenerId, stream: TcpStream, from: SocketAddr) {
+    /// Registers an accepted connection; if the poller lacks the resources, the connection is kept for a retry.
+    pub(super) fn register_accepted(&mut self, listener: ListenerId, stream: TcpStream, from: SocketAddr) {
         if stream.set_nonblocking(true).is_err() {
             self.system_calls_retried += 1;
             return self.unregistered.push((listener, stream, from));
         }
         match self.add_conn(stream, true) {
-            Ok(conn) => self.happened.push_back(ReactorEvent::Accepted { listener, conn, from }),
+            Ok(conn) => self.pending_events.push_back(ReactorEvent::Accepted { listener, conn, from }),
             Err((stream, _)) => {
                 self.system_calls_retried += 1;
                 self.unregistered.push((listener, stream, from));
--- a/crates/craneknot-reactor/src/reactor/mod.rs
+++ b/crates/craneknot-reactor/src/reactor/mod.rs
@@ -1,4 +1,4 @@
-//! The loop itself.
+//! The event loop.
 
 mod connections;
 mod listeners;
@@ -22,17 +22,17 @@
 use crate::system_errors::is_transient;
 use crate::timers::{TimerId, Timers};
 
-/// What one loop and one connection may hold.
+/// Limits of one event loop and of each connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes read ahead of their use, a connection; beyond it nothing more is read.
+    /// Bytes buffered for reading, per connection; reading stops at this limit.
     pub input: usize,
-    /// Bytes waiting to be written, a connection; beyond it [`Reactor::send`] refuses.
+    /// Bytes queued for writing, per connection; [`Reactor::send`] rejects more.
     pub output: usize,
-    /// Accepted connections at once; beyond it new ones wait in the system's queue. Dialled ones do not count: peers
-    /// that dial in must not keep the owner from dialling out.
+    /// Concurrent accepted connections; further ones wait in the listen backlog. Outgoing connections do not count,
+    /// so that incoming ones can't keep the owner from connecting out.
     pub connections: usize,
-    /// Connections accepted in one poll: the owner looks at these before more come.
+    /// Connections accepted in one poll, so that the owner handles these before more arrive.
     pub accepts: usize,
 }
 
@@ -42,19 +42,21 @@
     }
 }
 
-/// A connection; an id is never used again.
+/// Identifies a connection; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId {
     key: usize,
-    made: u64,
+    generation: u64,
 }
 
+/// Identifies a listener; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ListenerId {
     key: usize,
-    made: u64,
+    generation: u64,
 }
 
+/// Why a connection ended.
 #[derive(Debug)]
 pub enum CloseCause {
     PeerClosed,
@@ -62,15 +64,16 @@
     Broken(io::Error),
 }
 
+/// Why bytes were not queued.
 #[derive(Debug)]
 pub enum SendError {
-    /// The connection is gone.
+    /// The connection has been closed.
     Closed,
-    /// More bytes would wait than the limit allows.
+    /// The queued bytes would exceed the limit.
     Full,
 }
 
-/// What has happened since the last look.
+/// An event reported by [`Reactor::next_event`].
 #[derive(Debug)]
 pub enum ReactorEvent<T> {
     Accepted {
@@ -81,21 +84,21 @@
     Connected {
         conn: ConnId,
     },
-    /// Bytes came in; see [`Reactor::input`].
+    /// Bytes were received; see [`Reactor::input`].
     Received {
         conn: ConnId,
     },
-    /// All that waited has been written.
+    /// All queued bytes have been written.
     Flushed {
         conn: ConnId,
     },
-    /// The connection has ended; the id is void from now on.
+    /// The connection has ended; its id is no longer valid.
     Closed {
         conn: ConnId,
         cause: CloseCause,
     },
     Timer(T),
-    /// A watched descriptor, by the number given for it, can be read.
+    /// A watched descriptor, identified by its token, is readable.
     Ready(usize),
     Signal(i32),
 }
@@ -103,23 +106,24 @@
 enum Source {
     Listener(Listener),
     Conn(Box<Conn>),
-    Watched { number: usize, fd: OwnedFd },
+    Watched { token: usize, fd: OwnedFd },
     Wake { pipe: UnixStream },
 }
 
 struct Listener {
-    made: u64,
+    generation: u64,
     socket: TcpListener,
-    /// Connections that the owner has room for, until it says anew.
-    room: usize,
-    /// Out of descriptors or buffers: accepting rests until the next round.
-    resting: bool,
-    /// The owner takes no more than those that the system has connected already.
+    /// Connections that may still be accepted until the owner sets a new quota.
+    accept_quota: usize,
+    /// Out of descriptors or buffers: accepting pauses until the next poll.
+    backing_off: bool,
+    /// The owner accepts only the connections that the system has completed already.
     closing: bool,
-    /// The poller tells of new connections.
+    /// Whether the poller reports new connections.
     watched: bool,
 }
 
+/// The event loop; `T` is the payload of its timers.
 pub struct Reactor<T> {
     poller: Poller,
     events: Events,
@@ -127,26 +131,26 @@
     timers: Timers<T>,
     clock: Arc<dyn Clock>,
     limits: Limits,
-    happened: VecDeque<ReactorEvent<T>>,
-    conns: usize,
-    accepted: usize,
-    made: u64,
+    pending_events: VecDeque<ReactorEvent<T>>,
+    connection_count: usize,
+    accepted_count: usize,
+    last_generation: u64,
     listeners: Vec<usize>,
-    /// Accepted, but not known to the poller yet: the system had no room.
+    /// Accepted connections that could not be registered with the poller yet, for lack of system resources.
     unregistered: Vec<(ListenerId, TcpStream, SocketAddr)>,
-    /// Connections whose interest could not be set.
+    /// Connections whose interest could not be updated in the poller.
     unarmed: Vec<usize>,
     lingering: Vec<ConnId>,
     signals: SignalFlags,
     system_calls_retried: u64,
 }
 
-const RETRY_AFTER: Duration = Duration::from_millis(50); // until a system call that failed for a moment is made again
-const SIGNALS_SEEN_WITHIN: Duration = Duration::from_millis(100); // a signal whose wake-up byte was lost is seen by then
-const LINGER: Nanos = Nanos::from_millis(300); // ms; for a peer to see our end before its connection is closed
-const FLUSH_LOOK: Duration = Duration::from_millis(10); // between looks at the time while the last bytes are written
-const LINGER_CROWDED: Nanos = Nanos::from_millis(50); // ms; the same where others wait to be accepted
-const LINGERING_MOST: usize = 32; // connections that linger at once: they hold descriptors
+const RETRY_DELAY: Duration = Duration::from_millis(50); // after a transient failure of a system call
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(100); // for signals whose wake-up byte was lost
+const LINGER_TIMEOUT: Nanos = Nanos::from_millis(300); // for a peer to see our end of stream before the close
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(10); // between checks of the deadline of a flush
+const CROWDED_LINGER_TIMEOUT: Nanos = Nanos::from_millis(50); // the same while the connection limit is reached
+const MAX_LINGERING: usize = 32; // concurrent lingering connections, since each holds a descriptor
 
 impl<T> Reactor<T> {
     pub fn new(clock: Arc<dyn Clock>, limits: Limits) -> io::Result<Self> {
@@ -157,10 +161,10 @@
             timers: Timers::default(),
             clock,
             limits,
-            happened: VecDeque::new(),
-            conns: 0,
-            accepted: 0,
-            made: 0,
+            pending_events: VecDeque::new(),
+            connection_count: 0,
+            accepted_count: 0,
+            last_generation: 0,
             listeners: Vec::new(),
             unregistered: Vec::new(),
             unarmed: Vec::new(),
@@ -174,26 +178,26 @@
         self.clock.now()
     }
 
-    /// Connections that stand, dialled ones included.
+    /// Number of open connections, outgoing ones included.
     pub fn connections(&self) -> usize {
-        self.conns
+        self.connection_count
     }
 
-    /// System calls that failed for a moment and were made again.
+    /// Number of system calls that failed transiently and were retried.
     pub fn system_calls_retried(&self) -> u64 {
         self.system_calls_retried
     }
 
-    /// Tells when a descriptor can be read, by a number of the caller's.
-    pub fn watch(&mut self, fd: &impl AsFd, number: usize) -> io::Result<()> {
+    /// Reports when a descriptor is readable, identified by a token of the caller's choice.
+    pub fn watch(&mut self, fd: &impl AsFd, token: usize) -> io::Result<()> {
         let fd = fd.as_fd().try_clone_to_owned()?;
-        let key = self.sources.insert(Source::Watched { number, fd });
+        let key = self.sources.insert(Source::Watched { token, fd });
         let Some(Source::Watched { fd, .. }) = self.sources.get(key) else { unreachable!() };
-        // SAFETY: the reactor owns its copy of the descriptor for as long as it stands in the poller.
+        // SAFETY: the reactor owns its copy of the descriptor for as long as it is registered with the poller.
         unsafe { self.poller.add_with_mode(fd, Event::readable(key), PollMode::Level) }
     }
 
-    /// From now on the signal no longer ends the process but happens here.
+    /// Reports the signal as an event from now on; it no longer has its default effect.
     pub fn watch_signal(&mut self, number: i32) -> io::Result<()> {
         let mut flags = SignalFlags::default();
         flags.add(number)?;
@@ -201,12 +205,13 @@
         Ok(())
     }
 
-    /// Tells of these signals from now on. Where no pipe can be had to wake the loop with, they are seen a little later.
+    /// Reports these signals as events from now on. If the pipe that wakes the loop can't be created, they are noticed
+    /// a little later.
     pub fn watch_signals(&mut self, flags: SignalFlags) {
         let added = signals::wake_pipe(&flags.numbers()).and_then(|pipe| {
             let key = self.sources.insert(Source::Wake { pipe });
             let Some(Source::Wake { pipe }) = self.sources.get(key) else { unreachable!() };
-            // SAFETY: the reactor owns the pipe for as long as it stands in the poller.
+            // SAFETY: the reactor owns the pipe for as long as it is registered with the poller.
             let added = unsafe { self.poller.add_with_mode(pipe, Event::readable(key), PollMode::Level) };
             added.inspect_err(|_| drop(self.sources.remove(key)))
         });
@@ -214,20 +219,20 @@
         self.signals.extend(flags);
     }
 
-    pub fn set_timer(&mut self, at: Nanos, what: T) -> TimerId {
-        self.timers.set(at, what)
+    pub fn set_timer(&mut self, at: Nanos, payload: T) -> TimerId {
+        self.timers.set(at, payload)
     }
 
     pub fn cancel_timer(&mut self, id: TimerId) -> Option<T> {
         self.timers.cancel(id)
     }
 
-    /// The next thing that has happened; nothing: time to [`Reactor::poll`] again.
+    /// The next event; `None` when all are handled and [`Reactor::poll`] is to be called again.
     pub fn next_event(&mut self) -> Option<ReactorEvent<T>> {
         loop {
-            let happened = self.happened.pop_front()?;
-            match happened {
-                // Closed meanwhile by the owner: no longer of interest.
+            let event = self.pending_events.pop_front()?;
+            match event {
+                // Dropped: the owner has closed the connection in the meantime.
                 ReactorEvent::Received { conn }
                 | ReactorEvent::Connected { conn }
                 | ReactorEvent::Flushed { conn }
@@ -244,68 +249,69 @@
         }
     }
 
-    /// Waits until something happens, a timer is due or `most` has passed, and gathers it. A shortage of the system
-    /// is waited out; an error is final.
-    pub fn poll(&mut self, most: Option<Duration>) -> io::Result<()> {
+    /// Waits until an event occurs, a timer is due or `max_wait` has passed, and collects the events. A lack of system
+    /// resources is waited out; an error is final.
+    pub fn poll(&mut self, max_wait: Option<Duration>) -> io::Result<()> {
         self.retry_system_calls();
-        let wait = self.wait(most);
+        let timeout = self.poll_timeout(max_wait);
         self.events.clear();
-        match self.poller.wait(&mut self.events, wait) {
+        match self.poller.wait(&mut self.events, timeout) {
             Ok(_) => {}
             Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
             Err(cause) if is_transient(&cause) => {
                 self.system_calls_retried += 1;
-                std::thread::sleep(RETRY_AFTER);
+                std::thread::sleep(RETRY_DELAY);
             }
             Err(cause) => return Err(cause),
         }
-        let seen: Vec<Event> = self.events.iter().collect();
-        for event in seen {
-            self.look(event);
+        let ready: Vec<Event> = self.events.iter().collect();
+        for event in ready {
+            self.dispatch(event);
         }
-        self.happened.extend(self.signals.take().into_iter().map(ReactorEvent::Signal));
+        self.pending_events.extend(self.signals.take().into_iter().map(ReactorEvent::Signal));
         let now = self.clock.now();
-        self.end_lingering(now);
-        while let Some(what) = self.timers.pop_due(now) {
-            self.happened.push_back(ReactorEvent::Timer(what));
+        self.close_expired_lingering(now);
+        while let Some(payload) = self.timers.pop_due(now) {
+            self.pending_events.push_back(ReactorEvent::Timer(payload));
         }
         Ok(())
     }
 
-    /// Before the owner ends: writes what waits on any connection, for so long at most. What happens meanwhile is dropped.
-    pub fn flush(&mut self, most: Duration) -> io::Result<()> {
-        let until = Instant::now() + most;
-        let waits = |source: &Source| matches!(source, Source::Conn(conn) if conn.waiting > 0 && !conn.ended);
-        while self.sources.iter().any(|(_, source)| waits(source)) && Instant::now() < until {
-            self.happened.clear();
-            self.poll(Some(FLUSH_LOOK))?;
+    /// Writes the queued bytes of all connections before the owner exits, for at most `max_wait`. Other events are dropped.
+    pub fn flush(&mut self, max_wait: Duration) -> io::Result<()> {
+        let deadline = Instant::now() + max_wait;
+        let has_unsent =
+            |source: &Source| matches!(source, Source::Conn(conn) if conn.unsent > 0 && !conn.ended);
+        while self.sources.iter().any(|(_, source)| has_unsent(source)) && Instant::now() < deadline {
+            self.pending_events.clear();
+            self.poll(Some(FLUSH_POLL_INTERVAL))?;
         }
         Ok(())
     }
 
-    /// How long the next wait may last.
-    fn wait(&self, most: Option<Duration>) -> Option<Duration> {
-        if self.clock.is_manual() || !self.happened.is_empty() {
+    /// The timeout of the next wait.
+    fn poll_timeout(&self, max_wait: Option<Duration>) -> Option<Duration> {
+        if self.clock.is_manual() || !self.pending_events.is_empty() {
             return Some(Duration::ZERO);
         }
         let now = self.clock.now();
-        let linger = self.lingering.iter().filter_map(|id| self.lingers_until(self.conn(*id)?));
-        let until = self.timers.next_at().into_iter().chain(linger).min();
-        let until = until.map(|at| Duration::from_nanos((at - now).0));
-        let is_resting =
-            |key: &usize| matches!(self.sources.get(*key), Some(Source::Listener(l)) if l.resting);
+        let linger_deadlines = self.lingering.iter().filter_map(|id| self.linger_deadline(self.conn(*id)?));
+        let deadline = self.timers.next_at().into_iter().chain(linger_deadlines).min();
+        let until_deadline = deadline.map(|at| Duration::from_nanos((at - now).0));
+        let is_backing_off =
+            |key: &usize| matches!(self.sources.get(*key), Some(Source::Listener(l)) if l.backing_off);
         let retries = !self.unregistered.is_empty()
             || !self.unarmed.is_empty()
-            || self.listeners.iter().any(is_resting);
-        let retry = retries.then_some(RETRY_AFTER);
-        let signals = (!self.signals.is_empty()).then_some(SIGNALS_SEEN_WITHIN);
-        [most, until, retry, signals].into_iter().flatten().min()
+            || self.listeners.iter().any(is_backing_off);
+        let retry = retries.then_some(RETRY_DELAY);
+        let signals = (!self.signals.is_empty()).then_some(SIGNAL_POLL_INTERVAL);
+        [max_wait, until_deadline, retry, signals].into_iter().flatten().min()
     }
 
-    /// Makes the calls again that failed for a moment, and watches each listener that has room.
+    /// Retries the calls that failed transiently, and watches each listener that may accept.
     fn retry_system_calls(&mut self) {
         for (listener, stream, from) in std::mem::take(&mut self.unregistered) {
-            self.take_in(listener, stream, from);
+            self.register_accepted(listener, stream, from);
         }
         for key in std::mem::take(&mut self.unarmed) {
             self.rearm(key);
@@ -315,14 +321,14 @@
         }
     }
 
-    fn look(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let key = event.key;
         match self.sources.get_mut(key) {
             None => {}
-            Some(Source::Watched { number, .. }) => self.happened.push_back(ReactorEvent::Ready(*number)),
+            Some(Source::Watched { token, .. }) => self.pending_events.push_back(ReactorEvent::Ready(*token)),
             Some(Source::Wake { pipe }) => signals::drain(pipe),
             Some(Source::Listener(_)) => self.accept(key, self.limits.accepts),
-            Some(Source::Conn(_)) => self.serve(key, event),
+            Some(Source::Conn(_)) => self.handle_socket_event(key, event),
         }
     }
 }
@@ -342,12 +348,13 @@
     }
 }
 
-/// Keeps an address without listening, so that no dial of the system takes its port while nothing listens there.
+/// Reserves an address without listening, so that the system does not give its port to an outgoing connection in the
+/// meantime.
 pub fn reserve(address: SocketAddr) -> io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.bind(&address.into())?;
-    let kept = socket.local_addr()?.as_socket().ok_or(ErrorKind::AddrNotAvailable)?;
-    Ok((socket, kept))
+    let reserved = socket.local_addr()?.as_socket().ok_or(ErrorKind::AddrNotAvailable)?;
+    Ok((socket, reserved))
 }
--- a/crates/craneknot-reactor/src/signals.rs
+++ b/crates/craneknot-reactor/src/signals.rs
@@ -1,17 +1,17 @@
-//! Signals as flags. A signal sets its flag and then tries to wake the loop; the loop reads the flags in every round,
-//! so that no signal hangs on a byte that gets through.
+//! Signals as flags. A signal sets its flag and then tries to wake the loop. The loop reads the flags in every
+//! iteration, so that no signal depends on the delivery of its wake-up byte.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The signals that a process heeds, from the moment this is made.
+/// The signals that a process handles from the creation of this value.
 #[derive(Clone, Default)]
 pub struct SignalFlags(Vec<(i32, Arc<AtomicBool>)>);
 
 impl SignalFlags {
-    /// From now on these signals no longer have their default effect.
+    /// Registers these signals, which no longer have their default effect from now on.
     pub fn register(numbers: &[i32]) -> io::Result<Self> {
         let mut flags = SignalFlags::default();
         numbers.iter().try_for_each(|number| flags.add(*number))?;
@@ -37,25 +37,25 @@
         self.0.is_empty()
     }
 
-    /// The signals that came since the last call, each once.
+    /// The signals received since the last call, each once.
     pub(crate) fn take(&self) -> Vec<i32> {
-        let came = self.0.iter().filter(|(_, flag)| flag.swap(false, Ordering::SeqCst));
-        came.map(|(number, _)| *number).collect()
+        let received = self.0.iter().filter(|(_, flag)| flag.swap(false, Ordering::SeqCst));
+        received.map(|(number, _)| *number).collect()
     }
 }
 
-/// Makes a pipe that becomes readable with any of these signals.
+/// Creates a pipe that becomes readable on any of these signals.
 pub(crate) fn wake_pipe(numbers: &[i32]) -> io::Result<UnixStream> {
-    let (pipe, end) = UnixStream::pair()?;
+    let (pipe, write_end) = UnixStream::pair()?;
     pipe.set_nonblocking(true)?;
     for number in numbers {
-        signal_hook::low_level::pipe::register(*number, end.try_clone()?)?;
+        signal_hook::low_level::pipe::register(*number, write_end.try_clone()?)?;
     }
     Ok(pipe)
 }
 
-/// Takes the bytes of the signals that came.
+/// Discards the wake-up bytes of received signals.
 pub(crate) fn drain(pipe: &mut UnixStream) {
-    let mut sink = [0; 64];
-    while matches!(pipe.read(&mut sink), Ok(count) if count > 0) {}
+    let mut buffer = [0; 64];
+    while matches!(pipe.read(&mut buffer), Ok(count) if count > 0) {}
 }
--- a/crates/craneknot-reactor/src/watch.rs
+++ b/crates/craneknot-reactor/src/watch.rs
@@ -1,4 +1,4 @@
-//! Folders watched for files renamed into place: the one change that counts as a swap.
+//! Watching of folders for files renamed into place, the only change that counts as a swap.
 
 use std::collections::HashMap;
 use std::ffi::OsString;
@@ -8,6 +8,7 @@
 
 use inotify::{Inotify, WatchDescriptor, WatchMask};
 
+/// An inotify watch over several folders.
 pub struct FolderWatch {
     inotify: Inotify,
     folders: HashMap<WatchDescriptor, PathBuf>,
@@ -18,7 +19,7 @@
         Ok(FolderWatch { inotify: Inotify::init()?, folders: HashMap::new() })
     }
 
-    /// Watches a folder; the folder must stand.
+    /// Watches a folder, which must exist.
     pub fn add(&mut self, folder: &Path) -> io::Result<()> {
         let mask = WatchMask::MOVED_TO | WatchMask::CREATE | WatchMask::DELETE;
         let watch = self.inotify.watches().add(folder, mask)?;
@@ -26,8 +27,8 @@
         Ok(())
     }
 
-    /// The files renamed into place since the last call, in order. After an overflow of the system's queue
-    /// every watched folder is named once, with no file, so that nothing is missed for good.
+    /// The files renamed into place since the last call, in order. After an overflow of the system's event queue, every
+    /// watched folder is listed once without a file name, so that no change is missed permanently.
     pub fn changes(&mut self) -> io::Result<Vec<(PathBuf, Option<OsString>)>> {
         let mut found = Vec::new();
         let mut buffer = [0; 16 * 1024];
--- a/crates/craneknot-reactor/tests/sockets.rs
+++ b/crates/craneknot-reactor/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The loop on real sockets: thousands of connections, back pressure, limits, ends, and a clock that a test drives.
+//! The event loop on real sockets: thousands of connections, back pressure, limits, closing, and a manual clock.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
     CloseCause, FolderWatch, Limits, ManualClock, Reactor, ReactorEvent, SendError, SteadyClock,
 };
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
@@ -20,31 +20,31 @@
     Reactor::new(Arc::new(SteadyClock::new()), limits).unwrap()
 }
 
-/// Polls until `done` says so; bounded by the number of rounds, each of which waits for something to happen.
+/// Polls until `done` returns true; bounded by the number of polls, each of which waits for an event.
 fn until(reactor: &mut Reactor<u32>, mut done: impl FnMut(&mut Reactor<u32>, ReactorEvent<u32>) -> bool) {
     for _ in 0..100_000 {
         reactor.poll(Some(Duration::from_secs(5))).unwrap();
-        while let Some(happened) = reactor.next_event() {
-            if done(reactor, happened) {
+        while let Some(event) = reactor.next_event() {
+            if done(reactor, event) {
                 return;
             }
         }
     }
-    panic!("it never came");
+    panic!("the expected event did not occur");
 }
 
 #[test]
 fn two_thousand_connections_are_served_by_one_loop() {
     const COUNT: usize = 2_000;
     let mut reactor = reactor(Limits::default());
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let mut dialled = BTreeMap::new();
     for number in 0..COUNT {
         dialled.insert(reactor.connect(address).unwrap(), number);
     }
     let mut answered = 0;
-    until(&mut reactor, |reactor, happened| {
-        match happened {
+    until(&mut reactor, |reactor, event| {
+        match event {
             ReactorEvent::Connected { conn } => {
                 reactor.send(conn, [Bytes::from(format!("{:04}", dialled[&conn]))]).unwrap();
             }
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_fills_its_own_buffer_alone() {
+fn a_peer_that_does_not_read_fills_only_its_own_buffer() {
     let limits = Limits { output: 256 * 1024, ..Limits::default() };
     let mut reactor = reactor(limits);
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let mut peer = TcpStream::connect(address).unwrap();
     let mut accepted = None;
-    until(&mut reactor, |_, happened| {
-        if let ReactorEvent::Accepted { conn, .. } = happened {
+    until(&mut reactor, |_, event| {
+        if let ReactorEvent::Accepted { conn, .. } = event {
             accepted = Some(conn);
         }
         accepted.is_some()
@@ -90,35 +90,35 @@
             Ok(()) => sent += chunk.len(),
             Err(full) => break full,
         }
-        assert!(sent < 1 << 30, "bytes wait without bound");
+        assert!(sent < 1 << 30, "the queue of bytes is unbounded");
     };
     assert!(matches!(full, SendError::Full) && reactor.unsent_bytes(conn) <= limits.output);
-    // Once it reads, all that was taken arrives, in order.
+    // Once the peer reads, all queued bytes arrive in order.
     let reader = std::thread::spawn(move || {
         let mut bytes = vec![0; sent];
         peer.read_exact(&mut bytes).unwrap();
         bytes.iter().all(|byte| *byte == 7)
     });
-    until(&mut reactor, |_, happened| matches!(happened, ReactorEvent::Flushed { .. }));
+    until(&mut reactor, |_, event| matches!(event, ReactorEvent::Flushed { .. }));
     assert!(reader.join().unwrap());
     assert_eq!(reactor.write_stalled_for(conn), Nanos(0));
 }
 
 #[test]
-fn reading_stops_where_nothing_is_taken_and_goes_on_after() {
+fn reading_pauses_while_the_input_is_not_consumed_and_then_resumes() {
     let mut reactor = reactor(Limits { input: 4_096, ..Limits::default() });
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let writer = std::thread::spawn(move || {
         let mut peer = TcpStream::connect(address).unwrap();
         peer.write_all(&[1; 1 << 20]).unwrap();
     });
-    let (mut taken, mut ended) = (0, false);
-    until(&mut reactor, |reactor, happened| {
-        match happened {
+    let (mut consumed, mut ended) = (0, false);
+    until(&mut reactor, |reactor, event| {
+        match event {
             ReactorEvent::Received { conn } => {
                 let input = reactor.input(conn).unwrap();
                 assert!(input.len() <= 4_096);
-                taken += input.len();
+                consumed += input.len();
                 input.clear();
                 reactor.input_consumed(conn);
             }
@@ -131,31 +131,31 @@
         ended
     });
     writer.join().unwrap();
-    assert_eq!(taken, 1 << 20);
+    assert_eq!(consumed, 1 << 20);
 }
 
-/// What can't be served is not accepted: it waits in the system's queue, and is served once there is room.
+/// Connections that can't be served are not accepted: they wait in the listen backlog until others close.
 #[test]
-fn connections_beyond_the_limit_wait_until_there_is_room() {
+fn connections_beyond_the_limit_wait_until_others_close() {
     let mut reactor = reactor(Limits { connections: 2, ..Limits::default() });
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let mut peers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(address).unwrap()).collect();
     peers.iter_mut().for_each(|peer| peer.write_all(b"ask").unwrap());
     let mut accepted = Vec::new();
-    until(&mut reactor, |_, happened| {
-        if let ReactorEvent::Accepted { conn, .. } = happened {
+    until(&mut reactor, |_, event| {
+        if let ReactorEvent::Accepted { conn, .. } = event {
             accepted.push(conn);
         }
         accepted.len() == 2
     });
     for _ in 0..5 {
         reactor.poll(Some(Duration::ZERO)).unwrap();
-        while let Some(happened) = reactor.next_event() {
-            assert!(!matches!(happened, ReactorEvent::Accepted { .. }), "there is no room");
+        while let Some(event) = reactor.next_event() {
+            assert!(!matches!(event, ReactorEvent::Accepted { .. }), "the limit is reached");
         }
     }
     reactor.close(accepted[0]);
-    until(&mut reactor, |reactor, happened| match happened {
+    until(&mut reactor, |reactor, event| match event {
         ReactorEvent::Accepted { conn, .. } => {
             reactor.send(conn, [Bytes::from_static(b"answer")]).unwrap();
             true
@@ -170,20 +170,20 @@
 }
 
 #[test]
-fn a_dial_to_nobody_fails_and_its_id_is_void() {
+fn a_refused_connect_fails_and_its_id_becomes_invalid() {
     let mut reactor = reactor(Limits::default());
-    let (listener, address) = reactor.listen(any()).unwrap();
+    let (listener, address) = reactor.listen(any_port()).unwrap();
     reactor.close_listener(listener);
     let conn = reactor.connect(address).unwrap();
-    until(&mut reactor, |_, happened| {
-        matches!(happened, ReactorEvent::Closed { cause: CloseCause::ConnectFailed(_), .. })
+    until(&mut reactor, |_, event| {
+        matches!(event, ReactorEvent::Closed { cause: CloseCause::ConnectFailed(_), .. })
     });
     assert!(reactor.input(conn).is_none());
     assert!(matches!(reactor.send(conn, [Bytes::from_static(b"x")]), Err(SendError::Closed)));
 }
 
 #[test]
-fn a_driven_clock_never_waits() {
+fn a_manual_clock_never_waits() {
     let clock = Arc::new(ManualClock::at(Nanos(5)));
     let mut reactor: Reactor<u32> = Reactor::new(clock.clone(), Limits::default()).unwrap();
     reactor.set_timer(Nanos::from_millis(3_600_000), 7);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn files_renamed_into_place_are_told_in_order() {
+fn files_renamed_into_place_are_reported_in_order() {
     let folder = tempfile::tempdir().unwrap();
     let mut watch = FolderWatch::new().unwrap();
     watch.add(folder.path()).unwrap();
@@ -206,52 +206,52 @@
         std::fs::copy(folder.path().join("a.fresh"), folder.path().join("x")).unwrap();
         std::fs::rename(folder.path().join("x"), folder.path().join(name)).unwrap();
     }
-    let mut named = Vec::new();
-    until(&mut reactor, |_, happened| {
-        if let ReactorEvent::Ready(3) = happened {
+    let mut names = Vec::new();
+    until(&mut reactor, |_, event| {
+        if let ReactorEvent::Ready(3) = event {
             let changes = watch.changes().unwrap();
-            named.extend(changes.into_iter().filter_map(|(_, name)| name?.into_string().ok()));
+            names.extend(changes.into_iter().filter_map(|(_, name)| name?.into_string().ok()));
         }
-        named.iter().any(|name| name == "b")
+        names.iter().any(|name| name == "b")
     });
-    let place = |wanted: &str| named.iter().position(|name| name == wanted).unwrap();
-    assert!(place("a") < place("b"));
+    let position = |wanted: &str| names.iter().position(|name| name == wanted).unwrap();
+    assert!(position("a") < position("b"));
 }
 
-/// A peer that says its last and shuts its sending side in one go reads on, and is to be answered. Confirmed by this
-/// test: where the last bytes filled the reader's buffer, their end was told with them.
+/// A peer that sends its last bytes and shuts down its sending side at once still reads, and must be answered. The end
+/// used to be reported together with the last bytes when these filled the reader's buffer.
 #[test]
-fn the_end_of_a_peer_is_told_after_the_owner_had_its_turn_with_the_last_bytes() {
+fn the_end_of_a_peer_is_reported_after_the_owner_has_handled_the_last_bytes() {
     let mut reactor = reactor(Limits::default());
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let mut peer = TcpStream::connect(address).unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    let mut asked = None;
-    until(&mut reactor, |_, happened| match happened {
+    let mut accepted = None;
+    until(&mut reactor, |_, event| match event {
         ReactorEvent::Accepted { conn, .. } => {
-            asked = Some(conn);
+            accepted = Some(conn);
             true
         }
         _ => false,
     });
-    let conn = asked.unwrap();
-    // As many bytes as are read at once: the read after them finds the end.
-    let said = [b'q'; 16 * 1024];
-    peer.write_all(&said).unwrap();
+    let conn = accepted.unwrap();
+    // As many bytes as one read takes, so that the next read finds the end of the stream.
+    let request = [b'q'; 16 * 1024];
+    peer.write_all(&request).unwrap();
     peer.shutdown(std::net::Shutdown::Write).unwrap();
     let mut input = 0;
-    until(&mut reactor, |reactor, happened| {
-        let came = matches!(happened, ReactorEvent::Received { .. });
-        input += reactor.input(conn).filter(|_| came).map_or(0, |input| std::mem::take(input).len());
-        input == said.len()
+    until(&mut reactor, |reactor, event| {
+        let is_received = matches!(event, ReactorEvent::Received { .. });
+        input += reactor.input(conn).filter(|_| is_received).map_or(0, |input| std::mem::take(input).len());
+        input == request.len()
     });
-    while let Some(happened) = reactor.next_event() {
-        assert!(!matches!(happened, ReactorEvent::Closed { .. }), "the owner has not had its turn yet");
+    while let Some(event) = reactor.next_event() {
+        assert!(!matches!(event, ReactorEvent::Closed { .. }), "the owner has not handled the input yet");
     }
     reactor.input_consumed(conn);
     assert!(reactor.send(conn, [Bytes::from_static(b"answer")]).is_ok());
-    until(&mut reactor, |_, happened| {
-        matches!(happened, ReactorEvent::Closed { cause: CloseCause::PeerClosed, .. })
+    until(&mut reactor, |_, event| {
+        matches!(event, ReactorEvent::Closed { cause: CloseCause::PeerClosed, .. })
     });
     let mut answer = String::new();
     peer.read_to_string(&mut answer).unwrap();
@@ -259,32 +259,32 @@
 }
 
 #[test]
-fn dialled_connections_leave_room_for_accepted_ones_and_the_other_way_round() {
+fn outgoing_and_accepted_connections_are_limited_separately() {
     let mut reactor = reactor(Limits { connections: 1, ..Limits::default() });
-    let (_, address) = reactor.listen(any()).unwrap();
-    let outside = std::net::TcpListener::bind(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
+    let outside = std::net::TcpListener::bind(any_port()).unwrap();
     for _ in 0..3 {
         reactor.connect(outside.local_addr().unwrap()).unwrap();
     }
     let _peer = TcpStream::connect(address).unwrap();
     let mut accepted = 0;
-    until(&mut reactor, |_, happened| {
-        accepted += u64::from(matches!(happened, ReactorEvent::Accepted { .. }));
+    until(&mut reactor, |_, event| {
+        accepted += u64::from(matches!(event, ReactorEvent::Accepted { .. }));
         accepted > 0
     });
     assert_eq!((accepted, reactor.connections()), (1, 4));
 }
 
 #[test]
-fn a_listener_that_ends_takes_in_whom_the_system_has_connected_already() {
+fn a_closing_listener_accepts_the_connections_that_the_system_has_completed() {
     let mut reactor = reactor(Limits::default());
-    let (listener, address) = reactor.listen(any()).unwrap();
+    let (listener, address) = reactor.listen(any_port()).unwrap();
     let mut peers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(address).unwrap()).collect();
     reactor.close_listener(listener);
-    assert!(TcpStream::connect(address).is_err(), "nobody else is taken in");
+    assert!(TcpStream::connect(address).is_err(), "no further connection is accepted");
     let mut accepted = 0;
-    while let Some(happened) = reactor.next_event() {
-        if let ReactorEvent::Accepted { conn, .. } = happened {
+    while let Some(event) = reactor.next_event() {
+        if let ReactorEvent::Accepted { conn, .. } = event {
             accepted += 1;
             reactor.send(conn, [Bytes::from_static(b"x")]).unwrap();
         }
@@ -292,19 +292,19 @@
     assert_eq!(accepted, 3);
     for peer in &mut peers {
         peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        assert_eq!(peer.read(&mut [0; 1]).unwrap(), 1, "it is answered, not reset");
+        assert_eq!(peer.read(&mut [0; 1]).unwrap(), 1, "the connection is answered, not reset");
     }
 }
 
-/// The last bytes of a peer that come after our end must not reset the connection under our last bytes.
+/// Bytes that a peer sends after our end of stream must not reset the connection before our last bytes arrive.
 #[test]
-fn what_is_written_before_a_finish_arrives_though_the_peer_sends_on() {
+fn bytes_sent_before_a_graceful_close_arrive_although_the_peer_keeps_sending() {
     let mut reactor = reactor(Limits::default());
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let mut peer = TcpStream::connect(address).unwrap();
     peer.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     peer.write_all(b"more that nobody reads").unwrap();
-    until(&mut reactor, |reactor, happened| match happened {
+    until(&mut reactor, |reactor, event| match event {
         ReactorEvent::Accepted { conn, .. } => {
             reactor.limit_input(conn, 1);
             reactor.send(conn, [Bytes::from_static(b"last")]).unwrap();
@@ -324,14 +324,14 @@
             return;
         }
     }
-    panic!("it stayed for good");
+    panic!("the connection was never closed");
 }
 
-/// A peer that has shut its sending side and reads slowly gets all that waits for it before its end is told.
+/// A peer that has shut down its sending side and reads slowly gets all queued bytes before its end is reported.
 #[test]
-fn a_half_closed_peer_gets_all_that_waits_for_it() {
+fn a_half_closed_peer_gets_all_queued_bytes() {
     let mut reactor = reactor(Limits::default());
-    let (_, address) = reactor.listen(any()).unwrap();
+    let (_, address) = reactor.listen(any_port()).unwrap();
     let mut peer = TcpStream::connect(address).unwrap();
     peer.write_all(b"ask").unwrap();
     peer.shutdown(std::net::Shutdown::Write).unwrap();
@@ -340,7 +340,7 @@
         let mut answer = Vec::new();
         peer.read_to_end(&mut answer).map(|_| answer.len())
     });
-    until(&mut reactor, |reactor, happened| match happened {
+    until(&mut reactor, |reactor, event| match event {
         ReactorEvent::Received { conn } => {
             reactor.input(conn).unwrap().clear();
             reactor.send(conn, [Bytes::from(vec![1; LENGTH])]).unwrap();
@@ -348,8 +348,8 @@
         }
         _ => false,
     });
-    until(&mut reactor, |_, happened| {
-        matches!(happened, ReactorEvent::Closed { cause: CloseCause::PeerClosed, .. })
+    until(&mut reactor, |_, event| {
+        matches!(event, ReactorEvent::Closed { cause: CloseCause::PeerClosed, .. })
     });
     assert_eq!(reader.join().unwrap().unwrap(), LENGTH);
 }
