--- a/crates/craneknot-http/src/lib.rs
+++ b/crates/craneknot-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 (RFC 9112) without I/O: readers that take bytes as they come and give whole messages, with limits on
-//! all that a peer may send, and writers that give the bytes of a message.
+//! HTTP/1.1 (RFC 9112) without I/O: incremental readers that turn bytes into complete messages, with limits on all
+//! input from a peer, and writers that encode messages into bytes.
 
 mod reader;
 mod writer;
--- a/crates/craneknot-http/src/reader.rs
+++ b/crates/craneknot-http/src/reader.rs
@@ -1,4 +1,4 @@
-//! From bytes to messages.
+//! Incremental parsing of messages.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 use craneknot::interface::Nanos;
 use http::{header, HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode, Version};
 
-/// What a peer may send in one message.
+/// Limits of one message.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the first line and all headers.
+    /// Maximum bytes of the start line and all headers.
     pub head: usize,
-    /// Bytes of the body.
+    /// Maximum bytes of the body.
     pub body: usize,
 }
 
@@ -21,23 +21,23 @@
     }
 }
 
-const HEADERS: usize = 64; // in one message: more is no one's need
-const CHUNK_LINE: usize = 256; // bytes of a chunk's size line, extensions included
+const MAX_HEADERS: usize = 64; // per message, more than any peer needs
+const MAX_CHUNK_LINE_BYTES: usize = 256; // of a chunk size line, including extensions
 
-/// What is wrong with a message; the connection cannot be used any further.
+/// Why a message can't be parsed; the connection can't be used any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParseError {
     HeadTooLarge,
     BodyTooLarge,
     Malformed(String),
-    /// Message bodies coded in a way that is not spoken here.
+    /// A body with a transfer coding that is not supported.
     Unsupported(String),
-    /// The peer ended within a message.
+    /// The connection ended within a message.
     Truncated,
 }
 
 impl ParseError {
-    /// The status to answer a request with.
+    /// The status of the response to such a request.
     pub fn status(&self) -> StatusCode {
         match self {
             ParseError::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -66,6 +66,7 @@
     ParseError::Malformed(what.to_string())
 }
 
+/// The part of a message that is expected next.
 enum Stage {
     Head,
     Length(usize),
@@ -73,19 +74,19 @@
     Chunk(usize),
     ChunkEnd,
     Trailer,
-    /// A response without a length: up to the end of the connection.
+    /// The body of a response without a length, which ends with the connection.
     UntilEnd,
 }
 
-/// What requests and responses share: finding the head's end, and the body after it.
+/// The part of parsing that requests and responses share: finding the end of the head, and the body.
 struct Reader<H> {
     limits: Limits,
     stage: Stage,
     head: Option<H>,
     body: BytesMut,
-    /// Bytes of the input already searched for the head's end.
+    /// Number of input bytes already searched for the end of the head.
     searched: usize,
-    /// When the first byte of a message that is not whole yet came.
+    /// When the first byte of an incomplete message was received.
     since: Option<Nanos>,
 }
 
@@ -94,17 +95,18 @@
         Reader { limits, stage: Stage::Head, head: None, body: BytesMut::new(), searched: 0, since: None }
     }
 
-    /// The bytes of a whole head, once they are there.
+    /// The bytes of the head, once it is complete.
     fn head_bytes(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, ParseError> {
         if self.searched == 0 {
-            // Empty lines before a message are let pass.
+            // Empty lines before a message are ignored.
             while input.starts_with(b"\r\n") {
                 input.advance(2);
             }
         }
-        // Of a connection that ended within a head, the owner may have nothing left to give.
+        // The input may be shorter than before if the connection ended within a head.
         let from = self.searched.min(input.len()).saturating_sub(3);
-        let end = input[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
+        let end =
+            input[from..].windows(4).position(|window| window == b"\r\n\r\n").map(|offset| from + offset + 4);
         match end {
             Some(end) if end > self.limits.head => Err(ParseError::HeadTooLarge),
             Some(end) => {
@@ -130,7 +132,7 @@
         Ok(())
     }
 
-    /// Takes in the body; a whole message once it is all there.
+    /// Consumes the body; returns the message once it is complete.
     fn body(&mut self, input: &mut BytesMut) -> Result<Option<(H, Bytes)>, ParseError> {
         loop {
             match self.stage {
@@ -141,18 +143,18 @@
                     if self.body.len() < length {
                         return Ok(None);
                     }
-                    return Ok(self.whole());
+                    return Ok(self.complete_message());
                 }
                 Stage::UntilEnd => {
-                    self.take_body(input.len(), input)?;
+                    self.append_body(input.len(), input)?;
                     return Ok(None);
                 }
                 Stage::ChunkSize => {
                     let Some(line) = line(input)? else { return Ok(None) };
                     let digits = line[..].split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
-                    let plain =
+                    let is_valid =
                         !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_hexdigit);
-                    let digits = std::str::from_utf8(digits).ok().filter(|_| plain);
+                    let digits = std::str::from_utf8(digits).ok().filter(|_| is_valid);
                     let size = digits.and_then(|digits| usize::from_str_radix(digits, 16).ok());
                     let size = size.ok_or_else(|| malformed("a chunk's size is not a number"))?;
                     if self.body.len() + size > self.limits.body {
@@ -162,7 +164,7 @@
                 }
                 Stage::Chunk(left) => {
                     let part = left.min(input.len());
-                    self.take_body(part, input)?;
+                    self.append_body(part, input)?;
                     if part < left {
                         self.stage = Stage::Chunk(left - part);
                         return Ok(None);
@@ -181,14 +183,14 @@
                 }
                 Stage::Trailer => match line(input)? {
                     None => return Ok(None),
-                    Some(line) if line.is_empty() => return Ok(self.whole()),
+                    Some(line) if line.is_empty() => return Ok(self.complete_message()),
                     Some(_) => {}
                 },
             }
         }
     }
 
-    fn take_body(&mut self, part: usize, input: &mut BytesMut) -> Result<(), ParseError> {
+    fn append_body(&mut self, part: usize, input: &mut BytesMut) -> Result<(), ParseError> {
         if self.body.len() + part > self.limits.body {
             return Err(ParseError::BodyTooLarge);
         }
@@ -196,28 +198,28 @@
         Ok(())
     }
 
-    fn whole(&mut self) -> Option<(H, Bytes)> {
+    fn complete_message(&mut self) -> Option<(H, Bytes)> {
         self.stage = Stage::Head;
         self.since = None;
         let body = std::mem::take(&mut self.body).freeze();
         self.head.take().map(|head| (head, body))
     }
 
-    fn note(&mut self, input: &BytesMut, now: Nanos) {
-        let within = !input.is_empty() || !matches!(self.stage, Stage::Head);
-        self.since = if within { self.since.or(Some(now)) } else { None };
+    fn update_since(&mut self, input: &BytesMut, now: Nanos) {
+        let is_partial = !input.is_empty() || !matches!(self.stage, Stage::Head);
+        self.since = if is_partial { self.since.or(Some(now)) } else { None };
     }
 }
 
-/// A line that ends with CR LF, without these.
+/// Consumes a line that ends with CR LF and returns it without them.
 fn line(input: &mut BytesMut) -> Result<Option<BytesMut>, ParseError> {
-    match input.windows(2).take(CHUNK_LINE).position(|two| two == b"\r\n") {
+    match input.windows(2).take(MAX_CHUNK_LINE_BYTES).position(|window| window == b"\r\n") {
         Some(end) => {
             let line = input.split_to(end);
             input.advance(2);
             Ok(Some(line))
         }
-        None if input.len() > CHUNK_LINE => Err(malformed("a chunk's line is too long")),
+        None if input.len() > MAX_CHUNK_LINE_BYTES => Err(malformed("a chunk's line is too long")),
         None => Ok(None),
     }
 }
@@ -232,7 +234,7 @@
     Ok(headers)
 }
 
-/// How the body comes: nothing where neither a length nor a coding is told.
+/// How the body is delimited; `None` if there is neither a length nor a transfer coding.
 fn framing(headers: &HeaderMap) -> Result<Option<Stage>, ParseError> {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     let length = lengths.next();
@@ -240,7 +242,7 @@
         return Err(malformed("two lengths that differ"));
     }
     match (headers.get(header::TRANSFER_ENCODING), length) {
-        // A sender of both may want to smuggle a second message past a reader that trusts the other.
+        // Both together allow request smuggling past a reader that trusts the other one.
         (Some(_), Some(_)) => Err(malformed("both a length and a transfer coding")),
         (Some(coding), None) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => {
             Ok(Some(Stage::ChunkSize))
@@ -255,15 +257,15 @@
     }
 }
 
-fn persistent(version: Version, headers: &HeaderMap) -> bool {
-    let says = |word: &str| {
+fn is_persistent(version: Version, headers: &HeaderMap) -> bool {
+    let has_option = |option: &str| {
         let all = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-        all.flat_map(|value| value.split(',')).any(|part| part.trim().eq_ignore_ascii_case(word))
+        all.flat_map(|value| value.split(',')).any(|part| part.trim().eq_ignore_ascii_case(option))
     };
     if version == Version::HTTP_11 {
-        !says("close")
+        !has_option("close")
     } else {
-        says("keep-alive")
+        has_option("keep-alive")
     }
 }
 
@@ -271,7 +273,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Persistent(pub bool);
 
-/// Reads requests, as a server does; several may come on one connection, also ahead of their answers.
+/// Parses the requests that a server receives. A connection may carry several, also pipelined.
 pub struct RequestReader(Reader<Request<()>>);
 
 impl RequestReader {
@@ -279,7 +281,7 @@
         RequestReader(Reader::new(limits))
     }
 
-    /// The next whole request. An error ends the connection; its status is to be answered first.
+    /// The next complete request. After an error, respond with its status and close the connection.
     pub fn next(&mut self, input: &mut BytesMut, now: Nanos) -> Result<Option<Request<Bytes>>, ParseError> {
         if let Stage::Head = self.0.stage {
             if let Some(bytes) = self.0.head_bytes(input)? {
@@ -287,25 +289,25 @@
                 self.0.begin(head, stage)?;
             }
         }
-        let whole = self.0.body(input)?;
-        self.0.note(input, now);
-        Ok(whole.map(|(head, body)| head.map(|()| body)))
+        let message = self.0.body(input)?;
+        self.0.update_since(input, now);
+        Ok(message.map(|(head, body)| head.map(|()| body)))
     }
 
-    /// How long a message that is not whole yet has been coming in.
+    /// How long ago the first byte of an incomplete message was received.
     pub fn partial_message_age(&self, now: Nanos) -> Nanos {
         self.0.since.map_or(Nanos(0), |since| now - since)
     }
 
-    /// Whether the connection stays open after the answer to this request.
+    /// Whether the connection stays open after the response to this request.
     pub fn is_persistent<B>(request: &Request<B>) -> bool {
         request.extensions().get::<Persistent>().is_none_or(|persistent| persistent.0)
     }
 }
 
 fn request_head(bytes: &[u8]) -> Result<(Request<()>, Stage), ParseError> {
-    let mut space = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Request::new(&mut space);
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut header_buffer);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
         Ok(httparse::Status::Partial) => return Err(ParseError::Truncated),
@@ -319,13 +321,13 @@
     *request.uri_mut() = parsed.path.unwrap_or_default().parse().map_err(malformed)?;
     *request.version_mut() = version;
     *request.headers_mut() = headers(parsed.headers)?;
-    let persistent = persistent(version, request.headers());
+    let persistent = is_persistent(version, request.headers());
     request.extensions_mut().insert(Persistent(persistent));
     let stage = framing(request.headers())?.unwrap_or(Stage::Length(0));
     Ok((request, stage))
 }
 
-/// Reads responses, as a client does, in the order of the requests.
+/// Parses the responses that a client receives, in the order of its requests.
 pub struct ResponseReader(Reader<Response<()>>);
 
 impl ResponseReader {
@@ -333,7 +335,7 @@
         ResponseReader(Reader::new(limits))
     }
 
-    /// The next whole response; `ended`: no more bytes will come.
+    /// The next complete response; `ended` means that no more bytes will arrive.
     pub fn next(
         &mut self,
         input: &mut BytesMut,
@@ -346,38 +348,39 @@
                 self.0.begin(head, stage)?;
             }
         }
-        let mut whole = self.0.body(input)?;
-        if ended && whole.is_none() {
-            whole = match self.0.stage {
-                Stage::UntilEnd => self.0.whole(),
+        let mut message = self.0.body(input)?;
+        if ended && message.is_none() {
+            message = match self.0.stage {
+                Stage::UntilEnd => self.0.complete_message(),
                 Stage::Head if input.is_empty() => None,
                 _ => return Err(ParseError::Truncated),
             };
         }
-        self.0.note(input, now);
-        Ok(whole.map(|(head, body)| head.map(|()| body)))
+        self.0.update_since(input, now);
+        Ok(message.map(|(head, body)| head.map(|()| body)))
     }
 
-    /// Takes what has come of a body that is not whole yet, with its status: for one that never ends. After a
-    /// taking the limit on the body counts anew.
+    /// Takes the received part of an incomplete body, with the status of its response, for bodies that never end. The
+    /// limit on the body then applies to the bytes that follow.
     pub fn take_partial_body(&mut self) -> Option<(StatusCode, Bytes)> {
         let status = self.0.head.as_ref()?.status();
         Some((status, self.0.body.split().freeze()))
     }
 
-    /// How long a message that is not whole yet has been coming in.
+    /// How long ago the first byte of an incomplete message was received.
     pub fn partial_message_age(&self, now: Nanos) -> Nanos {
         self.0.since.map_or(Nanos(0), |since| now - since)
     }
 
+    /// Whether the connection stays open after this response.
     pub fn is_persistent<B>(response: &Response<B>) -> bool {
         response.extensions().get::<Persistent>().is_none_or(|persistent| persistent.0)
     }
 }
 
 fn response_head(bytes: &[u8]) -> Result<(Response<()>, Stage), ParseError> {
-    let mut space = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Response::new(&mut space);
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Response::new(&mut header_buffer);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {}
         Ok(httparse::Status::Partial) => return Err(ParseError::Truncated),
@@ -390,14 +393,14 @@
     *response.status_mut() = status;
     *response.version_mut() = version;
     *response.headers_mut() = headers(parsed.headers)?;
-    let bare =
+    let has_no_body =
         status.is_informational() || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     let stage = match framing(response.headers())? {
-        _ if bare => Stage::Length(0),
+        _ if has_no_body => Stage::Length(0),
         Some(stage) => stage,
         None => Stage::UntilEnd,
     };
-    let persistent = persistent(version, response.headers()) && !matches!(stage, Stage::UntilEnd);
+    let persistent = is_persistent(version, response.headers()) && !matches!(stage, Stage::UntilEnd);
     response.extensions_mut().insert(Persistent(persistent));
     Ok((response, stage))
 }
--- a/crates/craneknot-http/src/writer.rs
+++ b/crates/craneknot-http/src/writer.rs
@@ -1,14 +1,14 @@
-//! From messages to bytes.
+//! Encoding of messages.
 
 use std::fmt::Write;
 
 use bytes::Bytes;
 use http::{HeaderName, Method, StatusCode};
 
-fn tail(text: &mut String, headers: &[(HeaderName, &str)], length: usize) {
+fn write_headers(text: &mut String, headers: &[(HeaderName, &str)], length: usize) {
     for (name, value) in headers {
-        // A line break in a value would end the header and begin another.
-        let value: String = value.chars().filter(|sign| !sign.is_control()).collect();
+        // Control characters are removed, because a line break would end the header and begin another one.
+        let value: String = value.chars().filter(|character| !character.is_control()).collect();
         let _ = write!(text, "{name}: {value}\r\n");
     }
     let _ = write!(text, "content-length: {length}\r\n\r\n");
@@ -23,7 +23,7 @@
     body: &[u8],
 ) -> Bytes {
     let mut text = format!("{method} {path} HTTP/1.1\r\nhost: {host}\r\n");
-    tail(&mut text, headers, body.len());
+    write_headers(&mut text, headers, body.len());
     let mut bytes = text.into_bytes();
     bytes.extend_from_slice(body);
     bytes.into()
@@ -40,17 +40,17 @@
         text.push_str("\r\n");
         return text.into_bytes().into();
     }
-    tail(&mut text, headers, body.len());
+    write_headers(&mut text, headers, body.len());
     let mut bytes = text.into_bytes();
     bytes.extend_from_slice(body);
     bytes.into()
 }
 
-/// A response whose body is made of chunks that others share; these are not copied.
+/// A response whose body consists of shared chunks, which are not copied.
 pub fn response_chunks(status: StatusCode, headers: &[(HeaderName, &str)], body: Vec<Bytes>) -> Vec<Bytes> {
     let length = body.iter().map(Bytes::len).sum();
     let mut text = status_line(status);
-    tail(&mut text, headers, length);
+    write_headers(&mut text, headers, length);
     let mut chunks = Vec::with_capacity(body.len() + 1);
     chunks.push(text.into_bytes().into());
     chunks.extend(body);
--- a/crates/craneknot-platform/src/fields.rs
+++ b/crates/craneknot-platform/src/fields.rs
@@ -14,7 +14,7 @@
         match value {
             Value::Object(_) => Ok(Object { description, value }),
             Value::Null | Value::Bool(_) | Value::Number(_) | Value::String(_) | Value::Array(_) => {
-                Err(format!("{description}: expected an object"))
+                Err(format!("{description}: an object wanted"))
             }
         }
     }
--- a/crates/craneknot-platform/src/messages.rs
+++ b/crates/craneknot-platform/src/messages.rs
@@ -73,7 +73,7 @@
             let known = names.known_zone(zone);
             known
                 .map(Message::Collector)
-                .ok_or_else(|| MessageError::Unexpected(format!("unknown locality {zone:?}")))
+                .ok_or_else(|| MessageError::Unexpected(format!("there is no locality {zone:?}")))
         }
         "upstream_stats" => {
             upstream_stats(&object, names).map(Message::Report).map_err(MessageError::Malformed)
@@ -81,9 +81,7 @@
         "client_stats" => {
             client_stats(&object, names, proxies).map(Message::Report).map_err(MessageError::Malformed)
         }
-        other => {
-            Err(MessageError::Unexpected(format!("message type {other:?} is not accepted at this address")))
-        }
+        other => Err(MessageError::Unexpected(format!("{other:?} is no message for this address"))),
     }
 }
 
@@ -100,13 +98,12 @@
 
 fn interval(object: &Object) -> Result<Nanos, String> {
     let interval = object.millis("interval", MAX_DURATION)?;
-    (interval > Nanos(0)).then_some(interval).ok_or_else(|| object.invalid("interval", "greater than 0"))
+    (interval > Nanos(0)).then_some(interval).ok_or_else(|| object.invalid("interval", "more than nothing"))
 }
 
 fn upstream_stats(object: &Object, names: &GivenNames) -> Result<Event, String> {
     let zone = object.text("locality")?;
-    let zone =
-        names.known_zone(zone).ok_or_else(|| object.invalid("locality", "one that the settings name"))?;
+    let zone = names.known_zone(zone).ok_or_else(|| object.invalid("locality", "one of the settings"))?;
     let (tries, unanswered) = try_counts(object)?;
     let report = match object.get("metrics") {
         None => LoadReport::default(),
@@ -138,7 +135,7 @@
     let (arrived, unanswered) = operation_counts(object)?;
     Ok(Event::Demand {
         proxy: ProxyId(proxy),
-        class: class.ok_or_else(|| object.invalid("route", "one that the settings name"))?,
+        class: class.ok_or_else(|| object.invalid("route", "one of the settings"))?,
         arrived,
         unanswered,
         span: interval(object)?,
--- a/crates/craneknot-platform/tests/messages.rs
+++ b/crates/craneknot-platform/tests/messages.rs
@@ -58,7 +58,7 @@
     for (pointer, bad, text) in [
         ("/known/members/0/phase", json!("up"), "known: list: members[0]: list entry: phase must be SERVING"),
         ("/known/members/0/host_port", json!(7), "known: list: members[0]: list entry: host_port must be"),
-        ("/known/members/0", json!([]), "known: list: members[0]: list entry: expected an object"),
+        ("/known/members/0", json!([]), "known: list: members[0]: list entry: an object wanted"),
     ] {
         let mut value = configuration();
         *value.pointer_mut(pointer).unwrap() = bad;
--- a/crates/craneknot-reactor/src/reactor/listeners.rs
+++ b/crates/craneknot-reactor/src/reactor/listeners.rs
@@ -38,7 +38,7 @@
         let listener = Listener {
             generation,
             socket,
-            accept_quota: usize::MAX,
+            quota: usize::MAX,
             backing_off: false,
             closing: false,
             watched: true,
@@ -66,14 +66,14 @@
     /// Accepts at most this many connections from a listener until the next call; others wait in the listen backlog.
     pub fn set_accept_quota(&mut self, id: ListenerId, quota: usize) {
         if let Some(listener) = self.listener_mut(id) {
-            listener.accept_quota = quota;
+            listener.quota = quota;
         }
     }
 
     /// Whether a listener is open. One that is closing stays open while its backlog holds connections beyond its quota
     /// or the limit.
     pub fn is_listening(&self, id: ListenerId) -> bool {
-        matches!(self.sources.get(id.key), Some(Source::Listener(listener)) if listener.generation == id.generation)
+        matches!(self.sources.get(id.key), Some(Source::Listener(found)) if found.generation == id.generation)
     }
 
     /// Stops listening. Connections that the system has completed already are accepted first, as far as the limits
@@ -96,7 +96,7 @@
         let below_limit = self.accepted_count < self.limits.connections;
         let Some(Source::Listener(listener)) = self.sources.get_mut(key) else { return };
         listener.backing_off = false;
-        let wanted = below_limit && listener.accept_quota > 0;
+        let wanted = below_limit && listener.quota > 0;
         if wanted != listener.watched {
             let interest = if wanted { Event::readable(key) } else { Event::none(key) };
             match self.poller.modify_with_mode(&listener.socket, interest, PollMode::Level) {
@@ -119,13 +119,13 @@
         for _ in 0..max {
             let below_limit = self.accepted_count + self.unregistered.len() < self.limits.connections;
             let Some(Source::Listener(listener)) = self.sources.get_mut(key) else { return };
-            if !below_limit || listener.accept_quota == 0 || listener.backing_off {
+            if !below_limit || listener.quota == 0 || listener.backing_off {
                 return;
             }
             let id = ListenerId { key, generation: listener.generation };
             match listener.socket.accept() {
                 Ok((stream, from)) => {
-                    listener.accept_quota -= 1;
+                    listener.quota -= 1;
                     self.register_accepted(id, stream, from);
                 }
                 Err(cause) if cause.kind() == ErrorKind::WouldBlock => {
--- a/crates/craneknot-reactor/src/reactor/mod.rs
+++ b/crates/craneknot-reactor/src/reactor/mod.rs
@@ -114,7 +114,7 @@
     generation: u64,
     socket: TcpListener,
     /// Connections that may still be accepted until the owner sets a new quota.
-    accept_quota: usize,
+    quota: usize,
     /// Out of descriptors or buffers: accepting pauses until the next poll.
     backing_off: bool,
     /// The owner accepts only the connections that the system has completed already.
@@ -277,7 +277,8 @@
         Ok(())
     }
 
-    /// Writes the queued bytes of all connections before the owner exits, for at most `max_wait`. Other events are dropped.
+    /// Writes the queued bytes of all connections before the owner exits, for at most `max_wait`. Events that occur in
+    /// the meantime are dropped.
     pub fn flush(&mut self, max_wait: Duration) -> io::Result<()> {
         let deadline = Instant::now() + max_wait;
         let has_unsent =
