--- a/crates/craneknot-http/src/reader.rs
+++ b/crates/craneknot-http/src/reader.rs
@@ -53,8 +53,8 @@
         match self {
             ParseError::HeadTooLarge => write!(f, "the head of the message is too large"),
             ParseError::BodyTooLarge => write!(f, "the body of the message is too large"),
-            ParseError::Malformed(what) => write!(f, "malformed message: {what}"),
-            ParseError::Unsupported(what) => write!(f, "not supported: {what}"),
+            ParseError::Malformed(reason) => write!(f, "malformed message: {reason}"),
+            ParseError::Unsupported(feature) => write!(f, "not supported: {feature}"),
             ParseError::Truncated => write!(f, "the message was cut short"),
         }
     }
@@ -62,15 +62,17 @@
 
 impl std::error::Error for ParseError {}
 
-fn malformed(what: impl fmt::Display) -> ParseError {
-    ParseError::Malformed(what.to_string())
+fn malformed(reason: impl fmt::Display) -> ParseError {
+    ParseError::Malformed(reason.to_string())
 }
 
 /// The part of a message that is expected next.
 enum Stage {
     Head,
+    /// A body of this length, in bytes.
     Length(usize),
     ChunkSize,
+    /// The rest of a chunk, in bytes.
     Chunk(usize),
     ChunkEnd,
     Trailer,
@@ -121,7 +123,7 @@
         }
     }
 
-    fn begin(&mut self, head: H, stage: Stage) -> Result<(), ParseError> {
+    fn begin_body(&mut self, head: H, stage: Stage) -> Result<(), ParseError> {
         if let Stage::Length(length) = stage {
             if length > self.limits.body {
                 return Err(ParseError::BodyTooLarge);
@@ -133,7 +135,7 @@
     }
 
     /// Consumes the body; returns the message once it is complete.
-    fn body(&mut self, input: &mut BytesMut) -> Result<Option<(H, Bytes)>, ParseError> {
+    fn read_body(&mut self, input: &mut BytesMut) -> Result<Option<(H, Bytes)>, ParseError> {
         loop {
             match self.stage {
                 Stage::Head => return Ok(None),
@@ -286,10 +288,10 @@
         if let Stage::Head = self.0.stage {
             if let Some(bytes) = self.0.head_bytes(input)? {
                 let (head, stage) = request_head(&bytes)?;
-                self.0.begin(head, stage)?;
+                self.0.begin_body(head, stage)?;
             }
         }
-        let message = self.0.body(input)?;
+        let message = self.0.read_body(input)?;
         self.0.update_since(input, now);
         Ok(message.map(|(head, body)| head.map(|()| body)))
     }
@@ -345,10 +347,10 @@
         if let Stage::Head = self.0.stage {
             if let Some(bytes) = self.0.head_bytes(input)? {
                 let (head, stage) = response_head(&bytes)?;
-                self.0.begin(head, stage)?;
+                self.0.begin_body(head, stage)?;
             }
         }
-        let mut message = self.0.body(input)?;
+        let mut message = self.0.read_body(input)?;
         if ended && message.is_none() {
             message = match self.0.stage {
                 Stage::UntilEnd => self.0.complete_message(),
--- a/crates/craneknot-reactor/src/conn.rs
+++ b/crates/craneknot-reactor/src/conn.rs
@@ -33,6 +33,7 @@
     pub connecting: bool,
     pub input: BytesMut,
     pub output: VecDeque<Bytes>,
+    /// Number of bytes in `output`.
     pub unsent: usize,
     /// When a byte was last written, or when bytes were first queued.
     pub last_progress: Nanos,
--- a/crates/craneknot-reactor/src/reactor/listeners.rs
+++ b/crates/craneknot-reactor/src/reactor/listeners.rs
@@ -15,7 +15,7 @@
         self.listen_as(address, false)
     }
 
-    /// Listens at an address that another socket of this process holds; see [`reserve`].
+    /// Listens at an address that another socket of this process holds; see [`super::reserve`].
     pub fn listen_reserved(&mut self, address: SocketAddr) -> io::Result<ListenerId> {
         self.listen_as(address, true).map(|(listener, _)| listener)
     }
--- a/crates/craneknot-reactor/tests/sockets.rs
+++ b/crates/craneknot-reactor/tests/sockets.rs
@@ -38,15 +38,15 @@
     const COUNT: usize = 2_000;
     let mut reactor = reactor(Limits::default());
     let (_, address) = reactor.listen(any_port()).unwrap();
-    let mut dialled = BTreeMap::new();
+    let mut numbers = BTreeMap::new();
     for number in 0..COUNT {
-        dialled.insert(reactor.connect(address).unwrap(), number);
+        numbers.insert(reactor.connect(address).unwrap(), number);
     }
     let mut answered = 0;
     until(&mut reactor, |reactor, event| {
         match event {
             ReactorEvent::Connected { conn } => {
-                reactor.send(conn, [Bytes::from(format!("{:04}", dialled[&conn]))]).unwrap();
+                reactor.send(conn, [Bytes::from(format!("{:04}", numbers[&conn]))]).unwrap();
             }
             ReactorEvent::Received { conn } => {
                 let input = reactor.input(conn).unwrap();
@@ -54,7 +54,7 @@
                     return false;
                 }
                 let bytes = input.split().freeze();
-                match dialled.get(&conn) {
+                match numbers.get(&conn) {
                     Some(number) => {
                         assert_eq!(bytes, format!("{number:04}"));
                         answered += 1;
