--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -17,7 +17,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use craneknot_coordinator::shell::{Ended, Shell};
-use craneknot_node::shell::NoStart;
+use craneknot_node::shell::StartError;
 use craneknot_reactor::{SignalFlags, SteadyClock};
 use craneknot_rehearsal::conduct::{Kept, Programs};
 use craneknot_rehearsal::soak::{Day, Load, SoakSettings};
@@ -288,16 +288,16 @@
             let ends = [SIGINT, SIGTERM];
             let mut shell =
                 craneknot_node::shell::Shell::new(&file, clock, &ends).map_err(|cause| match cause {
-                    NoStart::Config(what) => {
+                    StartError::Config(what) => {
                         error_line!("craneknot: {what}");
                         Failed::Settings
                     }
-                    NoStart::System(cause) => system(cause),
+                    StartError::System(cause) => system(cause),
                 })?;
-            shell.tell_dropped_lines(output::dropped_lines());
+            shell.set_dropped_line_counter(output::dropped_lines());
             match shell.run() {
-                craneknot_node::shell::Ended::Asked => Ok(()),
-                craneknot_node::shell::Ended::Failed(cause) => Err(system(cause)),
+                craneknot_node::shell::ExitReason::Signalled => Ok(()),
+                craneknot_node::shell::ExitReason::Failed(cause) => Err(system(cause)),
             }
         }
         Command::Agent { settings } => {
--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -1,7 +1,7 @@
 //! The peers at the coordinator's own address. One that dials is unidentified until it names the zone it collects for;
 //! an unidentified client has little time and little room, and is told why it is turned away.
 //!
-//! Nothing is accepted that can't be served: [`Clients::room`] tells how many more may be, and the others wait in the
+//! Nothing is accepted that can't be served: [`Clients::free_slots`] tells how many more may be, and the others wait in the
 //! system's queue. Where that is full, clients that have asked nothing for a while give way.
 
 use std::collections::BTreeMap;
@@ -76,13 +76,13 @@
     clients: BTreeMap<ClientId, Client>,
     unidentified_most: usize,
     /// Reports that were left out, one by one.
-    pub malformed: u64,
+    pub malformed_reports: u64,
 }
 
 impl Clients {
     /// `unidentified_most`: clients that have not joined, at once.
     pub fn new(unidentified_most: usize) -> Self {
-        Clients { clients: BTreeMap::new(), unidentified_most, malformed: 0 }
+        Clients { clients: BTreeMap::new(), unidentified_most, malformed_reports: 0 }
     }
 
     /// Bytes to be read ahead of a client that has just come.
@@ -91,7 +91,7 @@
     }
 
     /// How many more unidentified clients may be accepted.
-    pub fn room(&self) -> usize {
+    pub fn free_slots(&self) -> usize {
         self.unidentified_most.saturating_sub(self.unidentified().count())
     }
 
@@ -100,19 +100,19 @@
     }
 
     /// A client was accepted.
-    pub fn came(&mut self, now: Nanos, id: ClientId) {
+    pub fn connected(&mut self, now: Nanos, id: ClientId) {
         let client =
             Client { role: Role::Unidentified, heard: now, active: now, line_began: None, searched: 0 };
         self.clients.insert(id, client);
     }
 
     /// A connection has ended.
-    pub fn gone(&mut self, id: ClientId) {
+    pub fn disconnected(&mut self, id: ClientId) {
         self.clients.remove(&id);
     }
 
     /// Bytes have come of a client.
-    pub fn heard(&mut self, now: Nanos, id: ClientId) {
+    pub fn input_received(&mut self, now: Nanos, id: ClientId) {
         if let Some(client) = self.clients.get_mut(&id) {
             client.heard = now;
         }
@@ -120,7 +120,7 @@
 
     /// Takes whole lines off the front of what has come; what is owed for them is entered in the ledger.
     #[allow(clippy::too_many_arguments)] // the input, what reads it, and the three places that what it says goes to
-    pub fn take(
+    pub fn read_lines(
         &mut self,
         now: Nanos,
         id: ClientId,
@@ -161,7 +161,7 @@
                 (_, Ok(Message::Collector(zone))) => self.join(id, zone, pending, actions),
                 (Role::Collector(_), Ok(Message::Report(report))) => reports.push(report),
                 (Role::Collector(_), Err(Unread::Malformed(cause))) => {
-                    self.malformed += 1;
+                    self.malformed_reports += 1;
                     actions.push(ClientAction::Note(cause, String::from_utf8_lossy(&line).into_owned()));
                 }
                 (Role::Unidentified, Ok(Message::Report(_))) => {
@@ -204,8 +204,8 @@
 
     /// Asks those to be evicted whose time is over. They count until the owner says that they are gone; one that it keeps
     /// has as much time again.
-    pub fn turn(&mut self, now: Nanos, actions: &mut Vec<ClientAction>) {
-        let crowded = self.room() == 0;
+    pub fn evict_overdue(&mut self, now: Nanos, actions: &mut Vec<ClientAction>) {
+        let crowded = self.free_slots() == 0;
         let over: Vec<ClientId> = self
             .unidentified()
             .filter(|(_, client)| client.deadline(crowded) <= now)
@@ -224,7 +224,7 @@
 
     /// In a shutdown, where others wait to be accepted: asks those to be evicted that have had their turn, whatever they
     /// are. Whoever has come is to be answered once before anybody is answered again.
-    pub fn make_way(&self, now: Nanos, actions: &mut Vec<ClientAction>) {
+    pub fn evict_idle(&self, now: Nanos, actions: &mut Vec<ClientAction>) {
         let idle = self.clients.iter().filter(|(_, client)| {
             client.role == Role::Unidentified
                 && client.line_began.is_none()
@@ -237,7 +237,7 @@
 
     /// When the next turn is due though nothing comes in.
     pub fn next_at(&self) -> Option<Nanos> {
-        let crowded = self.room() == 0;
+        let crowded = self.free_slots() == 0;
         self.unidentified().map(|(_, client)| client.deadline(crowded)).min()
     }
 
--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -18,13 +18,13 @@
 use crate::coverage::{Coverage, Worst};
 use crate::descriptors::Descriptors;
 use crate::event_streams::EventStreams;
-use crate::link::{Act, LinkId, Links};
+use crate::link::{LinkAction, LinkId, LinkIds};
 use crate::log_event::LogEvent;
 use crate::order_queue::{EncodedOrder, OrderQueue, Outcome};
 use crate::pending::{CloseReason, PendingWork, Violations};
 use crate::probes::{self, Probes};
 use crate::server_age::ServerStarts;
-use crate::status::{NamedWorst, Status};
+use crate::status::{NamedLapse, Status};
 use crate::takeover::TakeoverWatch;
 use crate::watch::Watch;
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct Todo {
     pub client_actions: Vec<ClientAction>,
-    pub acts: Vec<Act>,
+    pub acts: Vec<LinkAction>,
     pub log: Vec<LogEvent>,
 }
 
@@ -44,7 +44,7 @@
     proxies: u32,
     /// The servers as last listed, but for those removed.
     listed: BTreeMap<ServerId, (Listing, SocketAddr)>,
-    links: Links,
+    links: LinkIds,
     clients: Clients,
     pending: PendingWork,
     starts: ServerStarts,
@@ -80,7 +80,7 @@
             controller: Controller::new(config.settings, config.seed, now),
             names: config.names,
             listed: BTreeMap::new(),
-            links: Links::default(),
+            links: LinkIds::default(),
             clients: Clients::new(descriptors.unidentified),
             pending: PendingWork::default(),
             starts: ServerStarts::default(),
@@ -115,7 +115,7 @@
 
     /// A client was accepted.
     pub fn client_connected(&mut self, now: Nanos, id: ClientId) {
-        self.clients.came(now, id);
+        self.clients.connected(now, id);
     }
 
     /// How many more clients may be accepted. In a shutdown nobody joins any more, and all descriptors are theirs.
@@ -123,13 +123,13 @@
         if self.shutting_down {
             usize::MAX
         } else {
-            self.clients.room()
+            self.clients.free_slots()
         }
     }
 
     /// A client's connection has ended; what was owed on it is cleared, or counted.
     pub fn client_gone(&mut self, id: ClientId, reason: CloseReason) {
-        self.clients.gone(id);
+        self.clients.disconnected(id);
         self.pending.closed(id, reason);
     }
 
@@ -150,10 +150,19 @@
 
     /// Bytes have come of a client.
     pub fn client_input(&mut self, now: Nanos, id: ClientId, input: &mut BytesMut) {
-        self.clients.heard(now, id);
+        self.clients.input_received(now, id);
         let before = self.events.len();
         let (pending, actions) = (&mut self.pending, &mut self.todo.client_actions);
-        self.clients.take(now, id, input, &self.names, self.proxies, pending, &mut self.events, actions);
+        self.clients.read_lines(
+            now,
+            id,
+            input,
+            &self.names,
+            self.proxies,
+            pending,
+            &mut self.events,
+            actions,
+        );
         let reports = self.events.len() - before;
         self.reports += reports as u64;
         if reports > 0 {
@@ -191,7 +200,7 @@
     }
 
     fn drop_event_stream(&mut self, now: Nanos, link: LinkId, cause: &str) {
-        self.todo.acts.push(Act::Drop { link });
+        self.todo.acts.push(LinkAction::Close { link });
         self.link_lost(now, link, cause);
     }
 
@@ -245,7 +254,7 @@
                         let changed = self.take_roster(now, roster, None);
                         self.starts.list_taken(now);
                         let listed = self.listed.len();
-                        self.todo.log.push(LogEvent::ListTaken { revision, whole, changed, listed });
+                        self.todo.log.push(LogEvent::ListReceived { revision, whole, changed, listed });
                     }
                     Err(cause) => self.list_failed(&cause),
                 },
@@ -255,7 +264,7 @@
                 }
             }
         } else if let Some((server, took)) = self.probes.end(now, link) {
-            self.todo.acts.push(Act::Drop { link });
+            self.todo.acts.push(LinkAction::Close { link });
             let report = probe::report(body, &self.names);
             self.events.push(Event::Probed { server, outcome: probes::outcome(status), took, report });
         } else if self.streams.has(link) {
@@ -358,10 +367,10 @@
         self.settle_orders();
         if self.shutting_down {
             if self.backlog {
-                self.clients.make_way(now, &mut self.todo.client_actions);
+                self.clients.evict_idle(now, &mut self.todo.client_actions);
             }
         } else {
-            self.clients.turn(now, &mut self.todo.client_actions);
+            self.clients.evict_overdue(now, &mut self.todo.client_actions);
             self.decide(now);
         }
         let retried = self.order_queue.retried;
@@ -385,7 +394,7 @@
         }
         for warning in self.coverage.take_warnings() {
             let class = self.class_names(ClassSet::of(warning.class));
-            self.todo.log.push(LogEvent::Bare { warning, class });
+            self.todo.log.push(LogEvent::NoLineWarning { warning, class });
         }
     }
 
@@ -474,7 +483,7 @@
                 Order::Probe { server } => {
                     let Some((_, address)) = self.listed.get(server) else { continue };
                     let (links, acts) = (&mut self.links, &mut self.todo.acts);
-                    self.probes.begin(now, server, *address, links, acts);
+                    self.probes.start(now, server, *address, links, acts);
                 }
                 Order::Bind { proxy, .. } => self.order(now, &order, Some(*proxy)),
                 Order::Line { .. } | Order::Level { .. } | Order::Mark { .. } => {
@@ -554,22 +563,27 @@
             unidentified,
             clients_pending: self.pending.clients(),
             reports: self.reports,
-            reports_malformed: self.clients.malformed,
+            reports_malformed: self.clients.malformed_reports,
             orders: self.orders,
             orders_waiting: self.order_queue.waiting(),
             orders_rejected: self.order_queue.rejected,
             calls_retried: self.order_queue.retried,
             event_streams: self.streams.streams(),
-            news_malformed: self.news_malformed,
+            events_malformed: self.news_malformed,
             violations: self.pending.violations(),
             coverage: self.coverage.figures(),
-            worst: self.coverage.worst().map(|worst| self.named(worst)),
-            worst_bare: self.coverage.worst_bare().values().map(|worst| self.named(worst)).collect(),
+            longest_uncovered: self.coverage.worst().map(|worst| self.named(worst)),
+            longest_without_line: self
+                .coverage
+                .worst_bare()
+                .values()
+                .map(|worst| self.named(worst))
+                .collect(),
         }
     }
 
-    fn named(&self, worst: &Worst) -> NamedWorst {
+    fn named(&self, worst: &Worst) -> NamedLapse {
         let class = self.class_names(ClassSet::of(worst.lapse.class));
-        NamedWorst { worst: worst.clone(), class, since_start: worst.at - self.born }
+        NamedLapse { longest: worst.clone(), class, since_start: worst.at - self.born }
     }
 }
--- a/crates/craneknot-node/src/event_streams.rs
+++ b/crates/craneknot-node/src/event_streams.rs
@@ -9,7 +9,7 @@
 use craneknot_platform::news::{self, Decoder, News};
 use http::{header, Method};
 
-use crate::link::{backoff, Act, LinkId, Links};
+use crate::link::{backoff, LinkAction, LinkId, LinkIds};
 use crate::presence::{Account, Presence};
 
 const HELD: usize = 2; // streams: with one, news is missed whenever it breaks
@@ -102,7 +102,7 @@
     }
 
     /// Ends and dials streams where that is due.
-    pub fn turn(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>, out: &mut Vec<News>) {
+    pub fn turn(&mut self, now: Nanos, links: &mut LinkIds, acts: &mut Vec<LinkAction>, out: &mut Vec<News>) {
         self.settle(now, out);
         self.end_late(now, acts, out);
         self.confirm(now, out);
@@ -114,7 +114,7 @@
 
     /// Ends streams that never opened, or fell silent. The last one heard is kept while nothing else speaks, since what
     /// is cut off may come back.
-    fn end_late(&mut self, now: Nanos, acts: &mut Vec<Act>, out: &mut Vec<News>) {
+    fn end_late(&mut self, now: Nanos, acts: &mut Vec<LinkAction>, out: &mut Vec<News>) {
         let speaking = self.streams.iter().any(|stream| stream.speaks(now));
         let open = self.streams.iter().filter(|stream| stream.open.is_some());
         let last = open.max_by_key(|stream| stream.heard).map(|stream| stream.link);
@@ -128,16 +128,16 @@
         };
         let late = self.streams.iter().filter(|stream| late(stream)).map(|stream| stream.link);
         for link in late.collect::<Vec<_>>() {
-            acts.push(Act::Drop { link });
+            acts.push(LinkAction::Close { link });
             self.lost(now, link, out);
         }
     }
 
-    fn dial(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>) {
-        let (link, address) = (links.name(), self.address);
+    fn dial(&mut self, now: Nanos, links: &mut LinkIds, acts: &mut Vec<LinkAction>) {
+        let (link, address) = (links.next_id(), self.address);
         let headers = [(header::ACCEPT, "text/event-stream")];
         let request = request(&Method::GET, news::PATH, &address.to_string(), &headers, b"");
-        acts.push(Act::Dial { link, address, request });
+        acts.push(LinkAction::Dial { link, address, request });
         self.streams.push(EventStream {
             link,
             address,
--- a/crates/craneknot-node/src/link.rs
+++ b/crates/craneknot-node/src/link.rs
@@ -11,10 +11,10 @@
 
 /// Gives names.
 #[derive(Debug, Default)]
-pub struct Links(u64);
+pub struct LinkIds(u64);
 
-impl Links {
-    pub fn name(&mut self) -> LinkId {
+impl LinkIds {
+    pub fn next_id(&mut self) -> LinkId {
         self.0 += 1;
         LinkId(self.0)
     }
@@ -22,25 +22,25 @@
 
 /// What is to be done with a connection that the coordinator dials.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum LinkAction {
     /// Dial, and send this once it stands.
     Dial { link: LinkId, address: SocketAddr, request: Bytes },
     /// Send this where something was sent before.
     Send { link: LinkId, request: Bytes },
     /// Close; nothing more is heard of it.
-    Drop { link: LinkId },
+    Close { link: LinkId },
 }
 
 /// A peer that is called again and again, on one connection while it lasts.
 #[derive(Debug)]
-pub struct Callee {
+pub struct PeerConnection {
     address: SocketAddr,
     link: Option<LinkId>,
 }
 
-impl Callee {
+impl PeerConnection {
     pub fn new(address: SocketAddr) -> Self {
-        Callee { address, link: None }
+        PeerConnection { address, link: None }
     }
 
     /// The name it is called by.
@@ -53,19 +53,19 @@
     }
 
     /// Sends on the connection that stands, else on a new one; true: it is new.
-    pub fn call(&mut self, request: Bytes, links: &mut Links, acts: &mut Vec<Act>) -> bool {
+    pub fn call(&mut self, request: Bytes, links: &mut LinkIds, acts: &mut Vec<LinkAction>) -> bool {
         if let Some(link) = self.link {
-            acts.push(Act::Send { link, request });
+            acts.push(LinkAction::Send { link, request });
             return false;
         }
-        let link = links.name();
+        let link = links.next_id();
         self.link = Some(link);
-        acts.push(Act::Dial { link, address: self.address, request });
+        acts.push(LinkAction::Dial { link, address: self.address, request });
         true
     }
 
-    pub fn hang_up(&mut self, acts: &mut Vec<Act>) {
-        acts.extend(self.link.take().map(|link| Act::Drop { link }));
+    pub fn close(&mut self, acts: &mut Vec<LinkAction>) {
+        acts.extend(self.link.take().map(|link| LinkAction::Close { link }));
     }
 
     /// The connection has ended by itself.
@@ -74,11 +74,11 @@
     }
 
     /// It is elsewhere from now on; false: it is there already.
-    pub fn move_to(&mut self, address: SocketAddr, acts: &mut Vec<Act>) -> bool {
+    pub fn move_to(&mut self, address: SocketAddr, acts: &mut Vec<LinkAction>) -> bool {
         let moves = self.address != address;
         if moves {
             self.address = address;
-            self.hang_up(acts);
+            self.close(acts);
         }
         moves
     }
--- a/crates/craneknot-node/src/log_event.rs
+++ b/crates/craneknot-node/src/log_event.rs
@@ -28,7 +28,7 @@
         orders_waiting: usize,
     },
     /// Proxies have had no line for half of what the settings allow, though servers are listed.
-    Bare {
+    NoLineWarning {
         warning: BareWarning,
         class: String,
     },
@@ -48,7 +48,7 @@
         classes: String,
     },
     /// A list was taken in, so many servers of which are new or have changed.
-    ListTaken {
+    ListReceived {
         revision: u64,
         whole: bool,
         changed: usize,
@@ -120,12 +120,12 @@
         match self {
             LogEvent::Note(_) => "note",
             LogEvent::Lapse { .. } => "no line to pick",
-            LogEvent::Bare { .. } => "bare for half the limit",
+            LogEvent::NoLineWarning { .. } => "bare for half the limit",
             LogEvent::Takeover(_) => "proxies were taken over",
             LogEvent::ProxyJoined { .. } => "proxy joined",
             LogEvent::ProxyLeft { .. } => "proxy left",
             LogEvent::ProxyBound { .. } => "proxy bound",
-            LogEvent::ListTaken { .. } => "list taken",
+            LogEvent::ListReceived { .. } => "list taken",
             LogEvent::ServerListed { .. } => "server listed",
             LogEvent::WatchFailed { .. } => "the list can't be followed",
             LogEvent::CallRetried { .. } => "call made again",
@@ -150,7 +150,7 @@
                 lasted_ms = millis(lapse.lasted),
                 table = lapse.table.map(|table| table.0), calls_failed, orders_waiting, "{kind}"
             ),
-            LogEvent::Bare { warning, class } => warn!(
+            LogEvent::NoLineWarning { warning, class } => warn!(
                 class = cut_name(class), supply = ?warning.supply, proxies = warning.proxies,
                 proxy = warning.proxy.0, table = warning.table.map(|table| table.0), ready = warning.ready,
                 cold = warning.cold, shut_out = warning.shut_out, "{kind}"
@@ -161,7 +161,7 @@
             LogEvent::ProxyBound { proxy, table, classes } => {
                 info!(proxy = proxy.0, table = table.0, classes = cut(classes), "{kind}");
             }
-            LogEvent::ListTaken { revision, whole, changed, listed } => {
+            LogEvent::ListReceived { revision, whole, changed, listed } => {
                 info!(revision, whole, changed, listed, "{kind}");
             }
             LogEvent::ServerListed { server, readiness, is_start_certain } => {
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -11,7 +11,7 @@
 use craneknot_platform::relay::{self, Answer, Refusal};
 use http::{header, Method};
 
-use crate::link::{backoff, Act, Callee, LinkId, Links};
+use crate::link::{backoff, LinkAction, LinkId, LinkIds, PeerConnection};
 
 const ANSWER_MOST: Nanos = Nanos::from_millis(200); // ms; it comes within 50 or never, and we may be held up
 const DIAL_MOST: Nanos = Nanos::from_millis(300); // ms; to be connected and answered on a new connection
@@ -76,7 +76,7 @@
 }
 
 pub struct OrderQueue {
-    relay: Callee,
+    relay: PeerConnection,
     queue: VecDeque<Queued>,
     held: BTreeMap<ProxyId, Held>,
     /// Proxies whose orders go out behind all others.
@@ -123,7 +123,7 @@
 impl OrderQueue {
     pub fn new(address: SocketAddr, now: Nanos) -> Self {
         OrderQueue {
-            relay: Callee::new(address),
+            relay: PeerConnection::new(address),
             queue: VecDeque::new(),
             held: BTreeMap::new(),
             suspects: BTreeSet::new(),
@@ -231,19 +231,19 @@
     }
 
     /// The relay is elsewhere from now on.
-    pub fn move_to(&mut self, now: Nanos, address: SocketAddr, acts: &mut Vec<Act>) {
+    pub fn move_to(&mut self, now: Nanos, address: SocketAddr, acts: &mut Vec<LinkAction>) {
         if self.relay.move_to(address, acts) {
             self.rest(now);
         }
     }
 
     /// Makes the next call where one is due, and gives up on one that has waited too long.
-    pub fn turn(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>) {
+    pub fn turn(&mut self, now: Nanos, links: &mut LinkIds, acts: &mut Vec<LinkAction>) {
         if let State::Asked { until, .. } = self.state {
             if now < until {
                 return;
             }
-            self.relay.hang_up(acts);
+            self.relay.close(acts);
             self.fail(now);
         }
         let State::Resting { from } = self.state else { return };
@@ -301,13 +301,13 @@
         now: Nanos,
         body: &[u8],
         keeps: bool,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<LinkAction>,
     ) -> Result<(), String> {
         if !keeps {
-            self.relay.hang_up(acts);
+            self.relay.close(acts);
         }
         let State::Asked { orders, .. } = self.state else {
-            self.relay.hang_up(acts);
+            self.relay.close(acts);
             return Err("the relay answered what was not asked".into());
         };
         let answer = relay::answer(body, orders);
@@ -336,7 +336,7 @@
                 Err("the relay calls a call invalid".into())
             }
             Err(cause) => {
-                self.relay.hang_up(acts);
+                self.relay.close(acts);
                 self.fail(now);
                 Err(cause)
             }
--- a/crates/craneknot-node/src/probes.rs
+++ b/crates/craneknot-node/src/probes.rs
@@ -8,7 +8,7 @@
 use craneknot_platform::probe;
 use http::{header, Method, StatusCode};
 
-use crate::link::{Act, LinkId, Links};
+use crate::link::{LinkAction, LinkId, LinkIds};
 
 const TIME_OUT: Nanos = Nanos::from_millis(600); // ms; less than the decisions' time between probes
 
@@ -25,21 +25,21 @@
     }
 
     /// Begins a probe, unless one is in flight there, or too many are in all.
-    pub fn begin(
+    pub fn start(
         &mut self,
         now: Nanos,
         server: &ServerId,
         address: SocketAddr,
-        links: &mut Links,
-        acts: &mut Vec<Act>,
+        links: &mut LinkIds,
+        acts: &mut Vec<LinkAction>,
     ) {
         if self.in_flight.len() >= self.most || self.in_flight.values().any(|(of, _)| of == server) {
             return;
         }
-        let link = links.name();
+        let link = links.next_id();
         let host = address.to_string();
         let request = request(&Method::GET, probe::PATH, &host, &[(header::CONNECTION, "close")], b"");
-        acts.push(Act::Dial { link, address, request });
+        acts.push(LinkAction::Dial { link, address, request });
         self.in_flight.insert(link, (server.clone(), now));
     }
 
@@ -49,10 +49,10 @@
     }
 
     /// Those that have waited too long, and end with this.
-    pub fn overdue(&mut self, now: Nanos, acts: &mut Vec<Act>) -> Vec<(ServerId, Nanos)> {
+    pub fn overdue(&mut self, now: Nanos, acts: &mut Vec<LinkAction>) -> Vec<(ServerId, Nanos)> {
         let late = self.in_flight.extract_if(.., |_, (_, since)| now - *since >= TIME_OUT);
         late.map(|(link, (server, since))| {
-            acts.push(Act::Drop { link });
+            acts.push(LinkAction::Close { link });
             (server, now - since)
         })
         .collect()
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -23,7 +23,7 @@
 use crate::clients::{ClientAction, ClientId, Clients};
 use crate::coordinator::{Coordinator, Todo};
 use crate::descriptors::Descriptors;
-use crate::link::{Act, LinkId};
+use crate::link::{LinkAction, LinkId};
 use crate::log_event::{cut, EventLog, LogEvent};
 use crate::pending::CloseReason;
 use crate::status::{write_end, write_status, ProcessFigures};
@@ -51,9 +51,9 @@
 
 /// What ends the program.
 #[derive(Debug)]
-pub enum Ended {
+pub enum ExitReason {
     /// By a signal.
-    Asked,
+    Signalled,
     Failed(io::Error),
 }
 
@@ -143,7 +143,7 @@
 
 /// Why a coordinator does not start.
 #[derive(Debug)]
-pub enum NoStart {
+pub enum StartError {
     Config(String),
     System(io::Error),
 }
@@ -165,15 +165,15 @@
 impl Shell {
     /// Reads its configuration and listens. Any of the signals `ends` asks it to end; SIGHUP has the configuration
     /// read again. What fails for a moment only is tried again, for 8 s.
-    pub fn new(file: &Path, clock: Arc<dyn Clock>, ends: &[i32]) -> Result<Self, NoStart> {
+    pub fn new(file: &Path, clock: Arc<dyn Clock>, ends: &[i32]) -> Result<Self, StartError> {
         let mut heeded = vec![SIGHUP];
         heeded.extend(ends);
         // Before anything can fail, and before anybody can reach it: a signal that is not heeded yet would end it.
-        let flags = SignalFlags::register(&heeded).map_err(NoStart::System)?;
+        let flags = SignalFlags::register(&heeded).map_err(StartError::System)?;
         let until = Instant::now() + START_MOST;
         let is_unread = |cause: &ConfigError| matches!(cause, ConfigError::Momentary(_));
         let config = patiently(until, is_unread, || read_config(file, |file| fs::read(file)))
-            .map_err(|cause| NoStart::Config(cause.into_text()))?;
+            .map_err(|cause| StartError::Config(cause.into_text()))?;
         let Descriptors { connections, accepts, .. } = Descriptors::divide(config.sockets);
         let limits = Limits { input: INPUT, output: OUTPUT, connections, accepts };
         let make = || -> io::Result<(Reactor<Due>, ListenerId, SocketAddr)> {
@@ -181,7 +181,7 @@
             let (listener, address) = reactor.listen(config.listen)?;
             Ok((reactor, listener, address))
         };
-        let made = patiently(until, is_momentary_at_start, make).map_err(NoStart::System)?;
+        let made = patiently(until, is_momentary_at_start, make).map_err(StartError::System)?;
         let (mut reactor, listener, address) = made;
         reactor.heed(flags);
         let now = reactor.now();
@@ -216,17 +216,17 @@
     }
 
     /// Tells this count in the status lines: of log lines that were not written.
-    pub fn tell_dropped_lines(&mut self, dropped: Counter) {
+    pub fn set_dropped_line_counter(&mut self, dropped: Counter) {
         self.log_lines_dropped = dropped;
     }
 
     /// Runs until a signal ends it.
-    pub fn run(&mut self) -> Ended {
+    pub fn run(&mut self) -> ExitReason {
         loop {
             match self.round() {
                 Ok(true) => {}
-                Ok(false) => return Ended::Asked,
-                Err(cause) => return Ended::Failed(cause),
+                Ok(false) => return ExitReason::Signalled,
+                Err(cause) => return ExitReason::Failed(cause),
             }
         }
     }
@@ -567,17 +567,17 @@
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: LinkAction) {
         match act {
-            Act::Dial { link, address, request } => self.dial(link, address, request),
-            Act::Send { link, request } => {
+            LinkAction::Dial { link, address, request } => self.dial(link, address, request),
+            LinkAction::Send { link, request } => {
                 let Some(conn) = self.link_conns.get(&link).copied() else { return };
                 if self.reactor.send(conn, [request]).is_err() {
                     self.reactor.close(conn);
                     self.lose_link(conn, "nothing more can be sent");
                 }
             }
-            Act::Drop { link } => {
+            LinkAction::Close { link } => {
                 self.redials.retain(|redial| redial.id != link);
                 if let Some(conn) = self.link_conns.remove(&link) {
                     self.links.remove(&conn);
--- a/crates/craneknot-node/src/status.rs
+++ b/crates/craneknot-node/src/status.rs
@@ -28,20 +28,20 @@
     pub calls_retried: u64,
     pub event_streams: usize,
     /// News that were left out, since a field was absent, wrong or out of range.
-    pub news_malformed: u64,
+    pub events_malformed: u64,
     pub violations: Violations,
     /// Proxies without a line to pick.
     pub coverage: CoverageFigures,
     /// The longest lack of a line since the start.
-    pub worst: Option<NamedWorst>,
+    pub longest_uncovered: Option<NamedLapse>,
     /// The longest times without a line since the start: one for each supply of servers that was met meanwhile.
-    pub worst_bare: Vec<NamedWorst>,
+    pub longest_without_line: Vec<NamedLapse>,
 }
 
 /// The longest lack, with what an operator calls its class, and the time since the start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NamedWorst {
-    pub worst: Worst,
+pub struct NamedLapse {
+    pub longest: Worst,
     pub class: String,
     pub since_start: Nanos,
 }
@@ -71,11 +71,11 @@
         orders_waiting = status.orders_waiting,
         "status"
     );
-    write_worst("status of the longest lack", status.worst.as_ref(), status.coverage.uncovered);
-    if status.worst_bare.is_empty() {
+    write_worst("status of the longest lack", status.longest_uncovered.as_ref(), status.coverage.uncovered);
+    if status.longest_without_line.is_empty() {
         write_worst("status of the longest bare", None, status.coverage.bare);
     }
-    for worst in &status.worst_bare {
+    for worst in &status.longest_without_line {
         write_worst("status of the longest bare", Some(worst), status.coverage.bare);
     }
     info!(
@@ -98,7 +98,7 @@
     info!(
         reports = status.reports,
         reports_malformed = status.reports_malformed,
-        news_malformed = status.news_malformed,
+        news_malformed = status.events_malformed,
         event_streams = status.event_streams,
         log_lines_dropped,
         "status of input"
@@ -107,8 +107,8 @@
 
 /// The last lines of a process: the longest that a proxy was without a line, and what is left undone.
 pub fn write_end(status: &Status, violations: Violations) {
-    let longest = status.worst_bare.iter().max_by_key(|worst| worst.worst.lapse.lasted);
-    let lapse = longest.map(|longest| &longest.worst.lapse);
+    let longest = status.longest_without_line.iter().max_by_key(|worst| worst.longest.lapse.lasted);
+    let lapse = longest.map(|longest| &longest.longest.lapse);
     let (bare_longest_ms, bare_now) = (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.bare);
     let supply = lapse.map(|lapse| format!("{:?}", lapse.supply));
     let class = longest.map(|longest| beginning(&longest.class, CLASS_MOST));
@@ -124,8 +124,8 @@
 
 /// The longest since the start, in each status line anew: readers keep a log's beginning and end only. `now`: how many
 /// proxies and classes are without a line now.
-fn write_worst(kind: &str, worst: Option<&NamedWorst>, now: usize) {
-    let lapse = worst.map(|worst| &worst.worst.lapse);
+fn write_worst(kind: &str, worst: Option<&NamedLapse>, now: usize) {
+    let lapse = worst.map(|worst| &worst.longest.lapse);
     info!(
         now,
         longest_ms = lapse.map_or(0, |lapse| millis(lapse.lasted)),
--- a/crates/craneknot-node/src/watch.rs
+++ b/crates/craneknot-node/src/watch.rs
@@ -8,7 +8,7 @@
 use craneknot_platform::discovery::{self, Roster};
 use http::Method;
 
-use crate::link::{Act, Callee, LinkId, Links};
+use crate::link::{LinkAction, LinkId, LinkIds, PeerConnection};
 
 const WAIT: Nanos = Nanos::from_millis(5_000); // ms; a watch that has fallen silent is found out soon after
 const LATE: Nanos = Nanos::from_millis(1_500); // ms; an answer this long after its wait is lost
@@ -28,7 +28,7 @@
 }
 
 pub struct Watch {
-    discovery: Callee,
+    discovery: PeerConnection,
     state: State,
     revision: Option<u64>,
     /// The next call is the first of a new watch: it is answered at once.
@@ -41,7 +41,7 @@
 impl Watch {
     /// `revision`: of the list that is known from before.
     pub fn new(address: SocketAddr, revision: Option<u64>) -> Self {
-        let discovery = Callee::new(address);
+        let discovery = PeerConnection::new(address);
         Watch { discovery, state: State::Idle, revision, fresh: true, answered: Nanos(0), older: 0 }
     }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    pub fn move_to(&mut self, address: SocketAddr, acts: &mut Vec<Act>) {
+    pub fn move_to(&mut self, address: SocketAddr, acts: &mut Vec<LinkAction>) {
         if self.discovery.move_to(address, acts) {
             match self.state {
                 State::Idle => {}
@@ -67,19 +67,19 @@
     }
 
     /// Calls where that is due; true: a call has failed by its time.
-    pub fn turn(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>) -> bool {
+    pub fn turn(&mut self, now: Nanos, links: &mut LinkIds, acts: &mut Vec<LinkAction>) -> bool {
         match self.state {
             State::Idle => false,
             State::Asked { until, .. } if now < until => false,
             State::Asked { waits: true, .. } => {
                 // A watch that has fallen silent says nothing of discovery, and what changed meanwhile is overdue:
                 // a call on a new connection tells both.
-                self.discovery.hang_up(acts);
+                self.discovery.close(acts);
                 (self.state, self.fresh) = (State::Due, true);
                 self.turn(now, links, acts)
             }
             State::Asked { waits: false, .. } => {
-                self.discovery.hang_up(acts);
+                self.discovery.close(acts);
                 self.state = State::Idle;
                 true
             }
@@ -107,10 +107,10 @@
         now: Nanos,
         roster: &Roster,
         keeps: bool,
-        acts: &mut Vec<Act>,
+        acts: &mut Vec<LinkAction>,
     ) -> Result<(), String> {
         if !keeps {
-            self.discovery.hang_up(acts);
+            self.discovery.close(acts);
         }
         // An answer that was long on its way, or of a copy that lags behind, must not undo what came since.
         if let Some(known) = self.revision.filter(|known| roster.revision < *known) {
@@ -128,8 +128,8 @@
     }
 
     /// What came is no list: the watch has failed.
-    pub fn failed(&mut self, acts: &mut Vec<Act>) {
-        self.discovery.hang_up(acts);
+    pub fn failed(&mut self, acts: &mut Vec<LinkAction>) {
+        self.discovery.close(acts);
         self.state = State::Idle;
     }
 
--- a/crates/craneknot-node/tests/coordinator.rs
+++ b/crates/craneknot-node/tests/coordinator.rs
@@ -7,7 +7,7 @@
 use craneknot_node::clients::ClientId;
 use craneknot_node::coordinator::{Coordinator, Todo};
 use craneknot_node::coverage::WaitingFor;
-use craneknot_node::link::{Act, LinkId};
+use craneknot_node::link::{LinkAction, LinkId};
 use craneknot_node::log_event::LogEvent;
 use craneknot_node::pending::CloseReason;
 use craneknot_platform::config::Config;
@@ -77,8 +77,10 @@
         self.log.extend(todo.log.iter().cloned());
         for act in &todo.acts {
             let (link, request) = match act {
-                Act::Dial { link, request, .. } | Act::Send { link, request } => (*link, request),
-                Act::Drop { link } => {
+                LinkAction::Dial { link, request, .. } | LinkAction::Send { link, request } => {
+                    (*link, request)
+                }
+                LinkAction::Close { link } => {
                     self.news.retain(|news| news != link);
                     continue;
                 }
@@ -206,8 +208,8 @@
     platform.coordinator.reconfigure(platform.now, &moved);
     let acts = platform.turn().acts;
     let dials = acts.iter().filter_map(|act| match act {
-        Act::Dial { address, .. } => Some(*address),
-        Act::Send { .. } | Act::Drop { .. } => None,
+        LinkAction::Dial { address, .. } => Some(*address),
+        LinkAction::Send { .. } | LinkAction::Close { .. } => None,
     });
     assert!(
         dials.clone().count() > 0 && dials.into_iter().all(|address| address == OTHER && address != ADDRESS)
@@ -282,7 +284,7 @@
     platform.attach(0..4);
     assert!((0..4).all(|proxy| platform.bound(proxy) > 0), "{:?}", platform.orders);
     assert_eq!(platform.news, streams, "no stream was dropped");
-    assert_eq!(platform.coordinator.status().news_malformed, 8, "four on each of two streams");
+    assert_eq!(platform.coordinator.status().events_malformed, 8, "four on each of two streams");
 }
 
 /// A shutdown is over once orders are acknowledged, and answers written: each is asked of the ledger.
--- a/crates/craneknot-node/tests/crossings.rs
+++ b/crates/craneknot-node/tests/crossings.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 
-use craneknot_node::shell::{Ended, Shell};
+use craneknot_node::shell::{ExitReason, Shell};
 use craneknot_reactor::SteadyClock;
 use rustix::process::{getpid, kill_process, Signal};
 
@@ -283,5 +283,5 @@
 fn a_signal_before_the_first_round_asks_for_the_end() {
     let Parties { mut shell, .. } = parties("early", &[Signal::USR1.as_raw()]);
     kill_process(getpid(), Signal::USR1).unwrap();
-    assert!(matches!(shell.run(), Ended::Asked));
+    assert!(matches!(shell.run(), ExitReason::Signalled));
 }
--- a/crates/craneknot-node/tests/event_streams.rs
+++ b/crates/craneknot-node/tests/event_streams.rs
@@ -2,7 +2,7 @@
 
 use craneknot::interface::{ProxyId, ZoneId};
 use craneknot_node::event_streams::EventStreams;
-use craneknot_node::link::{Act, LinkId, Links};
+use craneknot_node::link::{LinkAction, LinkId, LinkIds};
 use craneknot_platform::news::News;
 
 mod helpers;
@@ -18,7 +18,7 @@
 
 struct Relay {
     streams: EventStreams,
-    links: Links,
+    links: LinkIds,
     out: Vec<News>,
 }
 
@@ -26,7 +26,7 @@
     /// Two streams that have told the same.
     fn with_two(proxies: &[u16]) -> (Self, [LinkId; 2]) {
         let mut relay =
-            Relay { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
+            Relay { streams: EventStreams::new(ADDRESS, ms(0)), links: LinkIds::default(), out: Vec::new() };
         let dialled = [relay.turn(0), relay.turn(100)];
         let links = dialled.map(|acts| called(&acts).0);
         links.iter().for_each(|link| relay.hear(120, *link, proxies.iter().map(|id| joined(*id)).collect()));
@@ -34,7 +34,7 @@
         (relay, links)
     }
 
-    fn turn(&mut self, at: u64) -> Vec<Act> {
+    fn turn(&mut self, at: u64) -> Vec<LinkAction> {
         let mut acts = Vec::new();
         self.streams.turn(ms(at), &mut self.links, &mut acts, &mut self.out);
         acts
@@ -66,7 +66,7 @@
     assert_eq!(relay.told(), []);
     relay.hear(4_300, second, vec![left(3)]);
     assert_eq!(relay.told(), [left(3)]);
-    assert!(matches!(relay.turn(6_000)[..], [Act::Dial { .. }]), "and another one is dialled");
+    assert!(matches!(relay.turn(6_000)[..], [LinkAction::Dial { .. }]), "and another one is dialled");
 }
 
 /// A stream that lags says that a proxy stands which has come again since.
@@ -146,7 +146,7 @@
     relay.streams.lost(ms(3_010), first, &mut relay.out);
     for at in (3_050..4_200).step_by(50) {
         for act in relay.turn(at) {
-            let Act::Dial { link, .. } = act else { continue };
+            let LinkAction::Dial { link, .. } = act else { continue };
             relay.streams.lost(ms(at), link, &mut relay.out);
         }
         if at % 1_000 == 0 {
@@ -178,7 +178,7 @@
     for at in [1_000, 2_000, 3_000, 4_000] {
         relay.hear(at, second, vec![]);
     }
-    assert!(relay.turn(4_000).contains(&Act::Drop { link: first }));
+    assert!(relay.turn(4_000).contains(&LinkAction::Close { link: first }));
     relay.hear(4_100, second, vec![left(1)]);
     assert_eq!(relay.told(), [left(1)]);
 }
@@ -232,7 +232,7 @@
 #[test]
 fn with_no_stream_left_the_next_look_is_never_in_the_past() {
     let mut relay =
-        Relay { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
+        Relay { streams: EventStreams::new(ADDRESS, ms(0)), links: LinkIds::default(), out: Vec::new() };
     let first = called(&relay.turn(0)).0;
     relay.hear(10, first, vec![joined(1)]);
     relay.streams.lost(ms(20), first, &mut relay.out);
--- a/crates/craneknot-node/tests/helpers/mod.rs
+++ b/crates/craneknot-node/tests/helpers/mod.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use craneknot::interface::{Nanos, Order, ProxyId};
-use craneknot_node::link::{Act, LinkId};
+use craneknot_node::link::{LinkAction, LinkId};
 use craneknot_node::order_queue::EncodedOrder;
 use craneknot_platform::config::Config;
 use serde_json::{json, Value};
@@ -42,12 +42,12 @@
 }
 
 /// What the call that was just made carries.
-pub fn called(acts: &[Act]) -> (LinkId, String) {
+pub fn called(acts: &[LinkAction]) -> (LinkId, String) {
     match acts.last() {
-        Some(Act::Dial { link, request, .. } | Act::Send { link, request }) => {
+        Some(LinkAction::Dial { link, request, .. } | LinkAction::Send { link, request }) => {
             (*link, String::from_utf8_lossy(request).into_owned())
         }
-        Some(Act::Drop { .. }) | None => panic!("no call in {acts:?}"),
+        Some(LinkAction::Close { .. }) | None => panic!("no call in {acts:?}"),
     }
 }
 
--- a/crates/craneknot-node/tests/helpers/platform.rs
+++ b/crates/craneknot-node/tests/helpers/platform.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use craneknot_node::clients::ClientId;
 use craneknot_node::coordinator::Coordinator;
-use craneknot_node::link::{Act, LinkId};
+use craneknot_node::link::{LinkAction, LinkId};
 use craneknot_platform::config::Config;
 use http::{Response, StatusCode};
 use rand::{Rng, SeedableRng};
@@ -410,13 +410,13 @@
         self.places[place].log.extend(lines);
         for act in todo.acts {
             match act {
-                Act::Drop { link } => drop(self.places[place].links.remove(&link)),
-                Act::Dial { link, address, request } => {
+                LinkAction::Close { link } => drop(self.places[place].links.remove(&link)),
+                LinkAction::Dial { link, address, request } => {
                     let new = self.dialled(place, address.port(), &request);
                     self.places[place].links.insert(link, new);
                     self.ask(place, link, &request);
                 }
-                Act::Send { link, request } => self.ask(place, link, &request),
+                LinkAction::Send { link, request } => self.ask(place, link, &request),
             }
         }
     }
--- a/crates/craneknot-node/tests/observability.rs
+++ b/crates/craneknot-node/tests/observability.rs
@@ -11,7 +11,7 @@
 use craneknot_node::log_event::{EventLog, LogEvent};
 use craneknot_node::order_queue::Outcome;
 use craneknot_node::pending::Violations;
-use craneknot_node::status::{write_end, write_status, NamedWorst, ProcessFigures, Status};
+use craneknot_node::status::{write_end, write_status, NamedLapse, ProcessFigures, Status};
 use craneknot_node::takeover::Takeover;
 use tracing_subscriber::fmt::MakeWriter;
 
@@ -84,7 +84,7 @@
     vec![
         LogEvent::Note(long.clone()),
         LogEvent::Lapse { lapse, class: long.clone(), calls_failed: 10_000, orders_waiting: 1_000_000 },
-        LogEvent::Bare {
+        LogEvent::NoLineWarning {
             warning: BareWarning {
                 class: ClassId(31),
                 table: Some(table),
@@ -101,7 +101,7 @@
         LogEvent::ProxyJoined { proxy, zone: ZoneId(u16::MAX) },
         LogEvent::ProxyLeft { proxy },
         LogEvent::ProxyBound { proxy, table, classes: long.clone() },
-        LogEvent::ListTaken { revision: u64::MAX, whole: false, changed: 1_000_000, listed: 1_000_000 },
+        LogEvent::ListReceived { revision: u64::MAX, whole: false, changed: 1_000_000, listed: 1_000_000 },
         LogEvent::ServerListed { server: server(), readiness: Readiness::Draining, is_start_certain: false },
         LogEvent::WatchFailed { cause: long.clone() },
         LogEvent::CallRetried { cause: long.clone(), failures: 10_000, orders_waiting: 1_000_000 },
@@ -137,8 +137,8 @@
         supply: Supply::NoneListed,
         lasted: Nanos::from_millis(100_000_000),
     };
-    let worst = NamedWorst {
-        worst: Worst { at: Nanos(u64::MAX), lapse },
+    let worst = NamedLapse {
+        longest: Worst { at: Nanos(u64::MAX), lapse },
         class: "\u{1}\"\\é".repeat(200),
         since_start: Nanos::from_millis(10_000_000_000),
     };
@@ -155,7 +155,7 @@
         orders_rejected: 1_000_000,
         calls_retried: 1_000_000,
         event_streams: 4,
-        news_malformed: many,
+        events_malformed: many,
         violations: Violations {
             closed_unanswered: 1_000_000,
             orders_dropped: 1_000_000,
@@ -168,8 +168,8 @@
             over_limit: 100_000,
             bare: 7_200,
         },
-        worst: Some(worst.clone()),
-        worst_bare: vec![worst],
+        longest_uncovered: Some(worst.clone()),
+        longest_without_line: vec![worst],
     };
     for is_json in [false, true] {
         let mut log = EventLog::default();
@@ -453,8 +453,8 @@
     coverage.look(ms(4_000), list.iter());
     assert_eq!(coverage.worst(), Some(&worst), "a shorter one does not take its place");
     assert_eq!(coverage.figures().longest, ms(1_500));
-    let named = NamedWorst { worst, class: "lookup".into(), since_start: ms(2_500) };
-    let status = Status { worst: Some(named), ..Status::default() };
+    let named = NamedLapse { longest: worst, class: "lookup".into(), since_start: ms(2_500) };
+    let status = Status { longest_uncovered: Some(named), ..Status::default() };
     for _ in 0..2 {
         let lines = logged(false, || write_status(&status, ProcessFigures::default()));
         let told = lines.iter().find(|line| line.contains("status of the longest lack")).unwrap();
--- a/crates/craneknot-node/tests/order_queue.rs
+++ b/crates/craneknot-node/tests/order_queue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use craneknot::interface::ProxyId;
-use craneknot_node::link::{Act, LinkId, Links};
+use craneknot_node::link::{LinkAction, LinkId, LinkIds};
 use craneknot_node::order_queue::{Acknowledged, EncodedOrder, OrderQueue};
 
 mod helpers;
@@ -20,19 +20,19 @@
 
 struct Calls {
     order_queue: OrderQueue,
-    links: Links,
-    acts: Vec<Act>,
+    links: LinkIds,
+    acts: Vec<LinkAction>,
 }
 
 impl Calls {
     fn new() -> Self {
-        Calls { order_queue: OrderQueue::new(ADDRESS, ms(0)), links: Links::default(), acts: Vec::new() }
+        Calls { order_queue: OrderQueue::new(ADDRESS, ms(0)), links: LinkIds::default(), acts: Vec::new() }
     }
 
     fn turn(&mut self, at: u64) -> Option<(LinkId, String)> {
         self.acts.clear();
         self.order_queue.turn(ms(at), &mut self.links, &mut self.acts);
-        let calls = self.acts.iter().any(|act| !matches!(act, Act::Drop { .. }));
+        let calls = self.acts.iter().any(|act| !matches!(act, LinkAction::Close { .. }));
         calls.then(|| called(&self.acts))
     }
 
@@ -213,10 +213,10 @@
     assert!(calls.answer(1, &taken(1)).is_ok());
     calls.order_queue.offer(orders(1));
     let (kept, text) = calls.turn(9_000).unwrap();
-    assert!(matches!(calls.acts[..], [Act::Send { .. }]));
+    assert!(matches!(calls.acts[..], [LinkAction::Send { .. }]));
     calls.order_queue.lost(ms(9_001));
     let (new, again) = calls.turn(9_001).expect("at once, on a new connection");
-    assert!(new != kept && again == text && matches!(calls.acts[..], [Act::Dial { .. }]));
+    assert!(new != kept && again == text && matches!(calls.acts[..], [LinkAction::Dial { .. }]));
     calls.order_queue.lost(ms(9_002));
     assert_eq!(calls.turn(9_002), None, "a new one that ends is a failure, and waited after");
 }
@@ -228,9 +228,9 @@
     let (old, _) = calls.turn(0).unwrap();
     let mut acts = Vec::new();
     calls.order_queue.move_to(ms(1), OTHER, &mut acts);
-    assert_eq!(acts, [Act::Drop { link: old }]);
+    assert_eq!(acts, [LinkAction::Close { link: old }]);
     calls.turn(1).unwrap();
-    assert!(matches!(calls.acts[..], [Act::Dial { address: OTHER, .. }]));
+    assert!(matches!(calls.acts[..], [LinkAction::Dial { address: OTHER, .. }]));
 }
 
 #[test]
--- a/crates/craneknot-node/tests/sockets.rs
+++ b/crates/craneknot-node/tests/sockets.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use craneknot_node::shell::{NoStart, Shell};
+use craneknot_node::shell::{Shell, StartError};
 use craneknot_reactor::SteadyClock;
 
 mod helpers;
@@ -64,6 +64,6 @@
 #[test]
 fn a_configuration_that_is_not_in_order_is_told_with_its_place() {
     let missing = Shell::new("no/such/file".as_ref(), Arc::new(SteadyClock::new()), &[]);
-    let Err(NoStart::Config(what)) = missing else { panic!("it started") };
+    let Err(StartError::Config(what)) = missing else { panic!("it started") };
     assert!(what.contains("no/such/file"), "{what}");
 }
--- a/crates/craneknot-node/tests/walks.rs
+++ b/crates/craneknot-node/tests/walks.rs
@@ -7,7 +7,7 @@
 use craneknot::interface::*;
 use craneknot_node::coordinator::Coordinator;
 use craneknot_node::event_streams::EventStreams;
-use craneknot_node::link::{Act, LinkId, Links};
+use craneknot_node::link::{LinkAction, LinkId, LinkIds};
 use craneknot_node::order_queue::OrderQueue;
 use craneknot_platform::news::News;
 use http::{Response, StatusCode};
@@ -24,7 +24,7 @@
 /// A relay that carries calls out or does not, and the proxies that are joined to it.
 struct Calls {
     order_queue: OrderQueue,
-    links: Links,
+    links: LinkIds,
     now: u64,
     /// The call in flight, as the relay has it.
     asked: Option<(LinkId, Vec<String>)>,
@@ -45,14 +45,14 @@
         assert!(next.is_some() || self.order_queue.is_idle(), "something waits, and no timer");
     }
 
-    fn take(&mut self, acts: Vec<Act>) {
+    fn take(&mut self, acts: Vec<LinkAction>) {
         for act in acts {
             match act {
-                Act::Dial { link, request, .. } | Act::Send { link, request } => {
+                LinkAction::Dial { link, request, .. } | LinkAction::Send { link, request } => {
                     assert!(self.asked.is_none(), "one call at a time");
                     self.asked = Some((link, orders(std::str::from_utf8(&request).unwrap())));
                 }
-                Act::Drop { link } => drop(self.asked.take_if(|(asked, _)| *asked == link)),
+                LinkAction::Close { link } => drop(self.asked.take_if(|(asked, _)| *asked == link)),
             }
         }
     }
@@ -117,7 +117,7 @@
         let order_queue = OrderQueue::new(ADDRESS, ms(0));
         let mut calls = Calls {
             order_queue,
-            links: Links::default(),
+            links: LinkIds::default(),
             now: 0,
             asked: None,
             joined: (0..PROXIES).collect(),
@@ -206,7 +206,7 @@
 fn whatever_becomes_of_the_streams_of_news_who_is_joined_is_known_and_nobody_joins_twice() {
     for seed in 0..300 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let (mut streams, mut links) = (EventStreams::new(ADDRESS, ms(0)), Links::default());
+        let (mut streams, mut links) = (EventStreams::new(ADDRESS, ms(0)), LinkIds::default());
         let mut pipes: Vec<Pipe> = Vec::new();
         let (mut address, mut closes_at) = (ADDRESS, u64::MAX);
         // Since when each proxy is joined in truth, and is told as joined.
@@ -270,7 +270,7 @@
             streams.turn(ms(now), &mut links, &mut acts, &mut out);
             for act in acts {
                 match act {
-                    Act::Dial { link, address: to, .. } => {
+                    LinkAction::Dial { link, address: to, .. } => {
                         // Known limit: a stream must have caught up by the time at which another begins.
                         for pipe in &mut pipes {
                             pipe.lag = 0;
@@ -283,8 +283,8 @@
                             pipes.push(Pipe { link, address: to, way, silent_until: 0, lag: 0 });
                         }
                     }
-                    Act::Drop { link } => pipes.retain(|pipe| pipe.link != link),
-                    Act::Send { .. } => panic!("a stream of news takes no more calls"),
+                    LinkAction::Close { link } => pipes.retain(|pipe| pipe.link != link),
+                    LinkAction::Send { .. } => panic!("a stream of news takes no more calls"),
                 }
             }
             for news in out {
@@ -343,9 +343,9 @@
         let todo = self.coordinator.turn(ms(self.now));
         for act in todo.acts {
             let (link, request, dialled) = match act {
-                Act::Dial { link, request, .. } => (link, request, true),
-                Act::Send { link, request } => (link, request, false),
-                Act::Drop { link } => {
+                LinkAction::Dial { link, request, .. } => (link, request, true),
+                LinkAction::Send { link, request } => (link, request, false),
+                LinkAction::Close { link } => {
                     self.links.remove(&link);
                     self.asked.remove(&link);
                     continue;
--- a/crates/craneknot-node/tests/watch.rs
+++ b/crates/craneknot-node/tests/watch.rs
@@ -1,6 +1,6 @@
 //! How discovery's list is followed.
 
-use craneknot_node::link::{Act, LinkId, Links};
+use craneknot_node::link::{LinkAction, LinkId, LinkIds};
 use craneknot_node::watch::Watch;
 use craneknot_platform::discovery::Roster;
 
@@ -12,8 +12,8 @@
 }
 
 /// A watch that has had its first answer, of revision 43, at 100 ms, and asks on.
-fn watching() -> (Watch, Links, LinkId) {
-    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
+fn watching() -> (Watch, LinkIds, LinkId) {
+    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), LinkIds::default(), Vec::new());
     watch.start();
     watch.turn(ms(0), &mut links, &mut acts);
     let link = called(&acts).0;
@@ -32,7 +32,7 @@
     let mut acts = Vec::new();
     watch.turn(ms(180), &mut links, &mut acts);
     let (second, text) = called(&acts);
-    assert!(matches!(acts[..], [Act::Dial { .. }]) && second != link);
+    assert!(matches!(acts[..], [LinkAction::Dial { .. }]) && second != link);
     assert!(text.contains("index=43&wait=5000 "), "it is the same watch, within 200 ms: {text}");
     assert!(watch.lost(ms(190)), "a new connection that ends too is a failure");
     // Later than that it is a new watch, which is answered at once.
@@ -46,7 +46,7 @@
 /// overloaded discovery had the same work twice.
 #[test]
 fn a_first_call_is_not_made_again_while_discovery_may_still_work_on_it() {
-    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
+    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), LinkIds::default(), Vec::new());
     watch.start();
     watch.turn(ms(0), &mut links, &mut acts);
     assert!(!watch.turn(ms(2_400), &mut links, &mut acts) && acts.len() == 1, "it is still waited for");
@@ -78,7 +78,7 @@
 
 #[test]
 fn the_list_is_watched_without_a_gap_and_failures_are_told() {
-    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
+    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), LinkIds::default(), Vec::new());
     assert!(!watch.turn(ms(0), &mut links, &mut acts) && acts.is_empty(), "not asked for yet");
     watch.start();
     watch.turn(ms(0), &mut links, &mut acts);
@@ -91,17 +91,20 @@
     acts.clear();
     assert!(!watch.turn(ms(5_000), &mut links, &mut acts));
     assert!(!watch.turn(ms(20_000), &mut links, &mut acts), "a silent watch is asked anew at once");
-    assert!(matches!(acts[..], [Act::Drop { link: silent }, Act::Dial { .. }] if silent == link), "{acts:?}");
+    assert!(
+        matches!(acts[..], [LinkAction::Close { link: silent }, LinkAction::Dial { .. }] if silent == link),
+        "{acts:?}"
+    );
     let (link, text) = called(&acts);
     assert!(text.contains("index=43&wait=0 "), "and what was missed comes at once: {text}");
     acts.clear();
     assert!(watch.turn(ms(24_000), &mut links, &mut acts), "silence there too is a failure");
-    assert_eq!(acts, [Act::Drop { link }]);
+    assert_eq!(acts, [LinkAction::Close { link }]);
     watch.start();
     watch.turn(ms(24_001), &mut links, &mut acts);
     assert!(watch.lost(ms(24_010)), "and so is a reset");
     watch.start();
     watch.move_to(OTHER, &mut acts);
     watch.turn(ms(24_012), &mut links, &mut acts);
-    assert!(matches!(acts.last(), Some(Act::Dial { address: OTHER, .. })));
+    assert!(matches!(acts.last(), Some(LinkAction::Dial { address: OTHER, .. })));
 }
