--- a/crates/craneknot-cli/tests/reload.rs
+++ b/crates/craneknot-cli/tests/reload.rs
@@ -39,8 +39,7 @@
         assert!(is_answered(&mut client), "{:?}", told.lock().unwrap());
     }
     let until = Instant::now() + PATIENCE;
-    let is_refused =
-        |line: &String| line.contains("configuration is not in order") && line.contains("regular");
+    let is_refused = |line: &String| line.contains("configuration is invalid") && line.contains("regular");
     while !node.log.lock().unwrap().iter().any(is_refused) {
         assert!(Instant::now() < until, "{:?}", node.log.lock().unwrap());
         client.write_all(HEARTBEAT).unwrap();
--- a/crates/craneknot-cli/tests/system_calls.rs
+++ b/crates/craneknot-cli/tests/system_calls.rs
@@ -137,7 +137,7 @@
         let mut stream = accept(&discovery);
         assert!(request(&mut stream).unwrap().0.starts_with("/discovery/hosts"));
         let told = node.log.lock().unwrap().clone();
-        assert!(!told.iter().any(|line| line.contains("can't be followed")), "{faults}: {told:?}");
+        assert!(!told.iter().any(|line| line.contains("discovery watch failed")), "{faults}: {told:?}");
     }
 }
 
--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -1,8 +1,10 @@
-//! The peers at the coordinator's own address. One that dials is unidentified until it names the zone it collects for;
-//! an unidentified client has little time and little room, and is told why it is turned away.
+//! Connections that peers open to the coordinator's own address. A client is unidentified until it names the zone that
+//! it collects for. Unidentified clients get short timeouts and small buffers, and receive the reason when they are
+//! rejected.
 //!
-//! Nothing is accepted that can't be served: [`Clients::free_slots`] tells how many more may be, and the others wait in the
-//! system's queue. Where that is full, clients that have asked nothing for a while give way.
+//! No more connections are accepted than can be served: [`Clients::free_slots`] is the number of further ones, and the
+//! rest wait in the operating system's accept queue. While no slot is free, clients that have sent no request for a
+//! while are evicted.
 
 use std::collections::BTreeMap;
 
@@ -13,113 +15,117 @@
 
 use crate::pending::PendingWork;
 
-const IDLE_MOST: Nanos = Nanos::from_millis(1_500); // ms; the platform asks for one second at least
-const LINE_TIME: Nanos = Nanos::from_millis(1_500); // ms; for an unidentified client to finish a line it has begun
-const IDLE_MOST_CROWDED: Nanos = Nanos::from_millis(250); // ms; idle time where others wait to be accepted
-const TURN_MOST: Nanos = Nanos::from_millis(20); // ms; for a client to ask, in a shutdown in which others wait
-const LINE_MOST: usize = 4 * 1024; // bytes of an unidentified client's line: a joining is far shorter
-const COLLECTORS_MOST: usize = 4; // of a zone: one that was cut off comes again, and what it left never closes
+const IDLE_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; the platform requires at least one second
+const LINE_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; for an unidentified client to finish a partial line
+const CROWDED_IDLE_TIMEOUT: Nanos = Nanos::from_millis(250); // ms; idle timeout while others wait to be accepted
+const SHUTDOWN_IDLE_TIMEOUT: Nanos = Nanos::from_millis(20); // ms; the same in a shutdown while others wait
+const MAX_LINE_BYTES: usize = 4 * 1024; // of an unidentified client's line: a join message is far shorter
+const MAX_COLLECTORS_PER_ZONE: usize = 4; // a collector that was cut off reconnects, and its old connection never closes
 
-/// A connection that a peer dialled; an id is never used again.
+/// Id of a connection that a peer opened. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// What a peer is, as far as it has said.
+/// What a client has identified itself as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Unidentified,
     Collector(ZoneId),
 }
 
-/// What is to be done with a connection.
+/// What the shell does with a client connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientAction {
-    /// Answer one heartbeat.
-    Answer(ClientId),
-    /// A report was left out: why, and what it was.
-    Note(String, String),
-    /// It may send messages of the full length from now on.
-    Widen(ClientId),
-    /// It is told why, and closed.
+    AnswerHeartbeat(ClientId),
+    /// Log a report that was skipped: the reason and the line.
+    LogMalformedReport(String, String),
+    /// Raise the connection's input limit to the full message length.
+    RaiseInputLimit(ClientId),
+    /// Send the reason to the client, then close.
     Reject(ClientId, String),
-    /// It is told why, and closed, unless it has asked for something meanwhile.
+    /// Like `Reject`, unless the client has sent a request in the meantime.
     Evict(ClientId, String),
-    /// Closed without a word: nothing is written to a collector.
+    /// Close without a message: nothing is written to a collector.
     Close(ClientId, String),
 }
 
 struct Client {
     role: Role,
-    /// When it came, or last sent something.
-    heard: Nanos,
-    /// When it came, or last asked for a sign of life.
-    active: Nanos,
-    /// When the line began that is not finished yet.
-    line_began: Option<Nanos>,
-    /// Bytes of its input that were searched for a line's end.
-    searched: usize,
+    /// When it connected or last sent any bytes.
+    last_input: Nanos,
+    /// When it connected or last sent a heartbeat; an eviction that is not carried out restarts it too.
+    active_since: Nanos,
+    /// When the first byte of the current partial line arrived.
+    line_started: Option<Nanos>,
+    /// Bytes of the input already scanned for the end of a line.
+    scanned: usize,
 }
 
 impl Client {
-    /// Until when it may go on without a message, and what it is told then.
+    /// When its idle timeout, or the timeout of its partial line, expires.
     fn deadline(&self, crowded: bool) -> Nanos {
-        let idle = if crowded { IDLE_MOST_CROWDED } else { IDLE_MOST };
-        match self.line_began {
-            Some(began) => began + LINE_TIME,
-            None => self.active + idle,
+        let idle = if crowded { CROWDED_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
+        match self.line_started {
+            Some(started) => started + LINE_TIMEOUT,
+            None => self.active_since + idle,
         }
     }
 }
 
-/// All clients, and what may be done to each.
+/// All connected clients.
 pub struct Clients {
     clients: BTreeMap<ClientId, Client>,
-    unidentified_most: usize,
-    /// Reports that were left out, one by one.
+    max_unidentified: usize,
+    /// Reports that were skipped because they were malformed.
     pub malformed_reports: u64,
 }
 
 impl Clients {
-    /// `unidentified_most`: clients that have not joined, at once.
-    pub fn new(unidentified_most: usize) -> Self {
-        Clients { clients: BTreeMap::new(), unidentified_most, malformed_reports: 0 }
+    /// `max_unidentified`: limit on concurrent clients that have not identified themselves.
+    pub fn new(max_unidentified: usize) -> Self {
+        Clients { clients: BTreeMap::new(), max_unidentified, malformed_reports: 0 }
     }
 
-    /// Bytes to be read ahead of a client that has just come.
-    pub fn first_room() -> usize {
-        LINE_MOST
+    /// Input limit in bytes of a new connection.
+    pub fn initial_input_limit() -> usize {
+        MAX_LINE_BYTES
     }
 
     /// How many more unidentified clients may be accepted.
     pub fn free_slots(&self) -> usize {
-        self.unidentified_most.saturating_sub(self.unidentified().count())
+        self.max_unidentified.saturating_sub(self.unidentified().count())
     }
 
     fn unidentified(&self) -> impl Iterator<Item = (&ClientId, &Client)> {
         self.clients.iter().filter(|(_, client)| client.role == Role::Unidentified)
     }
 
-    /// A client was accepted.
+    /// Registers an accepted connection.
     pub fn connected(&mut self, now: Nanos, id: ClientId) {
-        let client =
-            Client { role: Role::Unidentified, heard: now, active: now, line_began: None, searched: 0 };
+        let client = Client {
+            role: Role::Unidentified,
+            last_input: now,
+            active_since: now,
+            line_started: None,
+            scanned: 0,
+        };
         self.clients.insert(id, client);
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn disconnected(&mut self, id: ClientId) {
         self.clients.remove(&id);
     }
 
-    /// Bytes have come of a client.
+    /// Records that a client has sent bytes.
     pub fn input_received(&mut self, now: Nanos, id: ClientId) {
         if let Some(client) = self.clients.get_mut(&id) {
-            client.heard = now;
+            client.last_input = now;
         }
     }
 
-    /// Takes whole lines off the front of what has come; what is owed for them is entered in the ledger.
-    #[allow(clippy::too_many_arguments)] // the input, what reads it, and the three places that what it says goes to
+    /// Consumes the complete lines at the front of the input and enters the pending work they cause.
+    #[allow(clippy::too_many_arguments)] // the input, what decodes it, and three outputs
     pub fn read_lines(
         &mut self,
         now: Nanos,
@@ -132,69 +138,73 @@
         actions: &mut Vec<ClientAction>,
     ) {
         while let Some(client) = self.clients.get_mut(&id) {
-            let from = client.searched.min(input.len());
+            let from = client.scanned.min(input.len());
             let found = input[from..].iter().position(|byte| *byte == b'\n');
-            let Some(end) = found.map(|at| from + at) else {
-                client.searched = input.len();
+            let Some(end) = found.map(|offset| from + offset) else {
+                client.scanned = input.len();
                 let is_partial = !input.is_empty();
-                client.line_began = is_partial.then(|| client.line_began.unwrap_or(now));
+                client.line_started = is_partial.then(|| client.line_started.unwrap_or(now));
                 pending.set_partial(id, is_partial);
-                let most = match client.role {
-                    Role::Unidentified => LINE_MOST,
+                let limit = match client.role {
+                    Role::Unidentified => MAX_LINE_BYTES,
                     Role::Collector(_) => lines::LONGEST,
                 };
-                if input.len() >= most {
+                if input.len() >= limit {
                     pending.set_partial(id, false);
-                    self.turn_away(id, "the message is too long".into(), actions);
+                    self.end_connection(id, "the message is too long".into(), actions);
                 }
                 return;
             };
-            (client.searched, client.line_began) = (0, None);
+            (client.scanned, client.line_started) = (0, None);
             let line = input.split_to(end);
             input.advance(1);
             match (client.role, lines::read(&line, names, proxies)) {
                 (_, Ok(Message::Heartbeat)) => {
-                    client.active = now;
+                    client.active_since = now;
                     pending.request_read(id);
-                    actions.push(ClientAction::Answer(id));
+                    actions.push(ClientAction::AnswerHeartbeat(id));
                 }
                 (_, Ok(Message::Collector(zone))) => self.join(id, zone, pending, actions),
                 (Role::Collector(_), Ok(Message::Report(report))) => reports.push(report),
                 (Role::Collector(_), Err(Unread::Malformed(cause))) => {
                     self.malformed_reports += 1;
-                    actions.push(ClientAction::Note(cause, String::from_utf8_lossy(&line).into_owned()));
+                    actions.push(ClientAction::LogMalformedReport(
+                        cause,
+                        String::from_utf8_lossy(&line).into_owned(),
+                    ));
                 }
                 (Role::Unidentified, Ok(Message::Report(_))) => {
-                    self.turn_away(id, "a report before the joining".into(), actions);
+                    self.end_connection(id, "a report before the joining".into(), actions);
                 }
                 (Role::Unidentified, Err(Unread::Malformed(cause)))
                 | (_, Err(Unread::Corrupt(cause) | Unread::Foreign(cause))) => {
-                    self.turn_away(id, cause, actions);
+                    self.end_connection(id, cause, actions);
                 }
             }
         }
     }
 
-    /// A client names the zone that it collects for. Descriptors are few: of too many for one zone, the one that has been
-    /// silent longest and is owed nothing gives way.
+    /// Makes a client a collector of a zone. File descriptors are scarce: if the zone has too many collectors, the one
+    /// that has been silent the longest and has no pending work is closed.
     fn join(&mut self, id: ClientId, zone: ZoneId, pending: &PendingWork, actions: &mut Vec<ClientAction>) {
         let others = self
             .clients
             .iter()
             .filter(|(other, client)| **other != id && client.role == Role::Collector(zone));
-        let others: Vec<(Nanos, ClientId)> = others.map(|(other, client)| (client.heard, *other)).collect();
+        let others: Vec<(Nanos, ClientId)> =
+            others.map(|(other, client)| (client.last_input, *other)).collect();
         let silent = others.iter().filter(|(_, other)| !pending.owes(*other)).min();
-        if let Some((_, silent)) = silent.filter(|_| others.len() >= COLLECTORS_MOST) {
-            self.turn_away(*silent, "others collect for its zone".into(), actions);
+        if let Some((_, silent)) = silent.filter(|_| others.len() >= MAX_COLLECTORS_PER_ZONE) {
+            self.end_connection(*silent, "too many collectors for its zone".into(), actions);
         }
         if let Some(client) = self.clients.get_mut(&id) {
             client.role = Role::Collector(zone);
-            actions.push(ClientAction::Widen(id));
+            actions.push(ClientAction::RaiseInputLimit(id));
         }
     }
 
-    /// Ends a connection: an unidentified client is told why, a collector is not.
-    fn turn_away(&mut self, id: ClientId, cause: String, actions: &mut Vec<ClientAction>) {
+    /// Ends a connection. An unidentified client receives the reason, a collector does not.
+    fn end_connection(&mut self, id: ClientId, cause: String, actions: &mut Vec<ClientAction>) {
         let Some(client) = self.clients.remove(&id) else { return };
         actions.push(match client.role {
             Role::Unidentified => ClientAction::Reject(id, cause),
@@ -202,52 +212,51 @@
         });
     }
 
-    /// Asks those to be evicted whose time is over. They count until the owner says that they are gone; one that it keeps
-    /// has as much time again.
+    /// Requests the eviction of unidentified clients whose timeout has expired. They count as connected until the owner
+    /// reports them as disconnected; for a client that the owner keeps, the timeout starts again.
     pub fn evict_overdue(&mut self, now: Nanos, actions: &mut Vec<ClientAction>) {
         let crowded = self.free_slots() == 0;
-        let over: Vec<ClientId> = self
+        let overdue: Vec<ClientId> = self
             .unidentified()
             .filter(|(_, client)| client.deadline(crowded) <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in overdue {
             let Some(client) = self.clients.get_mut(&id) else { continue };
-            if client.line_began.is_some() {
-                self.turn_away(id, "its message was not finished in time".into(), actions);
+            if client.line_started.is_some() {
+                self.end_connection(id, "its message was not finished in time".into(), actions);
             } else {
-                client.active = now;
+                client.active_since = now;
                 actions.push(ClientAction::Evict(id, "it has not joined in time".into()));
             }
         }
     }
 
-    /// In a shutdown, where others wait to be accepted: asks those to be evicted that have had their turn, whatever they
-    /// are. Whoever has come is to be answered once before anybody is answered again.
+    /// In a shutdown while others wait to be accepted: requests the eviction of unidentified clients that have been silent
+    /// for a short time. Every client that has connected should be answered once before any is answered again.
     pub fn evict_idle(&self, now: Nanos, actions: &mut Vec<ClientAction>) {
         let idle = self.clients.iter().filter(|(_, client)| {
             client.role == Role::Unidentified
-                && client.line_began.is_none()
-                && now - client.heard >= TURN_MOST
+                && client.line_started.is_none()
+                && now - client.last_input >= SHUTDOWN_IDLE_TIMEOUT
         });
         let evict =
             |id: &ClientId| ClientAction::Evict(*id, "the coordinator shuts down, and others wait".into());
         actions.extend(idle.map(|(id, _)| evict(id)));
     }
 
-    /// When the next turn is due though nothing comes in.
+    /// When the next timeout expires.
     pub fn next_at(&self) -> Option<Nanos> {
         let crowded = self.free_slots() == 0;
         self.unidentified().map(|(_, client)| client.deadline(crowded)).min()
     }
 
-    /// Collectors, and clients that have not joined.
+    /// Number of collectors, and of unidentified clients.
     pub fn counts(&self) -> (usize, usize) {
         let unidentified = self.unidentified().count();
         (self.clients.len() - unidentified, unidentified)
     }
 
-    /// Whether nobody is connected.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
--- a/crates/craneknot-node/src/descriptors.rs
+++ b/crates/craneknot-node/src/descriptors.rs
@@ -1,33 +1,34 @@
-//! How the file descriptors that the process may hold are divided, so that no use of them starves another.
+//! Divides the process's file descriptors between their uses, so that no use starves another.
 
-const RESERVED: usize = 28; // for the loop, the log, signals and the links to relay and discovery
-const PROBES_MOST: usize = 16; // at once: they take servers' work too
-const PROBES_PART: usize = 8; // one descriptor in so many is for probes, where there are few
-const COLLECTORS_PART: usize = 8; // one in so many is kept for clients that have joined
-const COLLECTORS_LEAST: usize = 8; // two zones with as many as each may have
-const CONNECTIONS_LEAST: usize = 16;
-const ROUND_PART: usize = 4; // of the clients that may come, one in so many is accepted in a round
+const RESERVED: usize = 28; // event loop, log, signals and connections to the relay and discovery
+const MAX_PROBES: usize = 16; // concurrent ones: probes cost the servers work too
+const PROBES_DIVISOR: usize = 8; // share for probes where descriptors are few: one in eight
+const COLLECTORS_DIVISOR: usize = 8; // share reserved for collectors: one in eight
+const MIN_COLLECTORS: usize = 8; // two zones with the maximum of collectors each
+const MIN_CONNECTIONS: usize = 16;
+const ACCEPTS_DIVISOR: usize = 4; // of the unidentified connections, one in four is accepted per round
 
-/// The shares, in descriptors.
+/// Number of descriptors for each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Descriptors {
-    /// Probes in flight.
+    /// Concurrent probes.
     pub probes: usize,
     /// Accepted connections.
     pub connections: usize,
-    /// Accepted connections of clients that have not joined.
+    /// Accepted connections of clients that are not collectors yet.
     pub unidentified: usize,
-    /// Connections accepted in one round: whoever asks as it comes is heard before the next ones are taken in.
+    /// Connections accepted per round: a request that a client sends on connecting is read before further connections
+    /// are accepted.
     pub accepts: usize,
 }
 
 impl Descriptors {
-    /// Divides so many.
+    /// Divides this number of descriptors.
     pub fn divide(sockets: usize) -> Self {
-        let probes = (sockets / PROBES_PART).clamp(1, PROBES_MOST);
-        let connections = sockets.saturating_sub(RESERVED + probes).max(CONNECTIONS_LEAST);
-        let collectors = (sockets / COLLECTORS_PART).max(COLLECTORS_LEAST);
-        let unidentified = connections.saturating_sub(collectors).max(CONNECTIONS_LEAST / 2);
-        Descriptors { probes, connections, unidentified, accepts: (unidentified / ROUND_PART).max(1) }
+        let probes = (sockets / PROBES_DIVISOR).clamp(1, MAX_PROBES);
+        let connections = sockets.saturating_sub(RESERVED + probes).max(MIN_CONNECTIONS);
+        let collectors = (sockets / COLLECTORS_DIVISOR).max(MIN_COLLECTORS);
+        let unidentified = connections.saturating_sub(collectors).max(MIN_CONNECTIONS / 2);
+        Descriptors { probes, connections, unidentified, accepts: (unidentified / ACCEPTS_DIVISOR).max(1) }
     }
 }
--- a/crates/craneknot-node/src/lib.rs
+++ b/crates/craneknot-node/src/lib.rs
@@ -1,10 +1,12 @@
-//! A real coordinator on the users' platform. [`coordinator`] is the whole of it without I/O: it streams the decisions
-//! (`craneknot::Controller`) what occurs and carries out their orders; [`shell`] puts it on sockets.
+//! A coordinator for the users' platform. [`coordinator`] contains all of it except I/O: it passes events to the controller
+//! (`craneknot::Controller`) and carries out its orders; [`shell`] connects it to sockets.
 //!
-//! What is decided here is the program's own, each in a file of its own with the clock passed in: who may speak
-//! at the coordinator's address ([`clients`]), what is owed to whom ([`pending`]), what the streams of news tell
-//! together ([`event_streams`], [`presence`]), when a call in doubt is made again ([`order_queue`]), how the list is followed ([`watch`]), how old
-//! a server is ([`server_age`]), whether each proxy has a server to go to ([`coverage`]), what is logged ([`log_event`], [`status`]), what descriptors are for ([`descriptors`]), which probes are in flight ([`probes`]).
+//! The program's own decisions each have a module of their own and take the clock as an argument: who may connect to the
+//! coordinator's address ([`clients`]), which work is pending for whom ([`pending`]), what the event streams report
+//! together ([`event_streams`], [`presence`]), when an uncertain call is retried ([`order_queue`]), how the list is
+//! watched ([`watch`]), how old a server is ([`server_age`]), whether each proxy has a usable line ([`coverage`]), what is
+//! logged ([`log_event`], [`status`]), how file descriptors are divided ([`descriptors`]), and which probes are in flight
+//! ([`probes`]).
 
 pub mod clients;
 pub mod coordinator;
--- a/crates/craneknot-node/src/link.rs
+++ b/crates/craneknot-node/src/link.rs
@@ -1,15 +1,15 @@
-//! Connections that the coordinator dials, by name, and what the shell is to do with them.
+//! Outgoing connections of the coordinator: their ids, and the actions that the shell carries out on them.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use craneknot::interface::Nanos;
 
-/// A connection that was dialled; a name is never used again.
+/// Id of an outgoing connection. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// Gives names.
+/// Allocates link ids.
 #[derive(Debug, Default)]
 pub struct LinkIds(u64);
 
@@ -20,18 +20,18 @@
     }
 }
 
-/// What is to be done with a connection that the coordinator dials.
+/// What the shell does with an outgoing connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
-    /// Dial, and send this once it stands.
+    /// Dial, and send the request once connected.
     Dial { link: LinkId, address: SocketAddr, request: Bytes },
-    /// Send this where something was sent before.
+    /// Send a further request on an existing connection.
     Send { link: LinkId, request: Bytes },
-    /// Close; nothing more is heard of it.
+    /// Close; no further events of the connection are reported.
     Close { link: LinkId },
 }
 
-/// A peer that is called again and again, on one connection while it lasts.
+/// A peer that receives repeated requests, on one connection for as long as it lasts.
 #[derive(Debug)]
 pub struct PeerConnection {
     address: SocketAddr,
@@ -43,7 +43,7 @@
         PeerConnection { address, link: None }
     }
 
-    /// The name it is called by.
+    /// The value of the `Host` header.
     pub fn host(&self) -> String {
         self.address.to_string()
     }
@@ -52,39 +52,39 @@
         self.link == Some(link)
     }
 
-    /// Sends on the connection that stands, else on a new one; true: it is new.
-    pub fn call(&mut self, request: Bytes, links: &mut LinkIds, acts: &mut Vec<LinkAction>) -> bool {
+    /// Sends a request on the open connection, or on a new one if there is none; true: it is new.
+    pub fn call(&mut self, request: Bytes, links: &mut LinkIds, actions: &mut Vec<LinkAction>) -> bool {
         if let Some(link) = self.link {
-            acts.push(LinkAction::Send { link, request });
+            actions.push(LinkAction::Send { link, request });
             return false;
         }
         let link = links.next_id();
         self.link = Some(link);
-        acts.push(LinkAction::Dial { link, address: self.address, request });
+        actions.push(LinkAction::Dial { link, address: self.address, request });
         true
     }
 
-    pub fn close(&mut self, acts: &mut Vec<LinkAction>) {
-        acts.extend(self.link.take().map(|link| LinkAction::Close { link }));
+    pub fn close(&mut self, actions: &mut Vec<LinkAction>) {
+        actions.extend(self.link.take().map(|link| LinkAction::Close { link }));
     }
 
-    /// The connection has ended by itself.
+    /// The connection has ended without being closed here.
     pub fn lost(&mut self) {
         self.link = None;
     }
 
-    /// It is elsewhere from now on; false: it is there already.
-    pub fn move_to(&mut self, address: SocketAddr, acts: &mut Vec<LinkAction>) -> bool {
-        let moves = self.address != address;
-        if moves {
+    /// Changes the peer's address and closes the old connection; false: the address is unchanged.
+    pub fn move_to(&mut self, address: SocketAddr, actions: &mut Vec<LinkAction>) -> bool {
+        let changed = self.address != address;
+        if changed {
             self.address = address;
-            self.close(acts);
+            self.close(actions);
         }
-        moves
+        changed
     }
 }
 
-/// The wait after so many failures in a row: doubled with each, up to the longest.
+/// The delay after this number of consecutive failures: doubled with each, up to the longest.
 pub fn backoff(failures: u32, first: Nanos, longest: Nanos) -> Nanos {
     Nanos(first.0 << failures.min(8)).min(longest)
 }
--- a/crates/craneknot-node/src/log_event.rs
+++ b/crates/craneknot-node/src/log_event.rs
@@ -1,5 +1,6 @@
-//! What the coordinator logs: one event a line, its fields typed, the telling ones first, and no line longer than an
-//! operator's collector keeps. A storm of one kind of event is cut off and counted, so that it hides no other.
+//! The coordinator's log events. Each is one line with typed fields, the most important ones first, and no line is longer
+//! than an operator's log collector keeps. Many events of one kind are suppressed and counted, so that they don't hide
+//! the other kinds.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +12,27 @@
 use crate::coverage::{BareWarning, Lapse};
 use crate::takeover::Takeover;
 
-const LINES_MOST: u32 = 40; // of one kind between two status lines: enough to see how it began
-const TEXT_MOST: usize = 100; // characters of a text that came from outside: a line is kept to some 250
-const NAME_MOST: usize = 18; // characters of a name beside which there are many fields
+const MAX_LINES_PER_KIND: u32 = 40; // between two status lines: enough to see how a burst began
+const MAX_TEXT_CHARS: usize = 100; // of an external text: a line is limited to some 250 bytes
+const MAX_NAME_CHARS: usize = 18; // of a name in a line with many fields
 
-/// One event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// What has no kind of its own.
+    /// An event without a kind of its own.
     Note(String),
-    /// A proxy has lacked a line for longer than the settings allow.
+    /// A proxy has had no usable line for longer than the settings allow.
     Lapse {
         lapse: Lapse,
         class: String,
         calls_failed: u32,
         orders_waiting: usize,
     },
-    /// Proxies have had no line for half of what the settings allow, though servers are listed.
+    /// Proxies have had no usable line for half of the time that the settings allow, though servers are listed.
     NoLineWarning {
         warning: BareWarning,
         class: String,
     },
-    /// Many proxies came at once, some seconds ago.
+    /// Many proxies joined at once some seconds ago.
     Takeover(Takeover),
     ProxyJoined {
         proxy: ProxyId,
@@ -41,73 +41,73 @@
     ProxyLeft {
         proxy: ProxyId,
     },
-    /// The relay has taken a binding.
+    /// The relay has accepted a binding.
     ProxyBound {
         proxy: ProxyId,
         table: TableId,
         classes: String,
     },
-    /// A list was taken in, so many servers of which are new or have changed.
+    /// A list was received; `changed`: servers that are new or have changed.
     ListReceived {
         revision: u64,
         whole: bool,
         changed: usize,
         listed: usize,
     },
-    /// The list tells another readiness of a server, or another start.
+    /// A server is new in the list, or its entry has changed.
     ServerListed {
         server: ServerId,
         readiness: Readiness,
         is_start_certain: bool,
     },
-    /// Discovery can't be followed for the moment.
+    /// The watch on discovery's list has failed; it is retried.
     WatchFailed {
         cause: String,
     },
-    /// A call to the relay came to nothing and is made again.
+    /// A call to the relay failed and is retried.
     CallRetried {
         cause: String,
         failures: u32,
         orders_waiting: usize,
     },
-    /// The relay can't use an order, looked at twice, or a guard held it back.
+    /// The relay has rejected an order twice, or a rule check has blocked it.
     OrderRefused {
         order: String,
         cause: &'static str,
     },
-    /// A stream of the relay's news has ended.
+    /// An event stream of the relay has ended.
     StreamEnded {
         cause: String,
         streams: usize,
     },
-    /// A client was told why it is turned away.
+    /// A client was rejected and received the reason.
     ClientRejected {
         client: ClientId,
         cause: String,
     },
-    /// A client's connection was closed by us.
+    /// The coordinator has closed a client's connection.
     ClientClosed {
         client: ClientId,
         cause: String,
     },
-    /// The decisions have changed the state of something.
+    /// The controller has changed the state of a server, a group or a table.
     Decision(Transition),
 }
 
-/// The beginning of a text from outside, in signs that no form of the log has to escape.
-pub(crate) fn beginning(text: &str, most: usize) -> String {
-    let plain = |sign: char| (sign == ' ' || sign.is_ascii_graphic()) && !matches!(sign, '"' | '\\');
-    text.chars().take(most).map(|sign| if plain(sign) { sign } else { '?' }).collect()
+/// The first characters of an external text, with those replaced that a log format would escape.
+pub(crate) fn sanitized_prefix(text: &str, limit: usize) -> String {
+    let is_plain = |c: char| (c == ' ' || c.is_ascii_graphic()) && !matches!(c, '"' | '\\');
+    text.chars().take(limit).map(|c| if is_plain(c) { c } else { '?' }).collect()
 }
 
-/// A text from outside, so that its line is kept whole.
-pub fn cut(text: &str) -> String {
-    beginning(text, TEXT_MOST)
+/// Shortens an external text so that its log line stays within the length limit.
+pub fn sanitize(text: &str) -> String {
+    sanitized_prefix(text, MAX_TEXT_CHARS)
 }
 
-/// A name from outside, where many fields stand beside it.
-fn cut_name(name: &str) -> String {
-    beginning(name, NAME_MOST)
+/// Shortens an external name in a line with many fields.
+fn sanitize_name(name: &str) -> String {
+    sanitized_prefix(name, MAX_NAME_CHARS)
 }
 
 pub(crate) fn millis(span: Nanos) -> u64 {
@@ -115,23 +115,23 @@
 }
 
 impl LogEvent {
-    /// Its kind, for the count of what was left out.
+    /// Its kind, which is the message of its line and the key for counting suppressed lines.
     pub fn kind(&self) -> &'static str {
         match self {
             LogEvent::Note(_) => "note",
-            LogEvent::Lapse { .. } => "no line to pick",
-            LogEvent::NoLineWarning { .. } => "bare for half the limit",
-            LogEvent::Takeover(_) => "proxies were taken over",
+            LogEvent::Lapse { .. } => "no usable line",
+            LogEvent::NoLineWarning { .. } => "no line for half the limit",
+            LogEvent::Takeover(_) => "proxies taken over",
             LogEvent::ProxyJoined { .. } => "proxy joined",
             LogEvent::ProxyLeft { .. } => "proxy left",
             LogEvent::ProxyBound { .. } => "proxy bound",
-            LogEvent::ListReceived { .. } => "list taken",
+            LogEvent::ListReceived { .. } => "list received",
             LogEvent::ServerListed { .. } => "server listed",
-            LogEvent::WatchFailed { .. } => "the list can't be followed",
-            LogEvent::CallRetried { .. } => "call made again",
+            LogEvent::WatchFailed { .. } => "discovery watch failed",
+            LogEvent::CallRetried { .. } => "call retried",
             LogEvent::OrderRefused { .. } => "order refused",
-            LogEvent::StreamEnded { .. } => "a stream of news has ended",
-            LogEvent::ClientRejected { .. } => "client turned away",
+            LogEvent::StreamEnded { .. } => "event stream ended",
+            LogEvent::ClientRejected { .. } => "client rejected",
             LogEvent::ClientClosed { .. } => "client closed",
             LogEvent::Decision(Transition::Server { .. }) => "server state",
             LogEvent::Decision(Transition::Group { .. }) => "group load",
@@ -140,18 +140,17 @@
         }
     }
 
-    /// Writes its line.
     fn write(&self) {
         let kind = self.kind();
         match self {
-            LogEvent::Note(text) => warn!("{}", cut(text)),
+            LogEvent::Note(text) => warn!("{}", sanitize(text)),
             LogEvent::Lapse { lapse, class, calls_failed, orders_waiting } => warn!(
-                proxy = lapse.proxy.0, class = cut_name(class), waiting_for = ?lapse.waiting_for,
+                proxy = lapse.proxy.0, class = sanitize_name(class), waiting_for = ?lapse.waiting_for,
                 lasted_ms = millis(lapse.lasted),
                 table = lapse.table.map(|table| table.0), calls_failed, orders_waiting, "{kind}"
             ),
             LogEvent::NoLineWarning { warning, class } => warn!(
-                class = cut_name(class), supply = ?warning.supply, proxies = warning.proxies,
+                class = sanitize_name(class), supply = ?warning.supply, proxies = warning.proxies,
                 proxy = warning.proxy.0, table = warning.table.map(|table| table.0), ready = warning.ready,
                 cold = warning.cold, shut_out = warning.shut_out, "{kind}"
             ),
@@ -159,22 +158,22 @@
             LogEvent::ProxyJoined { proxy, zone } => info!(proxy = proxy.0, zone = zone.0, "{kind}"),
             LogEvent::ProxyLeft { proxy } => info!(proxy = proxy.0, "{kind}"),
             LogEvent::ProxyBound { proxy, table, classes } => {
-                info!(proxy = proxy.0, table = table.0, classes = cut(classes), "{kind}");
+                info!(proxy = proxy.0, table = table.0, classes = sanitize(classes), "{kind}");
             }
             LogEvent::ListReceived { revision, whole, changed, listed } => {
                 info!(revision, whole, changed, listed, "{kind}");
             }
             LogEvent::ServerListed { server, readiness, is_start_certain } => {
-                info!(server = cut_name(&server.0), ?readiness, is_start_certain, "{kind}");
+                info!(server = sanitize_name(&server.0), ?readiness, is_start_certain, "{kind}");
             }
-            LogEvent::WatchFailed { cause } => warn!(cause = cut(cause), "{kind}"),
+            LogEvent::WatchFailed { cause } => warn!(cause = sanitize(cause), "{kind}"),
             LogEvent::CallRetried { cause, failures, orders_waiting } => {
-                warn!(cause = cut(cause), failures, orders_waiting, "{kind}");
+                warn!(cause = sanitize(cause), failures, orders_waiting, "{kind}");
             }
-            LogEvent::OrderRefused { order, cause } => warn!(order = cut(order), cause, "{kind}"),
-            LogEvent::StreamEnded { cause, streams } => warn!(cause = cut(cause), streams, "{kind}"),
+            LogEvent::OrderRefused { order, cause } => warn!(order = sanitize(order), cause, "{kind}"),
+            LogEvent::StreamEnded { cause, streams } => warn!(cause = sanitize(cause), streams, "{kind}"),
             LogEvent::ClientRejected { client, cause } | LogEvent::ClientClosed { client, cause } => {
-                info!(client = client.0, cause = cut(cause), "{kind}");
+                info!(client = client.0, cause = sanitize(cause), "{kind}");
             }
             LogEvent::Decision(Transition::Server { server, from, to, sign }) => {
                 write_server_state(server, *from, *to, *sign, kind);
@@ -189,7 +188,7 @@
 }
 
 fn write_server_state(server: &ServerId, from: State, to: State, sign: Sign, kind: &str) {
-    info!(server = cut_name(&server.0), ?from, ?to, ?sign, "{kind}");
+    info!(server = sanitize_name(&server.0), ?from, ?to, ?sign, "{kind}");
 }
 
 fn write_takeover(takeover: &Takeover, kind: &str) {
@@ -205,32 +204,33 @@
     );
 }
 
-/// Writes events, up to so many of a kind between two status lines.
+/// Writes events, up to a limit of each kind between two status lines.
 #[derive(Debug, Default)]
 pub struct EventLog {
     written: BTreeMap<&'static str, u32>,
 }
 
 impl EventLog {
-    /// Writes an event, or counts it as left out; false: it was left out.
+    /// Writes an event, or counts it as suppressed; false: it was suppressed.
     pub fn write(&mut self, event: &LogEvent) -> bool {
         let written = self.written.entry(event.kind()).or_default();
         *written += 1;
-        let is_kept = *written <= LINES_MOST;
-        if is_kept {
+        let is_within_limit = *written <= MAX_LINES_PER_KIND;
+        if is_within_limit {
             event.write();
         }
-        is_kept
+        is_within_limit
     }
 
-    /// Begins anew; tells how many of each kind were left out.
-    pub fn begin_anew(&mut self) -> BTreeMap<&'static str, u32> {
+    /// Resets the limits, and logs and returns how many lines of each kind were suppressed.
+    pub fn reset(&mut self) -> BTreeMap<&'static str, u32> {
         let written = std::mem::take(&mut self.written);
-        let left_out = written.into_iter().filter(|(_, count)| *count > LINES_MOST);
-        let left_out: BTreeMap<_, _> = left_out.map(|(kind, count)| (kind, count - LINES_MOST)).collect();
-        for (kind, lines) in &left_out {
-            info!(lines, kind, "left out of the log");
+        let suppressed = written.into_iter().filter(|(_, count)| *count > MAX_LINES_PER_KIND);
+        let suppressed: BTreeMap<_, _> =
+            suppressed.map(|(kind, count)| (kind, count - MAX_LINES_PER_KIND)).collect();
+        for (kind, lines) in &suppressed {
+            info!(lines, kind, "log lines suppressed");
         }
-        left_out
+        suppressed
     }
 }
--- a/crates/craneknot-node/src/probes.rs
+++ b/crates/craneknot-node/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes in flight: one at a time to a server, each on a connection of its own.
+//! Probes in flight: one at a time per server, each on its own connection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,60 +10,61 @@
 
 use crate::link::{LinkAction, LinkId, LinkIds};
 
-const TIME_OUT: Nanos = Nanos::from_millis(600); // ms; less than the decisions' time between probes
+const TIMEOUT: Nanos = Nanos::from_millis(600); // ms; less than the controller's interval between probes
 
-/// The probes in flight.
+/// The probes in flight, with the time each was sent.
 pub struct Probes {
-    most: usize,
+    limit: usize,
     in_flight: BTreeMap<LinkId, (ServerId, Nanos)>,
 }
 
 impl Probes {
-    /// `most`: probes at once.
-    pub fn new(most: usize) -> Self {
-        Probes { most, in_flight: BTreeMap::new() }
+    /// `limit`: concurrent probes.
+    pub fn new(limit: usize) -> Self {
+        Probes { limit, in_flight: BTreeMap::new() }
     }
 
-    /// Begins a probe, unless one is in flight there, or too many are in all.
+    /// Starts a probe, unless one to this server is in flight or the limit is reached.
     pub fn start(
         &mut self,
         now: Nanos,
         server: &ServerId,
         address: SocketAddr,
         links: &mut LinkIds,
-        acts: &mut Vec<LinkAction>,
+        actions: &mut Vec<LinkAction>,
     ) {
-        if self.in_flight.len() >= self.most || self.in_flight.values().any(|(of, _)| of == server) {
+        if self.in_flight.len() >= self.limit || self.in_flight.values().any(|(probed, _)| probed == server) {
             return;
         }
         let link = links.next_id();
         let host = address.to_string();
         let request = request(&Method::GET, probe::PATH, &host, &[(header::CONNECTION, "close")], b"");
-        acts.push(LinkAction::Dial { link, address, request });
+        actions.push(LinkAction::Dial { link, address, request });
         self.in_flight.insert(link, (server.clone(), now));
     }
 
-    /// Ends a probe; how long it took.
+    /// Ends a probe and returns its server and duration.
     pub fn end(&mut self, now: Nanos, link: LinkId) -> Option<(ServerId, Nanos)> {
-        self.in_flight.remove(&link).map(|(server, since)| (server, now - since))
+        self.in_flight.remove(&link).map(|(server, sent_at)| (server, now - sent_at))
     }
 
-    /// Those that have waited too long, and end with this.
-    pub fn overdue(&mut self, now: Nanos, acts: &mut Vec<LinkAction>) -> Vec<(ServerId, Nanos)> {
-        let late = self.in_flight.extract_if(.., |_, (_, since)| now - *since >= TIME_OUT);
-        late.map(|(link, (server, since))| {
-            acts.push(LinkAction::Close { link });
-            (server, now - since)
-        })
-        .collect()
+    /// Ends the probes that have timed out and returns their servers and durations.
+    pub fn overdue(&mut self, now: Nanos, actions: &mut Vec<LinkAction>) -> Vec<(ServerId, Nanos)> {
+        let expired = self.in_flight.extract_if(.., |_, (_, sent_at)| now - *sent_at >= TIMEOUT);
+        expired
+            .map(|(link, (server, sent_at))| {
+                actions.push(LinkAction::Close { link });
+                (server, now - sent_at)
+            })
+            .collect()
     }
 
     pub fn next_at(&self) -> Option<Nanos> {
-        self.in_flight.values().map(|(_, since)| *since + TIME_OUT).min()
+        self.in_flight.values().map(|(_, sent_at)| *sent_at + TIMEOUT).min()
     }
 }
 
-/// What an answer to a probe says.
+/// The outcome of a probe by the HTTP status of its answer.
 pub fn outcome(status: StatusCode) -> ProbeOutcome {
     match status.as_u16() {
         200..=299 => ProbeOutcome::Answered,
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -1,4 +1,4 @@
-//! The coordinator on sockets.
+//! Runs a [`Coordinator`] on the reactor: sockets, timers, signals and the log.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -24,78 +24,79 @@
 use crate::coordinator::{Coordinator, Todo};
 use crate::descriptors::Descriptors;
 use crate::link::{LinkAction, LinkId};
-use crate::log_event::{cut, EventLog, LogEvent};
+use crate::log_event::{sanitize, EventLog, LogEvent};
 use crate::pending::CloseReason;
 use crate::status::{write_end, write_status, ProcessFigures};
 
-const INPUT: usize = 256 * 1024; // bytes read ahead of a peer that has joined, or was dialled
-const OUTPUT: usize = 512 * 1024; // bytes waiting for a peer: a call carries far less, a client gets single lines
-const SHUTDOWN_MOST: Nanos = Nanos::from_millis(900); // ms; clients may use their connections until the platform kills,
-                                                      // 700 ms after SIGTERM at the earliest
-const FLUSH_MOST: Duration = Duration::from_millis(100); // for the last answers to be written
-const STUCK_MOST: Nanos = Nanos::from_millis(1_500); // ms; for an idle client to read some of its answers
-const STATUS_EVERY: Nanos = Nanos::from_millis(5_000); // ms; one line in the log
-const START_MOST: Duration = Duration::from_secs(8); // a start that fails for a moment is tried again for so long: the
-                                                     // platform wants it ready within 10 s
-const START_RETRY: Duration = Duration::from_millis(50); // between two tries
-const REDIAL_AFTER: Nanos = Nanos::from_millis(20); // ms; until a dial that failed on our own side is made again
-const RELOAD_RETRY: Nanos = Nanos::from_millis(200); // ms; until a configuration that can't be read is read again
-const RELOAD_TRIES: u32 = 5; // it may be half written
+const MAX_INPUT: usize = 256 * 1024; // bytes read ahead from a collector or on an outgoing connection
+const MAX_OUTPUT: usize = 512 * 1024; // bytes queued for a peer: a call carries far less, a client gets single lines
+const SHUTDOWN_TIMEOUT: Nanos = Nanos::from_millis(900); // ms; clients may use their connections until the platform
+                                                         // kills the process, 700 ms after SIGTERM at the earliest
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100); // for writing the last answers
+const STUCK_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; for an idle client to read some of its answers
+const STATUS_INTERVAL: Nanos = Nanos::from_millis(5_000); // ms
+const START_TIMEOUT: Duration = Duration::from_secs(8); // how long a transiently failing start is retried: the platform
+                                                        // requires readiness within 10 s
+const RETRY_DELAY: Duration = Duration::from_millis(50); // between two attempts to start
+const REDIAL_DELAY: Nanos = Nanos::from_millis(20); // ms; before a dial that failed locally is retried
+const RELOAD_RETRY_DELAY: Nanos = Nanos::from_millis(200); // ms; before an unreadable configuration is read again
+const MAX_RELOAD_RETRIES: u32 = 5; // the file may be half written
 
-const CONFIG_MOST: u64 = 16 * 1024 * 1024; // bytes of a configuration that is read again
+const MAX_CONFIG_BYTES: u64 = 16 * 1024 * 1024; // of a configuration that is reloaded
 
-const UNREAD: &str = "it does not read its answers";
+const UNREAD_ANSWERS: &str = "client does not read its answers";
 
 const SIGHUP: i32 = 1;
 const SIGTERM: i32 = 15;
 
-/// What ends the program.
+/// Why the event loop has ended.
 #[derive(Debug)]
 pub enum ExitReason {
-    /// By a signal.
+    /// A signal asked for it.
     Signalled,
     Failed(io::Error),
 }
 
-enum Due {
+/// What a timer is for.
+enum Timer {
     Turn,
     Status,
     Shutdown,
-    /// The configuration is read again: how often that has failed.
+    /// Reload the configuration; carries the number of failed attempts.
     Reload(u32),
-    /// Dials that failed on our own side are made again.
+    /// Retry dials that failed locally.
     Redial,
 }
 
-/// A dial that failed on our own side and is to be made again. Who asked for it sets its time, and drops it.
+/// A dial that failed locally and is to be retried. Its requester enforces the timeout and cancels it.
 struct Redial {
     id: LinkId,
     address: SocketAddr,
     request: Bytes,
 }
 
-/// How far a shutdown has come.
+/// State of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Shutdown {
-    No,
-    /// Open connections are served until the time is over.
+    NotRequested,
+    /// Open connections are served until the timeout.
     Draining,
-    /// An operator wants it to end as soon as nobody waits for an answer.
-    Hurried,
+    /// An operator has asked the process to end as soon as no client waits for an answer.
+    Expedited,
 }
 
-/// A connection that was dialled.
+/// An outgoing connection.
 struct Link {
     id: LinkId,
     reader: ResponseReader,
-    /// What is sent once it stands.
-    first: Option<Bytes>,
+    /// The request that is sent once connected.
+    first_request: Option<Bytes>,
 }
 
-/// A coordinator on sockets.
+/// A coordinator with its event loop.
 pub struct Shell {
     file: PathBuf,
-    reactor: Reactor<Due>,
+    reactor: Reactor<Timer>,
     coordinator: Coordinator,
     listener: ListenerId,
     address: SocketAddr,
@@ -104,84 +105,84 @@
     links: BTreeMap<ConnId, Link>,
     link_conns: BTreeMap<LinkId, ConnId>,
     redials: Vec<Redial>,
-    next_client: u64,
+    last_client_id: u64,
     turn_at: Option<Nanos>,
     shutdown: Shutdown,
     log: EventLog,
     log_lines_dropped: Counter,
 }
 
-/// Why a configuration can't be taken.
+/// Why a configuration can't be used.
 #[derive(Debug)]
 enum ConfigError {
-    /// The file can't be read for the moment.
-    Momentary(String),
-    /// It can't be read, or is not in order.
-    Wrong(String),
+    /// Reading the file has failed transiently.
+    Transient(String),
+    /// The file can't be read, or the configuration is invalid.
+    Invalid(String),
 }
 
 impl ConfigError {
     fn into_text(self) -> String {
         match self {
-            ConfigError::Momentary(text) | ConfigError::Wrong(text) => text,
+            ConfigError::Transient(text) | ConfigError::Invalid(text) => text,
         }
     }
 }
 
-/// Reads the configuration by this way of reading its file.
+/// Reads the configuration; `read` reads the file.
 fn read_config(file: &Path, read: impl Fn(&Path) -> io::Result<Vec<u8>>) -> Result<Config, ConfigError> {
     let text = read(file).map_err(|cause| {
-        let told = format!("{}: {cause}", file.display());
+        let message = format!("{}: {cause}", file.display());
         if is_momentary_at_start(&cause) {
-            ConfigError::Momentary(told)
+            ConfigError::Transient(message)
         } else {
-            ConfigError::Wrong(told)
+            ConfigError::Invalid(message)
         }
     })?;
-    Config::read(&text).map_err(|cause| ConfigError::Wrong(format!("{}: {cause}", file.display())))
+    Config::read(&text).map_err(|cause| ConfigError::Invalid(format!("{}: {cause}", file.display())))
 }
 
-/// Why a coordinator does not start.
+/// Why a coordinator could not start.
 #[derive(Debug)]
 pub enum StartError {
     Config(String),
     System(io::Error),
 }
 
-/// Tries a step of the start again while it fails for a moment only, until its time is over.
-fn patiently<T, E>(
+/// Retries a step of the start while it fails transiently, until the deadline.
+fn retry_until<T, E>(
     until: Instant,
-    is_momentary: impl Fn(&E) -> bool,
+    is_transient: impl Fn(&E) -> bool,
     mut step: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
     loop {
         match step() {
-            Err(cause) if is_momentary(&cause) && Instant::now() < until => std::thread::sleep(START_RETRY),
-            ended => return ended,
+            Err(cause) if is_transient(&cause) && Instant::now() < until => std::thread::sleep(RETRY_DELAY),
+            result => return result,
         }
     }
 }
 
 impl Shell {
-    /// Reads its configuration and listens. Any of the signals `ends` asks it to end; SIGHUP has the configuration
-    /// read again. What fails for a moment only is tried again, for 8 s.
-    pub fn new(file: &Path, clock: Arc<dyn Clock>, ends: &[i32]) -> Result<Self, StartError> {
-        let mut heeded = vec![SIGHUP];
-        heeded.extend(ends);
-        // Before anything can fail, and before anybody can reach it: a signal that is not heeded yet would end it.
-        let flags = SignalFlags::register(&heeded).map_err(StartError::System)?;
-        let until = Instant::now() + START_MOST;
-        let is_unread = |cause: &ConfigError| matches!(cause, ConfigError::Momentary(_));
-        let config = patiently(until, is_unread, || read_config(file, |file| fs::read(file)))
+    /// Reads the configuration and starts listening. Any of `stop_signals` starts a shutdown; SIGHUP reloads the
+    /// configuration. Transient failures are retried for 8 s.
+    pub fn new(file: &Path, clock: Arc<dyn Clock>, stop_signals: &[i32]) -> Result<Self, StartError> {
+        let mut handled = vec![SIGHUP];
+        handled.extend(stop_signals);
+        // Registered before anything can fail and before clients can connect: an unhandled signal would end the process.
+        let flags = SignalFlags::register(&handled).map_err(StartError::System)?;
+        let deadline = Instant::now() + START_TIMEOUT;
+        let is_transient = |cause: &ConfigError| matches!(cause, ConfigError::Transient(_));
+        let config = retry_until(deadline, is_transient, || read_config(file, |file| fs::read(file)))
             .map_err(|cause| StartError::Config(cause.into_text()))?;
         let Descriptors { connections, accepts, .. } = Descriptors::divide(config.sockets);
-        let limits = Limits { input: INPUT, output: OUTPUT, connections, accepts };
-        let make = || -> io::Result<(Reactor<Due>, ListenerId, SocketAddr)> {
+        let limits = Limits { input: MAX_INPUT, output: MAX_OUTPUT, connections, accepts };
+        let make = || -> io::Result<(Reactor<Timer>, ListenerId, SocketAddr)> {
             let mut reactor = Reactor::new(clock.clone(), limits)?;
             let (listener, address) = reactor.listen(config.listen)?;
             Ok((reactor, listener, address))
         };
-        let made = patiently(until, is_momentary_at_start, make).map_err(StartError::System)?;
+        let made = retry_until(deadline, is_momentary_at_start, make).map_err(StartError::System)?;
         let (mut reactor, listener, address) = made;
         reactor.heed(flags);
         let now = reactor.now();
@@ -190,7 +191,7 @@
             "listening"
         );
         let coordinator = Coordinator::new(config, now);
-        reactor.set_timer(now + STATUS_EVERY, Due::Status);
+        reactor.set_timer(now + STATUS_INTERVAL, Timer::Status);
         Ok(Shell {
             file: file.to_owned(),
             reactor,
@@ -202,28 +203,28 @@
             links: BTreeMap::new(),
             link_conns: BTreeMap::new(),
             redials: Vec::new(),
-            next_client: 0,
+            last_client_id: 0,
             turn_at: None,
-            shutdown: Shutdown::No,
+            shutdown: Shutdown::NotRequested,
             log: EventLog::default(),
             log_lines_dropped: Counter::default(),
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells this count in the status lines: of log lines that were not written.
+    /// Sets the counter of dropped log lines that the status lines report.
     pub fn set_dropped_line_counter(&mut self, dropped: Counter) {
         self.log_lines_dropped = dropped;
     }
 
-    /// Runs until a signal ends it.
+    /// Runs until a signal or a failure ends it.
     pub fn run(&mut self) -> ExitReason {
         loop {
-            match self.round() {
+            match self.run_once() {
                 Ok(true) => {}
                 Ok(false) => return ExitReason::Signalled,
                 Err(cause) => return ExitReason::Failed(cause),
@@ -231,35 +232,35 @@
         }
     }
 
-    /// Waits for what happens, and acts on it; false: it has ended as a signal asked.
-    pub fn round(&mut self) -> io::Result<bool> {
+    /// Waits for events of the reactor and handles them; false: it has ended after a signal.
+    pub fn run_once(&mut self) -> io::Result<bool> {
         self.turn();
         if self.is_finished() {
-            self.end();
+            self.finish();
             return Ok(false);
         }
         self.reactor.set_accept_room(self.listener, self.coordinator.accept_room());
-        let is_draining = self.shutdown != Shutdown::No;
+        let is_draining = self.shutdown != Shutdown::NotRequested;
         self.coordinator.set_backlog(is_draining && self.reactor.is_listening(self.listener));
         self.reactor.poll(None)?;
         while let Some(happened) = self.reactor.happened() {
             if !self.handle(happened) {
-                self.end();
+                self.finish();
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    /// Acts on what has happened; false: the time of a shutdown is over.
-    fn handle(&mut self, happened: Happened<Due>) -> bool {
+    /// Handles an event of the reactor; false: the shutdown has timed out.
+    fn handle(&mut self, happened: Happened<Timer>) -> bool {
         match happened {
             Happened::Accepted { conn, .. } => self.accept(conn),
             Happened::Connected { conn } => {
-                let first = self.links.get_mut(&conn).and_then(|link| link.first.take());
-                if let Some(first) = first {
-                    // A connection that has ended already is told of as closed.
-                    let _ = self.reactor.send(conn, [first]);
+                let request = self.links.get_mut(&conn).and_then(|link| link.first_request.take());
+                if let Some(request) = request {
+                    // An error means that the connection has ended already, which is reported as `Closed`.
+                    let _ = self.reactor.send(conn, [request]);
                 }
             }
             Happened::Came { conn } => self.read(conn),
@@ -272,24 +273,24 @@
             Happened::Closed { conn, cause } => {
                 if let Some(client) = self.clients.remove(&conn) {
                     self.client_conns.remove(&client);
-                    debug!(client = client.0, ?cause, "a client's connection has ended");
+                    debug!(client = client.0, ?cause, "client connection ended");
                     self.coordinator.client_gone(client, CloseReason::ByPeer);
                 }
                 if matches!(cause, CloseCause::PeerClosed) {
                     self.end_response(conn);
                 }
-                self.lose_link(conn, &format!("{cause:?}"));
+                self.remove_link(conn, &format!("{cause:?}"));
             }
-            Happened::Timer(Due::Turn) => self.turn_at = None,
-            Happened::Timer(Due::Status) => {
+            Happened::Timer(Timer::Turn) => self.turn_at = None,
+            Happened::Timer(Timer::Status) => {
                 write_status(&self.coordinator.status(), self.process_figures());
-                self.log.begin_anew();
-                self.tell_beliefs();
-                self.reactor.set_timer(self.reactor.now() + STATUS_EVERY, Due::Status);
+                self.log.reset();
+                self.log_estimates();
+                self.reactor.set_timer(self.reactor.now() + STATUS_INTERVAL, Timer::Status);
             }
-            Happened::Timer(Due::Shutdown) => return false,
-            Happened::Timer(Due::Reload(failed)) => self.reload(failed),
-            Happened::Timer(Due::Redial) => {
+            Happened::Timer(Timer::Shutdown) => return false,
+            Happened::Timer(Timer::Reload(failed)) => self.reload(failed),
+            Happened::Timer(Timer::Redial) => {
                 for Redial { id, address, request } in std::mem::take(&mut self.redials) {
                     self.dial(id, address, request);
                 }
@@ -300,72 +301,77 @@
         true
     }
 
-    /// Whether a shutdown has nothing to wait for.
+    /// Whether a shutdown is complete.
     fn is_finished(&self) -> bool {
         match self.shutdown {
-            Shutdown::No => false,
+            Shutdown::NotRequested => false,
             Shutdown::Draining => !self.reactor.is_listening(self.listener) && self.coordinator.is_finished(),
-            Shutdown::Hurried => self.coordinator.clients_settled(),
+            Shutdown::Expedited => self.coordinator.clients_settled(),
         }
     }
 
-    /// Takes nobody in any more but those whom the system has connected already, and stays while clients use their
-    /// connections or orders wait. A signal that comes again changes nothing, since they come in series; but an
-    /// operator's other one hurries it.
+    /// Starts a shutdown: accepts only the connections that the operating system has established already, and runs on
+    /// while clients use their connections or orders wait. A repeated SIGTERM changes nothing, since signals come in
+    /// series; any other signal, which an operator sends, expedites the shutdown.
     fn shut_down(&mut self, signal: i32) {
         match self.shutdown {
-            Shutdown::No => {
+            Shutdown::NotRequested => {
                 info!(signal, "shutting down");
                 self.shutdown = Shutdown::Draining;
                 self.coordinator.shut_down();
                 self.reactor.set_accept_room(self.listener, self.coordinator.accept_room());
                 self.reactor.unlisten(self.listener);
-                self.reactor.set_timer(self.reactor.now() + SHUTDOWN_MOST, Due::Shutdown);
+                self.reactor.set_timer(self.reactor.now() + SHUTDOWN_TIMEOUT, Timer::Shutdown);
             }
             Shutdown::Draining if signal != SIGTERM => {
-                info!(signal, "shutting down as soon as whoever has asked is answered");
-                self.shutdown = Shutdown::Hurried;
+                info!(signal, "shutting down once all requests are answered");
+                self.shutdown = Shutdown::Expedited;
             }
-            Shutdown::Draining | Shutdown::Hurried => {}
+            Shutdown::Draining | Shutdown::Expedited => {}
         }
     }
 
-    /// The process ends now: what has come until now is answered, and what stays owed is counted and told.
-    fn end(&mut self) {
+    /// Ends the process: answers the input received so far, and counts and logs the work that remains pending.
+    fn finish(&mut self) {
         for conn in self.clients.keys().copied().collect::<Vec<_>>() {
             if self.reactor.read_last(conn) {
                 self.read(conn);
             }
         }
         self.turn();
-        if let Err(cause) = self.reactor.flush(FLUSH_MOST) {
-            warn!(%cause, "the last answers could not be written");
+        if let Err(cause) = self.reactor.flush(FLUSH_TIMEOUT) {
+            warn!(%cause, "could not write the last answers");
         }
-        let waiting = |conn: &ConnId| self.reactor.waiting(*conn) > 0;
-        for (conn, client) in self.clients.iter().filter(|(conn, _)| !waiting(conn)) {
-            debug!(?conn, client = client.0, "ending with all written");
+        let has_output = |conn: &ConnId| self.reactor.waiting(*conn) > 0;
+        for (conn, client) in self.clients.iter().filter(|(conn, _)| !has_output(conn)) {
+            debug!(?conn, client = client.0, "ending; all answers are written");
             self.coordinator.client_flushed(*client);
         }
         let violations = self.coordinator.abandon();
         write_end(&self.coordinator.status(), violations);
     }
 
-    /// Reads the configuration again. One that can't be read may be half written: it is read again a few times.
+    /// Reloads the configuration. An invalid file may be half written, so reading it is retried a few times.
     fn reload(&mut self, failed: u32) {
-        if self.shutdown != Shutdown::No {
+        if self.shutdown != Shutdown::NotRequested {
             return;
         }
-        // Clients wait meanwhile: whoever is slow to write the file must not hold them up.
-        match read_config(&self.file, |file| read_regular_file(file, CONFIG_MOST)) {
+        // Only regular files are read: clients wait meanwhile, and a slow writer of the file must not block them.
+        match read_config(&self.file, |file| read_regular_file(file, MAX_CONFIG_BYTES)) {
             Ok(config) => {
-                info!(relay = %config.relay, discovery = %config.discovery, "a new configuration");
+                info!(relay = %config.relay, discovery = %config.discovery, "configuration reloaded");
                 self.coordinator.reconfigure(self.reactor.now(), &config);
             }
             Err(cause) => {
                 let cause = cause.into_text();
-                error!(failed, cause = cut(&cause), "the configuration is not in order; the old one stands");
-                if failed < RELOAD_TRIES {
-                    self.reactor.set_timer(self.reactor.now() + RELOAD_RETRY, Due::Reload(failed + 1));
+                error!(
+                    failed,
+                    cause = sanitize(&cause),
+                    "the configuration is invalid; keeping the current one"
+                );
+                if failed < MAX_RELOAD_RETRIES {
+                    self.reactor
+                        .set_timer(self.reactor.now() + RELOAD_RETRY_DELAY, Timer::Reload(failed + 1));
                 }
             }
         }
@@ -379,8 +385,8 @@
         }
     }
 
-    /// What the decisions believe, to be held against what passes.
-    fn tell_beliefs(&self) {
+    /// Logs the controller's estimates, for comparison with measured values.
+    fn log_estimates(&self) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -399,22 +405,22 @@
     }
 
     fn accept(&mut self, conn: ConnId) {
-        self.next_client += 1;
-        let client = ClientId(self.next_client);
-        self.reactor.limit_input(conn, Clients::first_room());
+        self.last_client_id += 1;
+        let client = ClientId(self.last_client_id);
+        self.reactor.limit_input(conn, Clients::initial_input_limit());
         self.clients.insert(conn, client);
         self.client_conns.insert(client, conn);
         self.coordinator.client_connected(self.reactor.now(), client);
     }
 
-    fn lose_link(&mut self, conn: ConnId, cause: &str) {
+    fn remove_link(&mut self, conn: ConnId, cause: &str) {
         if let Some(link) = self.links.remove(&conn) {
             self.link_conns.remove(&link.id);
             self.coordinator.link_lost(self.reactor.now(), link.id, cause);
         }
     }
 
-    /// A response may end with its connection.
+    /// Completes a response that ends with its connection.
     fn end_response(&mut self, conn: ConnId) {
         let now = self.reactor.now();
         let Some(link) = self.links.get_mut(&conn) else { return };
@@ -442,8 +448,8 @@
             let Some(input) = self.reactor.input(conn) else { return };
             match link.reader.next(input, false, now) {
                 Ok(Some(response)) => {
-                    let keeps = ResponseReader::persistent(&response);
-                    self.coordinator.answered(now, link.id, &response, keeps);
+                    let keep_alive = ResponseReader::persistent(&response);
+                    self.coordinator.answered(now, link.id, &response, keep_alive);
                 }
                 Ok(None) => {
                     if self.coordinator.is_event_stream(link.id) {
@@ -455,38 +461,38 @@
                 }
                 Err(cause) => {
                     self.reactor.close(conn);
-                    return self.lose_link(conn, &cause.to_string());
+                    return self.remove_link(conn, &cause.to_string());
                 }
             }
         }
         self.reactor.taken(conn);
     }
 
-    /// Lets the coordinator act, and carries out what it asks for.
+    /// Runs a turn of the coordinator and carries out the actions it returns.
     fn turn(&mut self) {
         let now = self.reactor.now();
         let Todo { client_actions, acts, log } = self.coordinator.turn(now);
         for event in &log {
             self.log.write(event);
         }
-        client_actions.into_iter().for_each(|action| self.serve(action));
-        acts.into_iter().for_each(|act| self.act(act));
-        // One timer that comes too early does no harm; one for each change would pile up.
+        client_actions.into_iter().for_each(|action| self.apply_client_action(action));
+        acts.into_iter().for_each(|action| self.apply_link_action(action));
+        // A timer that fires too early is harmless, whereas a new timer for each change would accumulate.
         if let Some(next) =
             self.coordinator.next_at(now).filter(|next| self.turn_at.is_none_or(|at| *next < at))
         {
-            self.reactor.set_timer(next, Due::Turn);
+            self.reactor.set_timer(next, Timer::Turn);
             self.turn_at = Some(next);
         }
     }
 
-    fn serve(&mut self, action: ClientAction) {
+    fn apply_client_action(&mut self, action: ClientAction) {
         match action {
-            ClientAction::Answer(id) => self.answer(id),
-            ClientAction::Note(cause, line) => {
-                debug!(cause = cut(&cause.to_string()), line, "left out a report")
+            ClientAction::AnswerHeartbeat(id) => self.answer_heartbeat(id),
+            ClientAction::LogMalformedReport(cause, line) => {
+                debug!(cause = sanitize(&cause.to_string()), line, "skipped a malformed report")
             }
-            ClientAction::Widen(id) => {
+            ClientAction::RaiseInputLimit(id) => {
                 if let Some(conn) = self.client_conns.get(&id) {
                     self.reactor.limit_input(*conn, lines::LONGEST);
                 }
@@ -495,71 +501,71 @@
             ClientAction::Evict(id, cause) => self.evict(id, &cause),
             ClientAction::Close(id, cause) => {
                 self.log.write(&LogEvent::ClientClosed { client: id, cause: cause.to_string() });
-                if let Some(conn) = self.forget(id, CloseReason::Dropped) {
+                if let Some(conn) = self.remove_client(id, CloseReason::Dropped) {
                     self.reactor.finish(conn);
                 }
             }
         }
     }
 
-    fn answer(&mut self, id: ClientId) {
+    fn answer_heartbeat(&mut self, id: ClientId) {
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
         let line = Bytes::from_static(lines::heartbeat_answer());
         match self.reactor.send(conn, [line]) {
             Ok(()) => self.coordinator.client_answered(id, self.reactor.waiting(conn) > 0),
             Err(SendError::Gone) => {
-                self.forget(id, CloseReason::ByPeer);
+                self.remove_client(id, CloseReason::ByPeer);
             }
             Err(SendError::Full) => {
-                self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD.to_owned() });
-                self.forget(id, CloseReason::ByPeer);
+                self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD_ANSWERS.to_owned() });
+                self.remove_client(id, CloseReason::ByPeer);
                 self.reactor.close(conn);
             }
         }
     }
 
-    /// Tells a client why it is turned away, which is its final answer, and closes.
+    /// Sends a client the reason for its rejection, which is its final answer, and closes the connection.
     fn reject(&mut self, id: ClientId, cause: &str) {
         self.log.write(&LogEvent::ClientRejected { client: id, cause: cause.to_owned() });
-        let Some(conn) = self.forget(id, CloseReason::Rejected) else { return };
+        let Some(conn) = self.remove_client(id, CloseReason::Rejected) else { return };
         let _ = self.reactor.send(conn, [Bytes::from(lines::reject(cause))]);
         self.reactor.finish(conn);
     }
 
-    /// Closes an idle connection, unless the client has asked for something meanwhile.
+    /// Closes an idle connection, unless the client has sent a request meanwhile.
     fn evict(&mut self, id: ClientId, cause: &str) {
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
         if self.reactor.read_last(conn) {
             self.read(conn);
         } else if !self.coordinator.owes(id) {
             self.reject(id, cause);
-        } else if self.reactor.stuck(conn) >= STUCK_MOST {
-            self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD.to_owned() });
-            self.forget(id, CloseReason::ByPeer);
+        } else if self.reactor.stuck(conn) >= STUCK_TIMEOUT {
+            self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD_ANSWERS.to_owned() });
+            self.remove_client(id, CloseReason::ByPeer);
             self.reactor.close(conn);
         }
     }
 
-    /// Forgets a client; its connection is the caller's to close.
-    fn forget(&mut self, id: ClientId, reason: CloseReason) -> Option<ConnId> {
+    /// Removes a client and returns its connection, which the caller closes.
+    fn remove_client(&mut self, id: ClientId, reason: CloseReason) -> Option<ConnId> {
         self.coordinator.client_gone(id, reason);
         let conn = self.client_conns.remove(&id)?;
         self.clients.remove(&conn);
         Some(conn)
     }
 
-    /// Dials. A failure on our own side says nothing of the neighbour: it is not told as one, and the dial made again.
+    /// Dials. A local failure says nothing about the peer: it is not reported as a lost link, and the dial is retried.
     fn dial(&mut self, id: LinkId, address: SocketAddr, request: Bytes) {
         match self.reactor.connect(address) {
             Ok(conn) => {
                 let reader = ResponseReader::new(HttpLimits::default());
-                self.links.insert(conn, Link { id, reader, first: Some(request) });
+                self.links.insert(conn, Link { id, reader, first_request: Some(request) });
                 self.link_conns.insert(id, conn);
             }
             Err(cause) if is_own_failure(&cause) => {
-                debug!(%address, %cause, "dialling again");
+                debug!(%address, %cause, "dial failed locally; retrying");
                 if self.redials.is_empty() {
-                    self.reactor.set_timer(self.reactor.now() + REDIAL_AFTER, Due::Redial);
+                    self.reactor.set_timer(self.reactor.now() + REDIAL_DELAY, Timer::Redial);
                 }
                 self.redials.push(Redial { id, address, request });
             }
@@ -567,14 +573,14 @@
         }
     }
 
-    fn act(&mut self, act: LinkAction) {
-        match act {
+    fn apply_link_action(&mut self, action: LinkAction) {
+        match action {
             LinkAction::Dial { link, address, request } => self.dial(link, address, request),
             LinkAction::Send { link, request } => {
                 let Some(conn) = self.link_conns.get(&link).copied() else { return };
                 if self.reactor.send(conn, [request]).is_err() {
                     self.reactor.close(conn);
-                    self.lose_link(conn, "nothing more can be sent");
+                    self.remove_link(conn, "the connection accepts no more output");
                 }
             }
             LinkAction::Close { link } => {
--- a/crates/craneknot-node/src/status.rs
+++ b/crates/craneknot-node/src/status.rs
@@ -1,24 +1,23 @@
-//! What an operator wants to know at a glance, and the lines that tell it: again and again while a coordinator runs, and
-//! once as it ends.
+//! The coordinator's status, and the log lines that report it: periodically while it runs, and once when it ends.
 
 use craneknot::interface::Nanos;
 use tracing::{info, warn};
 
 use crate::coverage::{CoverageFigures, Worst};
-use crate::log_event::{beginning, millis};
+use crate::log_event::{millis, sanitized_prefix};
 use crate::pending::Violations;
 
-const CLASS_MOST: usize = 11; // characters of a class's name in a status line, which has the most fields
+const MAX_CLASS_CHARS: usize = 11; // of a class's name in a status line, which has the most fields
 
-/// What an operator wants to know at a glance.
+/// Summary of a coordinator for its operator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Status {
     pub proxies: usize,
     pub servers: usize,
     pub collectors: usize,
-    /// Clients that have not joined.
+    /// Clients that are not collectors yet.
     pub unidentified: usize,
-    /// Clients that something is owed to.
+    /// Clients with pending work.
     pub clients_pending: usize,
     pub reports: u64,
     pub reports_malformed: u64,
@@ -27,18 +26,19 @@
     pub orders_rejected: u64,
     pub calls_retried: u64,
     pub event_streams: usize,
-    /// News that were left out, since a field was absent, wrong or out of range.
+    /// Events that were skipped because a field was absent, wrong or out of range.
     pub events_malformed: u64,
     pub violations: Violations,
-    /// Proxies without a line to pick.
+    /// Proxies without a usable line.
     pub coverage: CoverageFigures,
-    /// The longest lack of a line since the start.
+    /// The longest time since the start that a proxy had no usable line though a warm server was listed.
     pub longest_uncovered: Option<NamedLapse>,
-    /// The longest times without a line since the start: one for each supply of servers that was met meanwhile.
+    /// The longest times since the start that a proxy had no usable line: one for each kind of supply of servers that was
+    /// observed meanwhile.
     pub longest_without_line: Vec<NamedLapse>,
 }
 
-/// The longest lack, with what an operator calls its class, and the time since the start.
+/// The longest time without a line, with the name of its class and the time since the start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedLapse {
     pub longest: Worst,
@@ -46,18 +46,18 @@
     pub since_start: Nanos,
 }
 
-/// Figures of the process, beside those of the coordinator.
+/// Figures of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessFigures {
-    /// Connections that stand, dialled ones included.
+    /// Open connections, outgoing ones included.
     pub connections: usize,
-    /// System calls that failed for a moment and were made again.
+    /// System calls that failed transiently and were retried.
     pub system_calls_retried: u64,
-    /// Log lines that were not written, since standard error did not take them.
+    /// Log lines that were dropped because standard error did not accept them.
     pub log_lines_dropped: u64,
 }
 
-/// The status lines: what may be broken first, then what is under way, then who is there.
+/// Writes the status lines: possible faults first, then orders, clients and input.
 pub fn write_status(status: &Status, process: ProcessFigures) {
     let ProcessFigures { connections, system_calls_retried, log_lines_dropped } = process;
     let Violations { closed_unanswered, orders_forbidden, orders_overtaken, .. } = status.violations;
@@ -71,12 +71,16 @@
         orders_waiting = status.orders_waiting,
         "status"
     );
-    write_worst("status of the longest lack", status.longest_uncovered.as_ref(), status.coverage.uncovered);
+    write_longest(
+        "status of longest uncovered",
+        status.longest_uncovered.as_ref(),
+        status.coverage.uncovered,
+    );
     if status.longest_without_line.is_empty() {
-        write_worst("status of the longest bare", None, status.coverage.bare);
+        write_longest("status of longest no-line", None, status.coverage.bare);
     }
-    for worst in &status.longest_without_line {
-        write_worst("status of the longest bare", Some(worst), status.coverage.bare);
+    for longest in &status.longest_without_line {
+        write_longest("status of longest no-line", Some(longest), status.coverage.bare);
     }
     info!(
         orders = status.orders,
@@ -105,33 +109,36 @@
     );
 }
 
-/// The last lines of a process: the longest that a proxy was without a line, and what is left undone.
+/// Writes the last lines of a process: the longest time that a proxy had no line, and the work left undone.
 pub fn write_end(status: &Status, violations: Violations) {
-    let longest = status.longest_without_line.iter().max_by_key(|worst| worst.longest.lapse.lasted);
+    let longest = status.longest_without_line.iter().max_by_key(|longest| longest.longest.lapse.lasted);
     let lapse = longest.map(|longest| &longest.longest.lapse);
     let (bare_longest_ms, bare_now) = (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.bare);
     let supply = lapse.map(|lapse| format!("{:?}", lapse.supply));
-    let class = longest.map(|longest| beginning(&longest.class, CLASS_MOST));
+    let class = longest.map(|longest| sanitized_prefix(&longest.class, MAX_CLASS_CHARS));
     let over_limit = status.coverage.over_limit;
     info!(over_limit, bare_now, bare_longest_ms, class, supply, "ended");
     if violations.total() > 0 {
         let Violations { closed_unanswered, orders_dropped, orders_forbidden, orders_overtaken } = violations;
-        warn!(closed_unanswered, orders_dropped, orders_forbidden, orders_overtaken, "ended with this owed");
+        warn!(
+            closed_unanswered,
+            orders_dropped, orders_forbidden, orders_overtaken, "ended with pending work"
+        );
     } else {
-        info!("ended with nothing owed");
+        info!("ended with no pending work");
     }
 }
 
-/// The longest since the start, in each status line anew: readers keep a log's beginning and end only. `now`: how many
-/// proxies and classes are without a line now.
-fn write_worst(kind: &str, worst: Option<&NamedLapse>, now: usize) {
-    let lapse = worst.map(|worst| &worst.longest.lapse);
+/// Writes the longest time since the start. It is repeated with each status, since readers keep only the beginning and the
+/// end of a log. `now`: the number of proxies and classes without a line now.
+fn write_longest(kind: &str, longest: Option<&NamedLapse>, now: usize) {
+    let lapse = longest.map(|longest| &longest.longest.lapse);
     info!(
         now,
         longest_ms = lapse.map_or(0, |lapse| millis(lapse.lasted)),
-        after_s = worst.map(|worst| millis(worst.since_start) / 1_000),
+        after_s = longest.map(|longest| millis(longest.since_start) / 1_000),
         proxy = lapse.map(|lapse| lapse.proxy.0),
-        class = worst.map(|worst| beginning(&worst.class, CLASS_MOST)),
+        class = longest.map(|longest| sanitized_prefix(&longest.class, MAX_CLASS_CHARS)),
         waiting_for = lapse.map(|lapse| format!("{:?}", lapse.waiting_for)),
         supply = lapse.map(|lapse| format!("{:?}", lapse.supply)),
         "{kind}"
--- a/crates/craneknot-node/tests/clients.rs
+++ b/crates/craneknot-node/tests/clients.rs
@@ -57,7 +57,8 @@
     }
     clients.connected(ms(10), ClientId(50));
     assert!(
-        take(&mut clients, 50, "{\"type\":\"hb\"}\n{\"typ", &names).0 == [ClientAction::Answer(ClientId(50))]
+        take(&mut clients, 50, "{\"type\":\"hb\"}\n{\"typ", &names).0
+            == [ClientAction::AnswerHeartbeat(ClientId(50))]
     );
     let mut actions = Vec::new();
     clients.evict_overdue(ms(1_009), &mut actions);
@@ -71,7 +72,7 @@
 fn a_flood_of_strangers_waits_outside_and_leaves_room_for_collectors() {
     let (mut clients, names) = (Clients::new(64), config().names);
     clients.connected(ms(0), ClientId(0));
-    assert_eq!(take(&mut clients, 0, JOINING, &names).0, [ClientAction::Widen(ClientId(0))]);
+    assert_eq!(take(&mut clients, 0, JOINING, &names).0, [ClientAction::RaiseInputLimit(ClientId(0))]);
     for id in 1..=500 {
         if clients.free_slots() > 0 {
             clients.connected(ms(1), ClientId(id));
--- a/crates/craneknot-node/tests/observability.rs
+++ b/crates/craneknot-node/tests/observability.rs
@@ -196,11 +196,11 @@
             log.write(&LogEvent::ProxyJoined { proxy: ProxyId(proxy), zone: ZoneId(0) });
         }
         assert!(log.write(&LogEvent::ProxyLeft { proxy: ProxyId(7) }));
-        assert_eq!(log.begin_anew().into_iter().collect::<Vec<_>>(), [("proxy joined", 960)]);
+        assert_eq!(log.reset().into_iter().collect::<Vec<_>>(), [("proxy joined", 960)]);
     });
     assert_eq!(lines.len(), 40 + 1 + 1, "forty, the other kind, and the count");
     assert!(lines.last().unwrap().contains("lines=960"), "{lines:?}");
-    assert!(log.begin_anew().is_empty());
+    assert!(log.reset().is_empty());
 }
 
 #[test]
@@ -457,7 +457,7 @@
     let status = Status { longest_uncovered: Some(named), ..Status::default() };
     for _ in 0..2 {
         let lines = logged(false, || write_status(&status, ProcessFigures::default()));
-        let told = lines.iter().find(|line| line.contains("status of the longest lack")).unwrap();
+        let told = lines.iter().find(|line| line.contains("status of longest uncovered")).unwrap();
         for field in
             ["longest_ms=1500", "after_s=2", "proxy=1", "class=\"lookup\"", "waiting_for=\"Binding\""]
         {
