--- a/crates/craneknot-cli/tests/helpers/mod.rs
+++ b/crates/craneknot-cli/tests/helpers/mod.rs
@@ -12,7 +12,7 @@
 
 #[path = "../../../craneknot-node/tests/helpers/peers.rs"]
 pub mod peers;
-use peers::patient;
+use peers::with_read_timeout;
 
 pub const HEARTBEAT: &[u8] = b"{\"type\":\"hb\"}\n";
 pub const HEARTBEAT_ANSWER: &[u8] = b"{\"type\":\"hb_ok\"}\n";
@@ -57,7 +57,7 @@
     }
 
     pub fn dial(&self) -> TcpStream {
-        patient(TcpStream::connect(self.address).unwrap())
+        with_read_timeout(TcpStream::connect(self.address).unwrap())
     }
 
     /// A client that has asked once and has been answered.
--- a/crates/craneknot-cli/tests/log_sink.rs
+++ b/crates/craneknot-cli/tests/log_sink.rs
@@ -18,7 +18,7 @@
 use serde_json::{json, Value};
 
 mod helpers;
-use helpers::peers::{listener, patient};
+use helpers::peers::{listener, with_read_timeout};
 use helpers::{configuration, coordinator_settings, is_answered, Node, HEARTBEAT};
 
 const PATIENCE: Duration = Duration::from_secs(30); // a test that waits longer has failed
@@ -238,7 +238,7 @@
 
 /// The answer to a request for what does not stand there.
 fn is_served(address: SocketAddr) -> bool {
-    let mut stream = patient(TcpStream::connect(address).unwrap());
+    let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
     stream.write_all(b"GET /nowhere HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
     let mut answer = [0; 12];
     stream.read_exact(&mut answer).is_ok() && &answer == b"HTTP/1.1 404"
--- a/crates/craneknot-cli/tests/node.rs
+++ b/crates/craneknot-cli/tests/node.rs
@@ -10,7 +10,9 @@
 use rustix::process::Signal;
 
 mod helpers;
-use helpers::peers::{accept, listener, news, orders, patient, request, taken};
+use helpers::peers::{
+    accept, accepted_response, listener, orders, request, start_event_stream, with_read_timeout,
+};
 use helpers::{configuration, Node, HEARTBEAT as ALIVE, HEARTBEAT_ANSWER as ALIVE_OK};
 
 /// Takes one order of each of three calls, then keeps its answer back until told to take all; tells what it took.
@@ -27,7 +29,7 @@
         std::thread::spawn(move || {
             while let Some((path, body)) = request(&mut stream) {
                 if path == "/api/events" {
-                    news(&mut stream, proxies);
+                    start_event_stream(&mut stream, proxies);
                     continue;
                 }
                 let orders = orders(&body);
@@ -38,7 +40,7 @@
                 }
                 let count = if few { 1 } else { orders.len() };
                 orders.into_iter().take(count).for_each(|order| drop(tell.send(order)));
-                if stream.write_all(taken(count).as_bytes()).is_err() {
+                if stream.write_all(accepted_response(count).as_bytes()).is_err() {
                     return;
                 }
             }
@@ -56,7 +58,7 @@
     let mut orders: Vec<String> = (0..3).map(|_| took.recv().unwrap()).collect();
     // Stopped, it has both before it looks again: a peer that has come and asked, and the signal.
     node.signal(Signal::STOP);
-    let mut peer = patient(TcpStream::connect(node.address).unwrap());
+    let mut peer = with_read_timeout(TcpStream::connect(node.address).unwrap());
     peer.write_all(ALIVE).unwrap();
     node.signal(Signal::TERM);
     all.store(true, Ordering::SeqCst);
@@ -97,7 +99,7 @@
     for bad in ["", "{", "[]", "{\"listen\": 3}"] {
         std::fs::write(&file, bad).unwrap();
         node.signal(Signal::HUP);
-        let mut peer = patient(TcpStream::connect(node.address).unwrap());
+        let mut peer = with_read_timeout(TcpStream::connect(node.address).unwrap());
         peer.write_all(ALIVE).unwrap();
         let mut answer = vec![0; ALIVE_OK.len()];
         peer.read_exact(&mut answer).unwrap();
--- a/crates/craneknot-cli/tests/reload.rs
+++ b/crates/craneknot-cli/tests/reload.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 mod helpers;
-use helpers::peers::{listener, patient};
+use helpers::peers::{listener, with_read_timeout};
 use helpers::{configuration, coordinator_settings, is_answered, Node, HEARTBEAT};
 
 const PATIENCE: Duration = Duration::from_secs(30); // a test that waits longer has failed
@@ -51,7 +51,7 @@
 }
 
 fn is_well(address: SocketAddr) -> bool {
-    let mut stream = patient(TcpStream::connect(address).unwrap());
+    let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
     stream.write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
     let mut answer = [0; 12];
     stream.read_exact(&mut answer).is_ok() && &answer == b"HTTP/1.1 200"
--- a/crates/craneknot-cli/tests/system_calls.rs
+++ b/crates/craneknot-cli/tests/system_calls.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 mod helpers;
-use helpers::peers::{accept, listener, news, orders, request, taken};
+use helpers::peers::{accept, accepted_response, listener, orders, request, start_event_stream};
 use helpers::{configuration, fault_library, is_answered, Node, HEARTBEAT};
 
 /// A coordinator whose system calls fail by these rules.
@@ -102,7 +102,7 @@
                         return news_until_closed(&mut stream);
                     }
                     let orders = orders(&body);
-                    if stream.write_all(taken(orders.len()).as_bytes()).is_err() {
+                    if stream.write_all(accepted_response(orders.len()).as_bytes()).is_err() {
                         return;
                     }
                     orders.into_iter().for_each(|order| drop(tell.send(order)));
@@ -121,7 +121,7 @@
 
 /// Tells twelve proxies as joined, and a sign of life each time the coordinator is heard of no more.
 fn news_until_closed(stream: &mut TcpStream) {
-    news(stream, 12);
+    start_event_stream(stream, 12);
     let _ = std::io::Read::read(stream, &mut [0]);
 }
 
--- a/crates/craneknot-node/src/status.rs
+++ b/crates/craneknot-node/src/status.rs
@@ -71,16 +71,12 @@
         orders_waiting = status.orders_waiting,
         "status"
     );
-    write_longest(
-        "status of longest uncovered",
-        status.longest_uncovered.as_ref(),
-        status.coverage.uncovered,
-    );
+    write_longest("status: longest uncovered", status.longest_uncovered.as_ref(), status.coverage.uncovered);
     if status.longest_without_line.is_empty() {
-        write_longest("status of longest no-line", None, status.coverage.bare);
+        write_longest("status: longest no line", None, status.coverage.bare);
     }
     for longest in &status.longest_without_line {
-        write_longest("status of longest no-line", Some(longest), status.coverage.bare);
+        write_longest("status: longest no line", Some(longest), status.coverage.bare);
     }
     info!(
         orders = status.orders,
--- a/crates/craneknot-node/tests/confined_classes.rs
+++ b/crates/craneknot-node/tests/confined_classes.rs
@@ -2,14 +2,20 @@
 //! zone start anew, drain or fail, judged by whether each has a line to a server that is listed, cold or warm.
 
 mod helpers;
-use helpers::judge::Break;
+use helpers::invariants::Violation;
 use helpers::platform::{Platform, START};
 
 const PROXIES: u16 = 60;
 const ZONE: &str = "b";
 const ZONE_SERVERS: std::ops::Range<usize> = 20..30;
 const RESTART: u64 = 8_000; // ms; when the zone starts anew
-const RULES: &[Break] = &[Break::NoLine, Break::Bare, Break::LostServer, Break::Unbound, Break::ClosedServer];
+const RULES: &[Violation] = &[
+    Violation::NoLineToWarm,
+    Violation::NoLineToAny,
+    Violation::UnavailableServer,
+    Violation::Unbound,
+    Violation::ForbiddenServer,
+];
 
 /// Three coordinators that have served for some seconds; one class is confined to the second zone.
 fn platform(seed: u64) -> Platform {
@@ -32,8 +38,8 @@
 }
 
 fn check(platform: &Platform, case: &str) {
-    let judge = &platform.judge;
-    let broken: Vec<_> = judge.broken.values().filter(|lapse| RULES.contains(&lapse.kind)).collect();
+    let checker = &platform.checker;
+    let broken: Vec<_> = checker.violations.values().filter(|lapse| RULES.contains(&lapse.kind)).collect();
     let first: Vec<_> = broken.iter().take(3).collect();
     assert!(broken.is_empty(), "{case}: {} lapses, {first:?}", broken.len());
 }
@@ -97,7 +103,7 @@
         let mut platform = platform(5);
         platform.run_to(RESTART);
         let until = platform.now + silent;
-        platform.places.iter_mut().for_each(|place| place.troubles.list_silent = until);
+        platform.slots.iter_mut().for_each(|place| place.faults.list_silent = until);
         ZONE_SERVERS.for_each(|number| restart(&mut platform, number));
         platform.run_to(RESTART + 25_000);
         check(&platform, &format!("the list is silent for {silent} ms"));
--- a/crates/craneknot-node/tests/crossings.rs
+++ b/crates/craneknot-node/tests/crossings.rs
@@ -12,7 +12,10 @@
 
 mod helpers;
 use helpers::configuration;
-use helpers::peers::{accept, listener, news, orders, patient, request, reset, response, taken};
+use helpers::peers::{
+    accept, accepted_response, listener, orders, request, reset, response, start_event_stream,
+    with_read_timeout,
+};
 
 const ALIVE: &[u8] = b"{\"type\":\"hb\"}\n";
 const ALIVE_OK: &[u8] = b"{\"type\":\"hb_ok\"}\n";
@@ -50,7 +53,7 @@
         let tell = tell.clone();
         std::thread::spawn(move || match request(&mut stream) {
             Some((path, _)) if path == "/api/events" => {
-                news(&mut stream, proxies);
+                start_event_stream(&mut stream, proxies);
                 // A sign of life would come each second; the test is shorter than a silence.
                 let _ = stream.read(&mut [0]);
             }
@@ -67,7 +70,7 @@
     let address = run(parties("half-close", &[]).shell);
     // One message less than what is read at once of a guest, exactly as much, and several.
     for said in [ALIVE.to_vec(), [vec![b' '; 4096 - ALIVE.len()], ALIVE.to_vec()].concat(), ALIVE.repeat(5)] {
-        let mut stream = patient(TcpStream::connect(address).unwrap());
+        let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
         stream.write_all(&said).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
         let mut answer = Vec::new();
@@ -87,7 +90,7 @@
     let mut peers = Vec::new();
     let mut strangers = silent(100);
     for _ in 0..3 {
-        let mut peer = patient(TcpStream::connect(address).unwrap());
+        let mut peer = with_read_timeout(TcpStream::connect(address).unwrap());
         peer.write_all(ALIVE).unwrap();
         peers.push(peer);
         strangers.extend(silent(150));
@@ -104,7 +107,7 @@
 #[test]
 fn a_request_in_single_bytes_is_answered_like_a_whole_one() {
     let address = run(parties("bytes", &[]).shell);
-    let mut stream = patient(TcpStream::connect(address).unwrap());
+    let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
     stream.set_nodelay(true).unwrap();
     for byte in ALIVE {
         stream.write_all(&[*byte]).unwrap();
@@ -147,7 +150,7 @@
     let calls = relay_with_news(relay, 140);
     run(shell);
     let (mut stream, mut body) = calls.recv().unwrap();
-    let answer = taken(1);
+    let answer = accepted_response(1);
     for cut in 0..answer.len() {
         let asked = orders(&body);
         stream.write_all(&answer.as_bytes()[..cut]).unwrap();
@@ -183,7 +186,7 @@
         std::thread::spawn(move || {
             let mut start = [0; 4];
             if stream.read_exact(&mut start).is_ok() && &start == b"GET " {
-                news(&mut stream, 140);
+                start_event_stream(&mut stream, 140);
                 let _ = stream.read_to_end(&mut Vec::new());
             } else {
                 let _ = tell.send(stream);
@@ -218,7 +221,7 @@
     assert!(request(&mut list).unwrap().0.contains("?index=52&wait=5000"));
     let (mut stream, body) = calls.recv().unwrap();
     let asked = orders(&body);
-    slowly(&mut stream, &taken(1));
+    slowly(&mut stream, &accepted_response(1));
     let (_, next) = request(&mut stream).unwrap();
     assert_eq!(orders(&next)[0], asked[1]);
 }
@@ -230,7 +233,7 @@
     let calls = relay_with_news(relay, 3);
     run(shell);
     let (mut stream, body) = calls.recv().unwrap();
-    stream.write_all(&taken(1).as_bytes()[..40]).unwrap();
+    stream.write_all(&accepted_response(1).as_bytes()[..40]).unwrap();
     let (_, again) = calls.recv().unwrap();
     assert_eq!(orders(&again)[..orders(&body).len()], orders(&body));
     assert!(request(&mut stream).is_none(), "the old connection is gone");
@@ -269,8 +272,8 @@
         stream.write_all(&answer.as_bytes()[..cut]).unwrap();
     }
     let (mut stream, mut body) = calls.recv().unwrap();
-    for cut in [0, 1, 20, taken(1).len() - 1] {
-        stream.write_all(&taken(1).as_bytes()[..cut]).unwrap();
+    for cut in [0, 1, 20, accepted_response(1).len() - 1] {
+        stream.write_all(&accepted_response(1).as_bytes()[..cut]).unwrap();
         drop(stream);
         let (again, repeated) = calls.recv().unwrap();
         assert_eq!(orders(&repeated)[0], orders(&body)[0], "cut at {cut}");
--- a/crates/craneknot-node/tests/helpers/collectors.rs
+++ b/crates/craneknot-node/tests/helpers/collectors.rs
@@ -6,22 +6,22 @@
 use serde_json::json;
 
 use super::ms;
-use super::platform::{Platform, CLASSES, REPORTS_EVERY};
+use super::platform::{Platform, CLASSES, REPORT_INTERVAL};
 
 const RATE: usize = 10; // operations a second that come to each proxy, of each class
 
 impl Platform {
     /// What the zones' collectors pass on.
-    pub(super) fn report(&mut self, place: usize, coordinator: &mut Coordinator) {
-        if self.now < self.places[place].reports_at {
+    pub(super) fn report(&mut self, slot_index: usize, coordinator: &mut Coordinator) {
+        if self.now < self.slots[slot_index].reports_at {
             return;
         }
-        self.places[place].reports_at = self.now + REPORTS_EVERY;
+        self.slots[slot_index].reports_at = self.now + REPORT_INTERVAL;
         let mut lines = String::new();
-        for number in &self.places[place].joined {
+        for number in &self.slots[slot_index].joined {
             for class in CLASSES {
                 let line = json!({"type": "client_stats", "node": number, "route": class, "total": RATE,
-                                  "errors": 0, "interval": REPORTS_EVERY});
+                                  "errors": 0, "interval": REPORT_INTERVAL});
                 lines.push_str(&format!("{line}\n"));
             }
         }
@@ -31,7 +31,7 @@
         let each = tries / serving().count().max(1);
         for (id, server) in serving() {
             let line = json!({"type": "upstream_stats", "locality": server.zone, "endpoint": id, "total": each,
-                              "errors": 0, "rtt": 40.0, "interval": REPORTS_EVERY,
+                              "errors": 0, "rtt": 40.0, "interval": REPORT_INTERVAL,
                               "metrics": {"inflight": 3, "util": 0.5}});
             lines.push_str(&format!("{line}\n"));
         }
--- a/crates/craneknot-node/tests/helpers/mod.rs
+++ b/crates/craneknot-node/tests/helpers/mod.rs
@@ -52,7 +52,7 @@
 }
 
 pub mod collectors;
-pub mod judge;
+pub mod invariants;
 pub mod peers;
 pub mod platform;
 pub mod relay;
--- a/crates/craneknot-node/tests/helpers/peers.rs
+++ b/crates/craneknot-node/tests/helpers/peers.rs
@@ -4,19 +4,19 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(30); // a test that waits longer has failed
+const READ_TIMEOUT: Duration = Duration::from_secs(30); // a test that waits longer has failed
 
 pub fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-pub fn patient(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+pub fn with_read_timeout(stream: TcpStream) -> TcpStream {
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     stream
 }
 
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    patient(listener.accept().unwrap().0)
+    with_read_timeout(listener.accept().unwrap().0)
 }
 
 /// A request's path and body; nothing: the coordinator has ended the connection.
@@ -43,7 +43,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn taken(orders: usize) -> String {
+pub fn accepted_response(orders: usize) -> String {
     response(&format!(
         "<?xml version=\"1.0\"?>\n<Response><entries><item><ok_count>{orders}</ok_count></item></entries></Response>"
     ))
@@ -56,7 +56,7 @@
 }
 
 /// Begins a stream of news that tells these proxies as joined.
-pub fn news(stream: &mut TcpStream, proxies: u16) {
+pub fn start_event_stream(stream: &mut TcpStream, proxies: u16) {
     let mut text = String::from("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n");
     text.push_str("Transfer-Encoding: chunked\r\n\r\n");
     for proxy in 0..proxies {
--- a/crates/craneknot-node/tests/helpers/platform.rs
+++ b/crates/craneknot-node/tests/helpers/platform.rs
@@ -1,5 +1,5 @@
 //! A model of the platform, written from its protocol alone: discovery, a relay with its event streams and its channel,
-//! proxies that keep their tables when a stream ends, and a judge of what these hold. It shares no code with the
+//! proxies that keep their tables when a stream ends, and a checker of what these hold. It shares no code with the
 //! coordinators that it plays with; time stands still unless the test moves it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg32;
 use serde_json::{json, Value};
 
-use super::judge::{Judge, View};
+use super::invariants::{InvariantChecker, PlatformView};
 use super::peers::orders;
 use super::relay::{Change, Table};
 use super::{configuration, ms};
@@ -24,10 +24,10 @@
 pub const CLASSES: [&str; 2] = ["lookup", "issue"];
 /// The class that may run in one zone alone.
 pub const CONFINED_CLASS: &str = CLASSES[1];
-const CALL_TIME: u64 = 5; // ms; from a call to its answer
-const LIST_TIME: u64 = 20; // ms; from a change or a call to discovery's answer
-pub const REPORTS_EVERY: u64 = 1_000; // ms
-const SIGN_EVERY: u64 = 1_000; // ms; a sign of life on an event stream
+const CALL_LATENCY: u64 = 5; // ms; from a call to its answer
+const LIST_LATENCY: u64 = 20; // ms; from a change or a call to discovery's answer
+pub const REPORT_INTERVAL: u64 = 1_000; // ms
+const KEEPALIVE_INTERVAL: u64 = 1_000; // ms; a sign of life on an event stream
 
 /// What a proxy follows for a class.
 #[derive(Clone, Debug)]
@@ -70,16 +70,16 @@
 }
 
 enum Link {
-    News { way: VecDeque<(u64, String)>, is_open: bool, next_sign: u64 },
+    EventStream { in_transit: VecDeque<(u64, String)>, is_open: bool, next_keepalive: u64 },
     Call { answer: Option<(u64, String)> },
     List { asked: Option<(Option<u64>, u64)>, due: Option<u64> },
     Probe { server: String, due: u64 },
     Refused,
 }
 
-/// Troubles on the way between a coordinator and its parties, until these moments.
+/// Faults on the in_transit between a coordinator and its parties, until these moments.
 #[derive(Clone, Debug, Default)]
-pub struct Troubles {
+pub struct Faults {
     /// The first event stream says nothing; what it has to tell comes afterwards.
     pub first_stream_silent: u64,
     /// All event streams say nothing.
@@ -98,13 +98,13 @@
     pub call_time: u64,
 }
 
-/// The place of one coordinator, and what the relay and discovery keep of it.
-pub struct Place {
+/// The slot_index of one coordinator, and what the relay and discovery keep of it.
+pub struct CoordinatorSlot {
     pub coordinator: Option<Coordinator>,
-    pub born: u64,
-    pub troubles: Troubles,
+    pub started_at: u64,
+    pub faults: Faults,
     /// What discovery has told it of each server, and since when.
-    pub told: BTreeMap<String, (Server, u64)>,
+    pub known_servers: BTreeMap<String, (Server, u64)>,
     pub log: Vec<String>,
     pub calls: u64,
     links: BTreeMap<LinkId, Link>,
@@ -119,8 +119,8 @@
     pub servers: BTreeMap<String, Server>,
     pub revision: u64,
     pub proxies: Vec<Proxy>,
-    pub places: Vec<Place>,
-    pub judge: Judge,
+    pub slots: Vec<CoordinatorSlot>,
+    pub checker: InvariantChecker,
     /// The only zone of the confined class.
     pub confined_to: &'static str,
     pub(super) rng: Pcg32,
@@ -137,7 +137,7 @@
                 (format!("s-{k}"), Server { zone: zone_of(k), phase: "SERVING", started: 0, revision: 1 })
             })
             .collect();
-        let standing = |zone: &str, rng: &mut Pcg32| {
+        let joined = |zone: &str, rng: &mut Pcg32| {
             let mut own: Vec<&String> =
                 listed.iter().filter(|(_, server)| server.zone == zone).map(|(id, _)| id).collect();
             while own.len() > 10 {
@@ -148,7 +148,7 @@
         let proxies = (0..proxies)
             .map(|number| {
                 let zone = if number % 3 == 0 { "b" } else { "a" };
-                let table = standing(zone, &mut rng);
+                let table = joined(zone, &mut rng);
                 Proxy {
                     zone,
                     joined_to: None,
@@ -160,11 +160,11 @@
                 }
             })
             .collect();
-        let place = || Place {
+        let new_slot = || CoordinatorSlot {
             coordinator: None,
-            born: START,
-            troubles: Troubles::default(),
-            told: BTreeMap::new(),
+            started_at: START,
+            faults: Faults::default(),
+            known_servers: BTreeMap::new(),
             log: Vec::new(),
             calls: 0,
             links: BTreeMap::new(),
@@ -178,8 +178,8 @@
             servers: listed,
             revision: 1,
             proxies,
-            places: (0..coordinators).map(|_| place()).collect(),
-            judge: Judge::default(),
+            slots: (0..coordinators).map(|_| new_slot()).collect(),
+            checker: InvariantChecker::default(),
             confined_to: "a",
             rng,
             seed,
@@ -198,7 +198,7 @@
     fn config(&mut self, known: &BTreeMap<String, Server>, revision: u64) -> Config {
         let mut value = configuration(0);
         let settings = &mut value["settings"];
-        settings["balancers"] = self.places.len().into();
+        settings["balancers"] = self.slots.len().into();
         settings["profiles"][1]["only-zones"] = json!([self.confined_to]);
         settings["extra"]["data-plane-size"] = self.proxies.len().into();
         self.seed += 1;
@@ -209,35 +209,36 @@
     }
 
     /// A coordinator starts with the list that it had before.
-    pub fn start(&mut self, place: usize, known: &BTreeMap<String, Server>, revision: u64) {
+    pub fn start(&mut self, slot_index: usize, known: &BTreeMap<String, Server>, revision: u64) {
         let config = self.config(known, revision);
         let mut coordinator = Coordinator::new(config, ms(self.now));
         for (id, zone) in [(1, "a"), (2, "b")] {
             coordinator.client_connected(ms(self.now), ClientId(id));
-            let hello = format!("{}\n", json!({"type": "telemetry", "locality": zone}));
-            coordinator.client_input(ms(self.now), ClientId(id), &mut BytesMut::from(hello.as_str()));
+            let join = format!("{}\n", json!({"type": "telemetry", "locality": zone}));
+            coordinator.client_input(ms(self.now), ClientId(id), &mut BytesMut::from(join.as_str()));
         }
-        let slot = &mut self.places[place];
-        (slot.coordinator, slot.born) = (Some(coordinator), self.now);
-        slot.told = known.iter().map(|(id, server)| (id.clone(), (server.clone(), self.now))).collect();
-        (slot.channel_free, slot.reports_at) = (self.now as f64, self.now + REPORTS_EVERY);
+        let slot = &mut self.slots[slot_index];
+        (slot.coordinator, slot.started_at) = (Some(coordinator), self.now);
+        slot.known_servers =
+            known.iter().map(|(id, server)| (id.clone(), (server.clone(), self.now))).collect();
+        (slot.channel_free, slot.reports_at) = (self.now as f64, self.now + REPORT_INTERVAL);
     }
 
     /// A coordinator dies: its streams end, what waits and travels is lost.
-    pub fn kill(&mut self, place: usize) {
-        let joined = std::mem::take(&mut self.places[place].joined);
+    pub fn kill(&mut self, slot_index: usize) {
+        let joined = std::mem::take(&mut self.slots[slot_index].joined);
         joined.into_iter().for_each(|proxy| self.leave(proxy));
-        let slot = &mut self.places[place];
+        let slot = &mut self.slots[slot_index];
         slot.coordinator = None;
         slot.links.clear();
         slot.tables.clear();
-        slot.told.clear();
+        slot.known_servers.clear();
     }
 
     /// A proxy's stream ends: it keeps what it holds.
     pub fn leave(&mut self, number: u16) {
         let proxy = &mut self.proxies[usize::from(number)];
-        let Some(place) = proxy.joined_to.take() else { return };
+        let Some(slot_index) = proxy.joined_to.take() else { return };
         for class in CLASSES {
             let table = proxy.table(class);
             proxy.followed.insert(class, Followed::Kept(table));
@@ -245,41 +246,42 @@
         proxy.tables.clear();
         proxy.inbox.clear();
         proxy.bound.clear();
-        self.judge.left(number);
-        if self.places[place].joined.remove(&number) {
-            self.tell(place, &format!("event: detach\ndata: node={number}\n\n"));
+        self.checker.proxy_left(number);
+        if self.slots[slot_index].joined.remove(&number) {
+            self.broadcast(slot_index, &format!("event: detach\ndata: node={number}\n\n"));
         }
     }
 
     /// A proxy's stream begins.
-    pub fn join(&mut self, number: u16, place: usize) {
+    pub fn join(&mut self, number: u16, slot_index: usize) {
         self.leave(number);
         let proxy = &mut self.proxies[usize::from(number)];
-        (proxy.joined_to, proxy.joined_at) = (Some(place), self.now);
-        let news = attach(number, proxy.zone);
-        self.places[place].joined.insert(number);
-        self.tell(place, &news);
+        (proxy.joined_to, proxy.joined_at) = (Some(slot_index), self.now);
+        let event = attach(number, proxy.zone);
+        self.slots[slot_index].joined.insert(number);
+        self.broadcast(slot_index, &event);
     }
 
-    pub(super) fn tell(&mut self, place: usize, news: &str) {
-        let (now, slot) = (self.now, &mut self.places[place]);
+    pub(super) fn broadcast(&mut self, slot_index: usize, event: &str) {
+        let (now, slot) = (self.now, &mut self.slots[slot_index]);
         let streams = slot.links.values_mut().filter_map(|link| match link {
-            Link::News { way, .. } => Some(way),
+            Link::EventStream { in_transit, .. } => Some(in_transit),
             Link::Call { .. } | Link::List { .. } | Link::Probe { .. } | Link::Refused => None,
         });
-        for (number, way) in streams.enumerate() {
-            let lag = if number == 0 { slot.troubles.first_stream_lag } else { 0 };
+        for (number, in_transit) in streams.enumerate() {
+            let lag = if number == 0 { slot.faults.first_stream_lag } else { 0 };
             let due = now + 10 + lag;
-            let due = way.back().map_or(due, |(last, _)| due.max(*last));
-            way.push_back((due, news.to_owned()));
+            let due = in_transit.back().map_or(due, |(last, _)| due.max(*last));
+            in_transit.push_back((due, event.to_owned()));
         }
     }
 
-    /// The first event stream breaks; what was on its way there is lost.
-    pub fn end_first_stream(&mut self, place: usize) {
+    /// The first event stream breaks; events in transit on it are lost.
+    pub fn end_first_stream(&mut self, slot_index: usize) {
         let now = self.now;
-        let slot = &mut self.places[place];
-        let first = slot.links.iter().find(|(_, link)| matches!(link, Link::News { .. })).map(|(id, _)| *id);
+        let slot = &mut self.slots[slot_index];
+        let first =
+            slot.links.iter().find(|(_, link)| matches!(link, Link::EventStream { .. })).map(|(id, _)| *id);
         let Some(first) = first else { return };
         slot.links.remove(&first);
         if let Some(coordinator) = &mut slot.coordinator {
@@ -299,51 +301,51 @@
     pub fn run_to(&mut self, at: u64) {
         while self.at() < at {
             self.now += TICK;
-            for place in 0..self.places.len() {
-                self.deliver(place);
-                self.turn(place);
+            for slot_index in 0..self.slots.len() {
+                self.deliver(slot_index);
+                self.turn(slot_index);
             }
             self.apply();
             if self.now.is_multiple_of(20) {
-                let view = View {
+                let view = PlatformView {
                     now: self.now,
-                    places: &self.places,
+                    slots: &self.slots,
                     proxies: &self.proxies,
                     confined_to: self.confined_to,
                 };
-                self.judge.look(&view);
+                self.checker.check_all(&view);
             }
         }
     }
 
     /// Gives a coordinator what is due.
-    fn deliver(&mut self, place: usize) {
+    fn deliver(&mut self, slot_index: usize) {
         let now = self.now;
-        let Some(mut coordinator) = self.places[place].coordinator.take() else { return };
-        self.report(place, &mut coordinator);
-        let mut links = std::mem::take(&mut self.places[place].links);
+        let Some(mut coordinator) = self.slots[slot_index].coordinator.take() else { return };
+        self.report(slot_index, &mut coordinator);
+        let mut links = std::mem::take(&mut self.slots[slot_index].links);
         let mut ended = Vec::new();
         let mut stream = 0;
         for (id, link) in &mut links {
-            let troubles = self.places[place].troubles.clone();
+            let faults = self.slots[slot_index].faults.clone();
             match link {
                 Link::Refused => {
                     coordinator.link_lost(ms(now), *id, "refused");
                     ended.push(*id);
                 }
-                Link::News { way, is_open, next_sign } => {
+                Link::EventStream { in_transit, is_open, next_keepalive } => {
                     let first = stream == 0;
                     stream += 1;
-                    if now < troubles.streams_silent || first && now < troubles.first_stream_silent {
+                    if now < faults.streams_silent || first && now < faults.first_stream_silent {
                         continue;
                     }
                     let mut text = String::new();
-                    if now >= *next_sign {
+                    if now >= *next_keepalive {
                         text.push_str(":\n");
-                        *next_sign = now + SIGN_EVERY;
+                        *next_keepalive = now + KEEPALIVE_INTERVAL;
                     }
-                    while way.front().is_some_and(|(due, _)| *due <= now) {
-                        text.push_str(&way.pop_front().unwrap().1);
+                    while in_transit.front().is_some_and(|(due, _)| *due <= now) {
+                        text.push_str(&in_transit.pop_front().unwrap().1);
                     }
                     if !text.is_empty() || !*is_open {
                         *is_open = true;
@@ -356,15 +358,15 @@
                     }
                 }
                 Link::List { asked, due } => {
-                    if now < troubles.list_silent {
+                    if now < faults.list_silent {
                         continue;
                     }
                     let Some((index, until)) = *asked else { continue };
                     let newer = index.is_none_or(|index| index < self.revision) || now >= until;
-                    let due_at = if newer { *due.get_or_insert(now + LIST_TIME) } else { continue };
+                    let due_at = if newer { *due.get_or_insert(now + LIST_LATENCY) } else { continue };
                     if due_at <= now {
                         (*asked, *due) = (None, None);
-                        let body = self.list_answer(place, index);
+                        let body = self.list_answer(slot_index, index);
                         coordinator.answered(ms(now), *id, &response(&body), true);
                     }
                 }
@@ -381,18 +383,20 @@
             }
         }
         ended.iter().for_each(|id| drop(links.remove(id)));
-        self.places[place].links = links;
-        self.places[place].coordinator = Some(coordinator);
+        self.slots[slot_index].links = links;
+        self.slots[slot_index].coordinator = Some(coordinator);
     }
 
-    fn list_answer(&mut self, place: usize, index: Option<u64>) -> String {
-        let (now, told) = (self.now, &mut self.places[place].told);
+    fn list_answer(&mut self, slot_index: usize, index: Option<u64>) -> String {
+        let (now, known_servers) = (self.now, &mut self.slots[slot_index].known_servers);
         let changed = |server: &Server| index.is_none_or(|index| server.revision > index);
         let mut members = Vec::new();
         for (id, server) in self.servers.iter().filter(|(_, server)| changed(server)) {
-            let since =
-                told.get(id).filter(|(known, _)| known.phase == server.phase).map(|(_, since)| *since);
-            told.insert(id.clone(), (server.clone(), since.unwrap_or(now)));
+            let since = known_servers
+                .get(id)
+                .filter(|(known, _)| known.phase == server.phase)
+                .map(|(_, since)| *since);
+            known_servers.insert(id.clone(), (server.clone(), since.unwrap_or(now)));
             if index.is_some() || server.phase != "DELETED" {
                 members.push(listed(id, server));
             }
@@ -401,36 +405,39 @@
     }
 
     /// Lets a coordinator act.
-    fn turn(&mut self, place: usize) {
+    fn turn(&mut self, slot_index: usize) {
         let now = self.now;
-        let Some(coordinator) = &mut self.places[place].coordinator else { return };
+        let Some(coordinator) = &mut self.slots[slot_index].coordinator else { return };
         let todo = coordinator.turn(ms(now));
         let stamp = self.at();
         let lines = todo.log.iter().map(|event| format!("{stamp} {event:?}"));
-        self.places[place].log.extend(lines);
+        self.slots[slot_index].log.extend(lines);
         for act in todo.acts {
             match act {
-                LinkAction::Close { link } => drop(self.places[place].links.remove(&link)),
+                LinkAction::Close { link } => drop(self.slots[slot_index].links.remove(&link)),
                 LinkAction::Dial { link, address, request } => {
-                    let new = self.dialled(place, address.port(), &request);
-                    self.places[place].links.insert(link, new);
-                    self.ask(place, link, &request);
+                    let new = self.open_link(slot_index, address.port(), &request);
+                    self.slots[slot_index].links.insert(link, new);
+                    self.send_request(slot_index, link, &request);
                 }
-                LinkAction::Send { link, request } => self.ask(place, link, &request),
+                LinkAction::Send { link, request } => self.send_request(slot_index, link, &request),
             }
         }
     }
 
-    fn dialled(&mut self, place: usize, port: u16, request: &[u8]) -> Link {
+    fn open_link(&mut self, slot_index: usize, port: u16, request: &[u8]) -> Link {
         let now = self.now;
-        let refused = now < self.places[place].troubles.dials_refused;
+        let refused = now < self.slots[slot_index].faults.dials_refused;
         match path(request) {
             "/api/events" | "/api/" if refused => Link::Refused,
             "/api/events" => {
-                let standing = self.places[place].joined.iter();
-                let standing =
-                    standing.map(|id| (now + 10, attach(*id, self.proxies[usize::from(*id)].zone)));
-                Link::News { way: standing.collect(), is_open: false, next_sign: now + SIGN_EVERY }
+                let joined = self.slots[slot_index].joined.iter();
+                let joined = joined.map(|id| (now + 10, attach(*id, self.proxies[usize::from(*id)].zone)));
+                Link::EventStream {
+                    in_transit: joined.collect(),
+                    is_open: false,
+                    next_keepalive: now + KEEPALIVE_INTERVAL,
+                }
             }
             "/api/" => Link::Call { answer: None },
             "/metrics/load" => Link::Probe { server: format!("s-{}", port - 9_000), due: now + 5 },
@@ -438,23 +445,23 @@
         }
     }
 
-    fn ask(&mut self, place: usize, link: LinkId, request: &[u8]) {
+    fn send_request(&mut self, slot_index: usize, link: LinkId, request: &[u8]) {
         let now = self.now;
         match path(request) {
             "/api/" => {
-                let troubles = self.places[place].troubles.clone();
-                if now < troubles.calls_lost || now < troubles.dials_refused {
+                let faults = self.slots[slot_index].faults.clone();
+                if now < faults.calls_lost || now < faults.dials_refused {
                     return;
                 }
                 let text = std::str::from_utf8(request).unwrap().replace("%2B", "+");
-                let count = self.carry_out(place, &orders(&text));
-                self.places[place].calls += 1;
-                if now < troubles.answers_lost {
+                let count = self.execute_call(slot_index, &orders(&text));
+                self.slots[slot_index].calls += 1;
+                if now < faults.answers_lost {
                     return;
                 }
                 let body = format!("<Response><ok_count>{count}</ok_count></Response>");
-                let due = now + troubles.call_time.max(CALL_TIME);
-                if let Some(Link::Call { answer }) = self.places[place].links.get_mut(&link) {
+                let due = now + faults.call_time.max(CALL_LATENCY);
+                if let Some(Link::Call { answer }) = self.slots[slot_index].links.get_mut(&link) {
                     *answer = Some((due, body));
                 }
             }
@@ -464,7 +471,7 @@
                     rest.split('&').next()?.parse::<u64>().ok()
                 };
                 let wait = number("wait=").unwrap_or(0);
-                if let Some(Link::List { asked, due }) = self.places[place].links.get_mut(&link) {
+                if let Some(Link::List { asked, due }) = self.slots[slot_index].links.get_mut(&link) {
                     (*asked, *due) = (Some((number("index="), now + wait)), None);
                 }
             }
--- a/crates/craneknot-node/tests/helpers/relay.rs
+++ b/crates/craneknot-node/tests/helpers/relay.rs
@@ -6,9 +6,9 @@
 
 use super::platform::{Followed, Platform, Proxy, CLASSES};
 
-const TRANSIT: (u64, u64) = (100, 452); // ms; a message's way from the channel to its proxy
+const TRANSIT: (u64, u64) = (100, 452); // ms; time of a message from the channel to its proxy
 const LINES_PER_MS: f64 = 14.8; // of a coordinator's channel
-const ENVELOPE: f64 = 3.0; // lines; what a message costs beside its own
+const MESSAGE_OVERHEAD: f64 = 3.0; // lines; what a message costs beside its own
 
 /// A table as a proxy reads it.
 #[derive(Clone, Debug, Default)]
@@ -31,15 +31,15 @@
 impl Platform {
     /// Carries out a call's orders up to the first that can't be used; how many. Each proxy concerned is sent one
     /// message.
-    pub(super) fn carry_out(&mut self, place: usize, orders: &[String]) -> usize {
+    pub(super) fn execute_call(&mut self, slot_index: usize, orders: &[String]) -> usize {
         let mut messages: BTreeMap<u16, Vec<Change>> = BTreeMap::new();
-        let mut taken = 0;
+        let mut accepted = 0;
         for order in orders {
             let fields: Vec<&str> = order.split(',').collect();
-            if !self.carry_out_one(place, &fields, &mut messages) {
+            if !self.execute_order(slot_index, &fields, &mut messages) {
                 break;
             }
-            taken += 1;
+            accepted += 1;
         }
         for (number, changes) in messages {
             let lines: usize = changes
@@ -49,30 +49,30 @@
                     Change::Line(..) | Change::Clear(_) | Change::Level(..) | Change::Mark(_) => 1,
                 })
                 .sum();
-            let slot = &mut self.places[place];
-            let cost = (ENVELOPE + lines as f64) / LINES_PER_MS;
+            let slot = &mut self.slots[slot_index];
+            let cost = (MESSAGE_OVERHEAD + lines as f64) / LINES_PER_MS;
             slot.channel_free = slot.channel_free.max(self.now as f64) + cost;
             let due = slot.channel_free as u64 + self.rng.random_range(TRANSIT.0..TRANSIT.1);
             let inbox = &mut self.proxies[usize::from(number)].inbox;
             let due = inbox.back().map_or(due, |(last, _)| due.max(*last));
             inbox.push_back((due, changes));
         }
-        taken
+        accepted
     }
 
-    fn carry_out_one(
+    fn execute_order(
         &mut self,
-        place: usize,
+        slot_index: usize,
         fields: &[&str],
         messages: &mut BTreeMap<u16, Vec<Change>>,
     ) -> bool {
-        let (slot, proxies) = (&mut self.places[place], &mut self.proxies);
-        let mut to_users = |table: u16, proxies: &[Proxy], joined: &BTreeSet<u16>, change: Change| {
-            let users = joined.iter().filter(|id| {
+        let (slot, proxies) = (&mut self.slots[slot_index], &mut self.proxies);
+        let mut send_to_bound = |table: u16, proxies: &[Proxy], joined: &BTreeSet<u16>, change: Change| {
+            let bound_proxies = joined.iter().filter(|id| {
                 let mut bound = proxies[usize::from(**id)].bound.values();
                 bound.any(|number| *number == table)
             });
-            users.for_each(|id| messages.entry(*id).or_default().push(change.clone()));
+            bound_proxies.for_each(|id| messages.entry(*id).or_default().push(change.clone()));
         };
         match fields {
             ["share", table, server, weight] => {
@@ -84,19 +84,19 @@
                 lines.insert((*server).to_owned(), weight);
                 lines.retain(|_, weight| *weight > 0.0);
                 let change = Change::Line(table, (*server).to_owned(), weight);
-                to_users(table, proxies, &slot.joined, change);
+                send_to_bound(table, proxies, &slot.joined, change);
             }
             ["clear", table] => {
                 let table: u16 = table.parse().unwrap();
                 slot.tables.insert(table, Table::default());
-                to_users(table, proxies, &slot.joined, Change::Clear(table));
+                send_to_bound(table, proxies, &slot.joined, Change::Clear(table));
             }
             ["admit", table, classes, level, _] => {
                 let (table, level): (u16, f64) = (table.parse().unwrap(), level.parse().unwrap());
                 for class in classes.split('+') {
                     slot.tables.entry(table).or_default().levels.insert(class.to_owned(), level);
                     let change = Change::Level(table, class.to_owned(), level);
-                    to_users(table, proxies, &slot.joined, change);
+                    send_to_bound(table, proxies, &slot.joined, change);
                 }
             }
             ["bind", proxy, table, classes] => {
@@ -104,10 +104,10 @@
                 if !slot.joined.contains(&number) {
                     return false;
                 }
-                let whole = slot.tables.get(&table).cloned().unwrap_or_default();
+                let table_state = slot.tables.get(&table).cloned().unwrap_or_default();
                 for class in classes.split('+') {
                     proxies[usize::from(number)].bound.insert(class.to_owned(), table);
-                    let change = Change::Bind(table, class.to_owned(), whole.clone());
+                    let change = Change::Bind(table, class.to_owned(), table_state.clone());
                     messages.entry(number).or_default().push(change);
                 }
             }
@@ -133,8 +133,8 @@
                             lines.retain(|_, weight| *weight > 0.0);
                         }
                         Change::Clear(table) => drop(proxy.tables.insert(table, Table::default())),
-                        Change::Bind(table, class, whole) => {
-                            proxy.tables.insert(table, whole);
+                        Change::Bind(table, class, table_state) => {
+                            proxy.tables.insert(table, table_state);
                             let class = CLASSES.iter().find(|known| **known == class).unwrap();
                             proxy.followed.insert(class, Followed::Bound(table));
                         }
@@ -148,8 +148,11 @@
                 }
             }
         }
-        for (place, number, mark) in acknowledged {
-            self.tell(place, &format!("event: done\ndata: node={number}&nonce={mark}&latency=300.0\n\n"));
+        for (slot_index, number, mark) in acknowledged {
+            self.broadcast(
+                slot_index,
+                &format!("event: done\ndata: node={number}&nonce={mark}&latency=300.0\n\n"),
+            );
         }
     }
 }
--- a/crates/craneknot-node/tests/observability.rs
+++ b/crates/craneknot-node/tests/observability.rs
@@ -457,7 +457,7 @@
     let status = Status { longest_uncovered: Some(named), ..Status::default() };
     for _ in 0..2 {
         let lines = logged(false, || write_status(&status, ProcessFigures::default()));
-        let told = lines.iter().find(|line| line.contains("status of longest uncovered")).unwrap();
+        let told = lines.iter().find(|line| line.contains("status: longest uncovered")).unwrap();
         for field in
             ["longest_ms=1500", "after_s=2", "proxy=1", "class=\"lookup\"", "waiting_for=\"Binding\""]
         {
--- a/crates/craneknot-node/tests/takeover_days.rs
+++ b/crates/craneknot-node/tests/takeover_days.rs
@@ -2,11 +2,12 @@
 //! forces, judged by what proxies hold.
 
 mod helpers;
-use helpers::judge::Break;
+use helpers::invariants::Violation;
 use helpers::platform::{Platform, START};
 
 const PROXIES: u16 = 240;
-const RULES: &[Break] = &[Break::NoLine, Break::Bare, Break::LostServer, Break::Unbound];
+const RULES: &[Violation] =
+    &[Violation::NoLineToWarm, Violation::NoLineToAny, Violation::UnavailableServer, Violation::Unbound];
 
 /// A release in place: every 610 to 640 ms a few servers restart under their names, in one of three forms.
 struct Release {
@@ -103,14 +104,15 @@
     }
 
     /// None of these was broken.
-    fn check(&self, seed: u64, rules: &[Break]) {
-        let judge = &self.platform.judge;
-        let broken: Vec<_> = judge.broken.values().filter(|lapse| rules.contains(&lapse.kind)).collect();
+    fn check(&self, seed: u64, rules: &[Violation]) {
+        let checker = &self.platform.checker;
+        let broken: Vec<_> =
+            checker.violations.values().filter(|lapse| rules.contains(&lapse.kind)).collect();
         let (count, first) = (broken.len(), broken.iter().take(4).collect::<Vec<_>>());
         assert!(
             broken.is_empty(),
             "seed {seed}: {count} lapses, {first:?}; the longest: {:?}",
-            judge.longest
+            checker.longest
         );
     }
 }
@@ -150,7 +152,7 @@
     day.run_to(50_450);
     day.move_all(0, 1, 500);
     day.run_to(51_000);
-    day.platform.places[0].coordinator.as_mut().unwrap().shut_down();
+    day.platform.slots[0].coordinator.as_mut().unwrap().shut_down();
     day.run_to(51_050);
     day.platform.kill(0);
     join_rest(&mut day, 1);
@@ -172,10 +174,10 @@
     for seed in 0..3 {
         scripted_day(seed, |day| {
             let at = day.platform.now;
-            let troubles = &mut day.platform.places[0].troubles;
-            troubles.first_stream_silent = at + 2_500;
-            troubles.calls_lost = at + 900;
-            troubles.dials_refused = at + 1_500;
+            let faults = &mut day.platform.slots[0].faults;
+            faults.first_stream_silent = at + 2_500;
+            faults.calls_lost = at + 900;
+            faults.dials_refused = at + 1_500;
         })
         .check(seed, RULES);
     }
@@ -186,9 +188,9 @@
     for seed in 0..3 {
         scripted_day(seed, |day| {
             let at = day.platform.now;
-            let troubles = &mut day.platform.places[0].troubles;
-            troubles.list_silent = at + 4_000;
-            troubles.answers_lost = at + 1_500;
+            let faults = &mut day.platform.slots[0].faults;
+            faults.list_silent = at + 4_000;
+            faults.answers_lost = at + 1_500;
         })
         .check(seed, RULES);
     }
@@ -201,15 +203,15 @@
         let mut day = Day::new(1);
         day.run_to(8_000);
         let at = day.platform.now;
-        let troubles = &mut day.platform.places[0].troubles;
-        troubles.first_stream_lag = lag;
-        troubles.first_stream_silent = at + silent;
+        let faults = &mut day.platform.slots[0].faults;
+        faults.first_stream_lag = lag;
+        faults.first_stream_silent = at + silent;
         day.run_to(8_100);
         (0..30).for_each(|proxy| day.platform.join(proxy * 3, 0));
         let delay = lag.max(silent);
         day.run_to(8_100 + delay - 50.min(delay));
         day.platform.end_first_stream(0);
-        day.platform.places[0].troubles = Default::default();
+        day.platform.slots[0].faults = Default::default();
         day.run_to(14_000);
         day.check(1, RULES);
     }
@@ -221,12 +223,12 @@
     let mut day = Day::new(1);
     day.run_to(8_000);
     let at = day.platform.now;
-    let troubles = &mut day.platform.places[0].troubles;
-    (troubles.call_time, troubles.calls_lost) = (50, at + 60);
+    let faults = &mut day.platform.slots[0].faults;
+    (faults.call_time, faults.calls_lost) = (50, at + 60);
     let new: Vec<u16> = (0..PROXIES).filter(|proxy| proxy % 3 != 0).collect();
     new.iter().for_each(|proxy| day.platform.join(*proxy, 0));
     day.run_to(8_030);
-    day.platform.places[0].troubles.streams_silent = at + 2_400;
+    day.platform.slots[0].faults.streams_silent = at + 2_400;
     let (leave, stay) = new.split_at(140);
     leave.iter().for_each(|proxy| day.platform.join(*proxy, 1));
     assert_eq!(stay.len(), 20);
--- a/crates/craneknot-node/tests/young_coordinators.rs
+++ b/crates/craneknot-node/tests/young_coordinators.rs
@@ -1,7 +1,7 @@
 //! Coordinators that have started of late, on a model of the platform: what they give to proxies before they know much.
 
 mod helpers;
-use helpers::judge::{Break, BARE_MOST};
+use helpers::invariants::{Violation, MAX_NO_LINE_MS};
 use helpers::platform::{Platform, START};
 
 const PROXIES: u16 = 240;
@@ -20,8 +20,8 @@
         platform.run_to(1_000);
         (0..PROXIES).for_each(|proxy| platform.join(proxy, 0));
         platform.run_to(20_000);
-        let bare = platform.judge.longest(Break::Bare);
-        assert!(bare <= BARE_MOST, "servers {age} ms old: a proxy was bare for {bare} ms");
+        let bare = platform.checker.longest(Violation::NoLineToAny);
+        assert!(bare <= MAX_NO_LINE_MS, "servers {age} ms old: a proxy was bare for {bare} ms");
     }
 }
 
@@ -38,7 +38,7 @@
             platform.join(proxy, 0);
         }
         platform.run_to(20_000);
-        let starved = platform.judge.broken.values().find(|lapse| lapse.kind == Break::Starved);
-        assert!(starved.is_none(), "joined within {span} ms: {:?}", platform.judge.longest);
+        let starved = platform.checker.violations.values().find(|lapse| lapse.kind == Violation::Starved);
+        assert!(starved.is_none(), "joined within {span} ms: {:?}", platform.checker.longest);
     }
 }
