--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -16,11 +16,11 @@
 use crate::pending::PendingWork;
 
 const IDLE_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; the platform requires at least one second
-const LINE_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; for an unidentified client to finish a partial line
-const CROWDED_IDLE_TIMEOUT: Nanos = Nanos::from_millis(250); // ms; idle timeout while others wait to be accepted
-const SHUTDOWN_IDLE_TIMEOUT: Nanos = Nanos::from_millis(20); // ms; the same in a shutdown while others wait
+const LINE_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; for an unidentified client to complete a line
+const CROWDED_IDLE_TIMEOUT: Nanos = Nanos::from_millis(250); // ms; while others wait to be accepted
+const SHUTDOWN_IDLE_TIMEOUT: Nanos = Nanos::from_millis(20); // ms; in a shutdown while others wait
 const MAX_LINE_BYTES: usize = 4 * 1024; // of an unidentified client's line: a join message is far shorter
-const MAX_COLLECTORS_PER_ZONE: usize = 4; // a collector that is cut off reconnects; its old connection stays open
+const MAX_COLLECTORS_PER_ZONE: usize = 4; // one that is cut off reconnects, and its old connection never closes
 
 /// Id of a connection that a peer opened. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -29,18 +29,18 @@
 use crate::status::{write_end, write_status, ProcessFigures};
 
 const MAX_INPUT: usize = 256 * 1024; // bytes read ahead from a collector or on an outgoing connection
-const MAX_OUTPUT: usize = 512 * 1024; // bytes queued for a peer: a call carries far less, a client gets single lines
-const SHUTDOWN_TIMEOUT: Nanos = Nanos::from_millis(900); // ms; clients may use their connections until the platform
-                                                         // kills the process, 700 ms after SIGTERM at the
-                                                         // earliest
+const MAX_OUTPUT: usize = 512 * 1024; // bytes queued for a peer: far more than a call or the lines of a client
+const SHUTDOWN_TIMEOUT: Nanos = Nanos::from_millis(900); // ms; clients may use their connections until the
+                                                         // platform kills the process, 700 ms after SIGTERM
+                                                         // at the earliest
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100); // for writing the last answers
 const STUCK_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; for an idle client to read some of its answers
 const STATUS_INTERVAL: Nanos = Nanos::from_millis(5_000); // ms
-const START_TIMEOUT: Duration = Duration::from_secs(8); // how long a transiently failing start is retried: the platform
-                                                        // requires readiness within 10 s
+const START_TIMEOUT: Duration = Duration::from_secs(8); // for retries of a transiently failing start:
+                                                        // the platform requires readiness within 10 s
 const RETRY_DELAY: Duration = Duration::from_millis(50); // between two attempts to start
 const REDIAL_DELAY: Nanos = Nanos::from_millis(20); // ms; before a dial that failed locally is retried
-const RELOAD_RETRY_DELAY: Nanos = Nanos::from_millis(200); // ms; before an unreadable configuration is read again
+const RELOAD_RETRY_DELAY: Nanos = Nanos::from_millis(200); // ms; before a failed reload is retried
 const MAX_RELOAD_RETRIES: u32 = 5; // the file may be half written
 
 const MAX_CONFIG_BYTES: u64 = 16 * 1024 * 1024; // of a configuration that is reloaded
--- a/crates/craneknot-node/tests/helpers/invariants.rs
+++ b/crates/craneknot-node/tests/helpers/invariants.rs
@@ -8,11 +8,11 @@
 
 pub const MAX_NO_LINE_MS: u64 = 3_100; // the configuration's limit plus the platform's tolerance
 const DRAIN_GRACE_MS: u64 = 3_000; // the same for the rule on draining servers
-const MAX_UNBOUND_MS: u64 = 3_100; // after joining: a proxy that keeps an old table for longer has been overlooked
+const MAX_UNBOUND_MS: u64 = 3_100; // after joining: a proxy with an old table by then was overlooked
 const WARM_AFTER_MS: u64 = 18_000; // after a server's start
 const START_GRACE_MS: u64 = 1_000; // after a coordinator's start, during which no time limit runs
 const MIN_LEVEL: f64 = 1.0; // operations a second; a tenth of the demand at each proxy and class
-const MAX_LOW_LEVEL_MS: u64 = 2_000; // a report's delay and a turn: by then the coordinator knows that a level is wrong
+const MAX_LOW_LEVEL_MS: u64 = 2_000; // a report's delay and a turn: a wrong level is detected by then
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
--- a/crates/craneknot-node/tests/sockets.rs
+++ b/crates/craneknot-node/tests/sockets.rs
@@ -53,7 +53,7 @@
 
 #[test]
 fn the_event_stream_is_requested_from_the_relay() {
-    let (_, relay) = start("news");
+    let (_, relay) = start("events");
     let (mut stream, _) = relay.accept().unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let mut head = [0; 19];
--- a/crates/craneknot-node/tests/walks.rs
+++ b/crates/craneknot-node/tests/walks.rs
@@ -212,15 +212,15 @@
         let (mut joined_since, mut reported) = (BTreeMap::<u16, u64>::new(), BTreeMap::<u16, u64>::new());
         for now in (0..50_000).step_by(20) {
             let is_quiet = now >= 30_000;
-            let mut news = Vec::new();
+            let mut events = Vec::new();
             if !is_quiet && rng.random_range(0..10) == 0 {
                 let proxy = rng.random_range(0..PROXIES);
                 if joined_since.remove(&proxy).is_some() {
-                    news.push(News::Left { proxy: ProxyId(proxy) });
+                    events.push(News::Left { proxy: ProxyId(proxy) });
                 }
                 if rng.random() {
                     joined_since.insert(proxy, now);
-                    news.push(joined(proxy));
+                    events.push(joined(proxy));
                 }
             }
             // A proxy's stream leads to the relay whichever address it listens on; all event streams carry
@@ -229,7 +229,7 @@
                 let arrives_at = now + stream.lag + rng.random_range(0..100);
                 let arrives_at =
                     stream.in_transit.back().map_or(arrives_at, |(last, _)| arrives_at.max(*last));
-                stream.in_transit.extend(news.iter().cloned().map(|news| (arrives_at, Some(news))));
+                stream.in_transit.extend(events.iter().cloned().map(|event| (arrives_at, Some(event))));
                 if now % 1_000 == 0 {
                     stream.in_transit.push_back((arrives_at, None));
                 }
@@ -255,7 +255,7 @@
                     if due > 0 {
                         received.push((
                             stream.link,
-                            stream.in_transit.drain(..due).filter_map(|(_, news)| news).collect(),
+                            stream.in_transit.drain(..due).filter_map(|(_, event)| event).collect(),
                         ));
                     }
                 }
@@ -263,8 +263,8 @@
             if now >= closes_at {
                 closes_at = u64::MAX;
             }
-            for (link, news) in received {
-                streams.heard(ms(now), link, news, &mut out);
+            for (link, events) in received {
+                streams.heard(ms(now), link, events, &mut out);
             }
             for link in broken {
                 open_streams.retain(|stream| stream.link != link);
@@ -297,8 +297,8 @@
                     LinkAction::Send { .. } => panic!("an event stream takes no further requests"),
                 }
             }
-            for news in out {
-                match news {
+            for event in out {
+                match event {
                     News::Joined { proxy, .. } => {
                         let twice = reported.insert(proxy.0, now);
                         assert!(twice.is_none(), "seed {seed}: {proxy:?} joins twice at {now}");
@@ -468,13 +468,13 @@
             };
             match rng.random_range(0..20) {
                 0..3 if step < 1_300 => {
-                    let news = if peers.joined.remove(&proxy) {
+                    let event = if peers.joined.remove(&proxy) {
                         format!("event: detach\ndata: node={proxy}\n\n")
                     } else {
                         peers.joined.insert(proxy);
                         format!("event: attach\ndata: node={proxy}&locality=a&w=1.5&cold=0\n\n")
                     };
-                    streams(&peers).into_iter().for_each(|link| peers.send_events(link, &news));
+                    streams(&peers).into_iter().for_each(|link| peers.send_events(link, &event));
                 }
                 3 if step < 1_300 => {
                     let link = peers.links.keys().copied().nth(rng.random_range(0..6));
