--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -54,7 +54,7 @@
     /// When it connected or last sent any bytes.
     last_input: Nanos,
     /// When it connected or last sent a heartbeat; an eviction that is not carried out restarts it too.
-    active_since: Nanos,
+    last_active: Nanos,
     /// When the first byte of the current partial line arrived.
     line_started: Option<Nanos>,
     /// Bytes of the input already scanned for the end of a line.
@@ -67,7 +67,7 @@
         let idle = if crowded { CROWDED_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
         match self.line_started {
             Some(started) => started + LINE_TIMEOUT,
-            None => self.active_since + idle,
+            None => self.last_active + idle,
         }
     }
 }
@@ -105,7 +105,7 @@
         let client = Client {
             role: Role::Unidentified,
             last_input: now,
-            active_since: now,
+            last_active: now,
             line_started: None,
             scanned: 0,
         };
@@ -160,7 +160,7 @@
             input.advance(1);
             match (client.role, lines::read(&line, names, proxies)) {
                 (_, Ok(Message::Heartbeat)) => {
-                    client.active_since = now;
+                    client.last_active = now;
                     pending.request_read(id);
                     actions.push(ClientAction::AnswerHeartbeat(id));
                 }
@@ -226,7 +226,7 @@
             if client.line_started.is_some() {
                 self.end_connection(id, "its message was not finished in time".into(), actions);
             } else {
-                client.active_since = now;
+                client.last_active = now;
                 actions.push(ClientAction::Evict(id, "it has not joined in time".into()));
             }
         }
