--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -183,7 +183,7 @@
             .iter()
             .filter(|(other, client)| **other != id && client.role == Role::Collector(zone));
         let others: Vec<(Nanos, ClientId)> = others.map(|(other, client)| (client.heard, *other)).collect();
-        let silent = others.iter().filter(|(_, other)| !pending.owes(*other)).min();
+        let silent = others.iter().filter(|(_, other)| !pending.has_pending(*other)).min();
         if let Some((_, silent)) = silent.filter(|_| others.len() >= COLLECTORS_MOST) {
             self.turn_away(*silent, "others collect for its zone".into(), actions);
         }
--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -15,56 +15,56 @@
 use http::{Response, StatusCode};
 
 use crate::clients::{ClientAction, ClientId, Clients};
-use crate::coverage::{Coverage, Worst};
+use crate::coverage::{Coverage, LongestGap};
 use crate::descriptors::Descriptors;
 use crate::event_streams::EventStreams;
 use crate::link::{Act, LinkId, Links};
+use crate::list_watch::ListWatch;
 use crate::log_event::LogEvent;
-use crate::order_queue::{EncodedOrder, OrderQueue, Outcome};
+use crate::order_queue::{EncodedOrder, OrderOutcome, OrderQueue};
 use crate::pending::{CloseReason, PendingWork, Violations};
 use crate::probes::{self, Probes};
 use crate::server_age::ServerStarts;
 use crate::status::{NamedWorst, Status};
 use crate::takeover::TakeoverWatch;
-use crate::watch::Watch;
 
-const GAP: Nanos = Nanos::from_millis(5); // ms; what comes together is decided on together
+const STEP_INTERVAL: Nanos = Nanos::from_millis(5); // ms; what comes together is decided on together
 
 /// What the shell is to do.
 #[derive(Debug, Default)]
-pub struct Todo {
+pub struct ShellActions {
     pub client_actions: Vec<ClientAction>,
-    pub acts: Vec<Act>,
-    pub log: Vec<LogEvent>,
+    pub link_actions: Vec<Act>,
+    pub log_events: Vec<LogEvent>,
 }
 
 pub struct Coordinator {
     controller: Controller,
     names: GivenNames,
-    proxies: u32,
+    proxy_count: u32,
     /// The servers as last listed, but for those removed.
     listed: BTreeMap<ServerId, (Listing, SocketAddr)>,
     links: Links,
     clients: Clients,
     pending: PendingWork,
-    starts: ServerStarts,
+    server_starts: ServerStarts,
     takeovers: TakeoverWatch,
-    streams: EventStreams,
+    event_streams: EventStreams,
     order_queue: OrderQueue,
-    watch: Watch,
+    list_watch: ListWatch,
     probes: Probes,
     coverage: Coverage,
-    born: Nanos,
+    started_at: Nanos,
     events: Vec<Event>,
-    stepped: Nanos,
+    last_step_at: Nanos,
     wake_at: Option<Nanos>,
     /// Asked to end: nothing more is decided.
     shutting_down: bool,
     backlog: bool,
-    todo: Todo,
+    actions: ShellActions,
     reports: u64,
     orders: u64,
-    news_malformed: u64,
+    relay_events_malformed: u64,
     /// By class: what happens when one of its operations runs twice.
     repeats: Vec<Repeats>,
 }
@@ -74,7 +74,7 @@
         let descriptors = Descriptors::divide(config.sockets);
         let revision = config.known.as_ref().map(|known| known.revision);
         let mut coordinator = Coordinator {
-            proxies: config.settings.proxies,
+            proxy_count: config.settings.proxies,
             coverage: Coverage::new(&config.settings),
             repeats: config.settings.classes.iter().map(|class| class.repeats).collect(),
             controller: Controller::new(config.settings, config.seed, now),
@@ -83,34 +83,37 @@
             links: Links::default(),
             clients: Clients::new(descriptors.unidentified),
             pending: PendingWork::default(),
-            starts: ServerStarts::default(),
+            server_starts: ServerStarts::default(),
             takeovers: TakeoverWatch::default(),
-            streams: EventStreams::new(config.relay, now),
+            event_streams: EventStreams::new(config.relay, now),
             order_queue: OrderQueue::new(config.relay, now),
-            watch: Watch::new(config.discovery, revision),
+            list_watch: ListWatch::new(config.discovery, revision),
             probes: Probes::new(descriptors.probes),
-            born: now,
+            started_at: now,
             events: Vec::new(),
-            stepped: Nanos(0),
+            last_step_at: Nanos(0),
             wake_at: Some(now),
             shutting_down: false,
             backlog: false,
-            todo: Todo { log: config.notes.into_iter().map(LogEvent::Note).collect(), ..Todo::default() },
+            actions: ShellActions {
+                log_events: config.notes.into_iter().map(LogEvent::Note).collect(),
+                ..ShellActions::default()
+            },
             reports: 0,
             orders: 0,
-            news_malformed: 0,
+            relay_events_malformed: 0,
         };
         if let Some(known) = config.known {
-            coordinator.take_roster(now, known, Some(ListScope::Remembered));
+            coordinator.apply_roster(now, known, Some(ListScope::Remembered));
         }
         coordinator
     }
 
     /// A new configuration counts for where discovery and the relay are; all else is as at the start.
     pub fn reconfigure(&mut self, now: Nanos, config: &Config) {
-        self.streams.move_to(now, config.relay);
-        self.order_queue.move_to(now, config.relay, &mut self.todo.acts);
-        self.watch.move_to(config.discovery, &mut self.todo.acts);
+        self.event_streams.move_to(now, config.relay);
+        self.order_queue.move_to(now, config.relay, &mut self.actions.link_actions);
+        self.list_watch.move_to(config.discovery, &mut self.actions.link_actions);
     }
 
     /// A client was accepted.
@@ -119,7 +122,7 @@
     }
 
     /// How many more clients may be accepted. In a shutdown nobody joins any more, and all descriptors are theirs.
-    pub fn accept_room(&self) -> usize {
+    pub fn accept_capacity(&self) -> usize {
         if self.shutting_down {
             usize::MAX
         } else {
@@ -128,7 +131,7 @@
     }
 
     /// A client's connection has ended; what was owed on it is cleared, or counted.
-    pub fn client_gone(&mut self, id: ClientId, reason: CloseReason) {
+    pub fn client_closed(&mut self, id: ClientId, reason: CloseReason) {
         self.clients.gone(id);
         self.pending.closed(id, reason);
     }
@@ -144,16 +147,16 @@
     }
 
     /// Whether anything is owed to a client.
-    pub fn owes(&self, id: ClientId) -> bool {
-        self.pending.owes(id)
+    pub fn has_pending(&self, id: ClientId) -> bool {
+        self.pending.has_pending(id)
     }
 
     /// Bytes have come of a client.
     pub fn client_input(&mut self, now: Nanos, id: ClientId, input: &mut BytesMut) {
         self.clients.heard(now, id);
         let before = self.events.len();
-        let (pending, actions) = (&mut self.pending, &mut self.todo.client_actions);
-        self.clients.take(now, id, input, &self.names, self.proxies, pending, &mut self.events, actions);
+        let (pending, actions) = (&mut self.pending, &mut self.actions.client_actions);
+        self.clients.take(now, id, input, &self.names, self.proxy_count, pending, &mut self.events, actions);
         let reports = self.events.len() - before;
         self.reports += reports as u64;
         if reports > 0 {
@@ -163,7 +166,7 @@
 
     /// Whether a link's answer never ends, and is wanted as it comes.
     pub fn is_event_stream(&self, link: LinkId) -> bool {
-        self.streams.has(link)
+        self.event_streams.has(link)
     }
 
     /// Bytes of a stream have come.
@@ -175,40 +178,40 @@
                 &format!("the relay answers {status} to a call for news"),
             );
         }
-        let Some(decoder) = self.streams.decoder(link) else { return };
-        match decoder.take(bytes, &mut self.names, self.proxies) {
+        let Some(decoder) = self.event_streams.decoder(link) else { return };
+        match decoder.take(bytes, &mut self.names, self.proxy_count) {
             Ok(decoded) => {
                 for cause in decoded.malformed {
-                    self.news_malformed += 1;
-                    self.note(cause);
+                    self.relay_events_malformed += 1;
+                    self.log_note(cause);
                 }
                 let mut out = Vec::new();
-                self.streams.heard(now, link, decoded.news, &mut out);
-                self.take_news(now, out);
+                self.event_streams.receive(now, link, decoded.news, &mut out);
+                self.apply_relay_events(now, out);
             }
             Err(cause) => self.drop_event_stream(now, link, &cause),
         }
     }
 
     fn drop_event_stream(&mut self, now: Nanos, link: LinkId, cause: &str) {
-        self.todo.acts.push(Act::Drop { link });
+        self.actions.link_actions.push(Act::Drop { link });
         self.link_lost(now, link, cause);
     }
 
-    fn take_news(&mut self, now: Nanos, news: Vec<News>) {
-        for news in news {
-            self.events.push(match news {
+    fn apply_relay_events(&mut self, now: Nanos, relay_events: Vec<News>) {
+        for relay_event in relay_events {
+            self.events.push(match relay_event {
                 News::Joined { proxy, zone, usual_rate } => {
-                    self.takeovers.joined(now, proxy);
-                    self.coverage.joined(now, proxy, zone);
-                    self.todo.log.push(LogEvent::ProxyJoined { proxy, zone });
+                    self.takeovers.proxy_joined(now, proxy);
+                    self.coverage.proxy_joined(now, proxy, zone);
+                    self.actions.log_events.push(LogEvent::ProxyJoined { proxy, zone });
                     Event::ProxyJoined { proxy, zone, usual_rate }
                 }
                 News::Left { proxy } => {
-                    self.takeovers.left(proxy);
-                    self.order_queue.left(proxy);
-                    self.coverage.left(proxy);
-                    self.todo.log.push(LogEvent::ProxyLeft { proxy });
+                    self.takeovers.proxy_left(proxy);
+                    self.order_queue.proxy_left(proxy);
+                    self.coverage.proxy_left(proxy);
+                    self.actions.log_events.push(LogEvent::ProxyLeft { proxy });
                     Event::ProxyLeft { proxy }
                 }
                 News::Applied { proxy, mark } => {
@@ -220,45 +223,52 @@
     }
 
     /// A whole answer has come; `keeps`: the connection may be used again.
-    pub fn answered(&mut self, now: Nanos, link: LinkId, response: &Response<Bytes>, keeps: bool) {
+    pub fn answered(&mut self, now: Nanos, link: LinkId, response: &Response<Bytes>, keep_alive: bool) {
         let (status, body) = (response.status(), response.body());
         if self.order_queue.has(link) {
             let retried = self.order_queue.retried;
-            let answered = self.order_queue.answered(now, body, keeps, &mut self.todo.acts);
+            let answered = self.order_queue.answered(now, body, keep_alive, &mut self.actions.link_actions);
             self.log_retry(retried, answered.as_ref().err().map_or("turned away for now", String::as_str));
             if let Err(cause) = answered {
-                self.note(cause);
+                self.log_note(cause);
             }
             if self.order_queue.is_throttled() {
-                self.coverage.begin_anew(now);
+                self.coverage.restart_gaps(now);
             }
-        } else if self.watch.has(link) {
+        } else if self.list_watch.has(link) {
             let list = if status == StatusCode::OK {
                 discovery::read(body, &mut self.names)
             } else {
                 Err(format!("discovery answers {status}"))
             };
             match list {
-                Ok(roster) => match self.watch.answered(now, &roster, keeps, &mut self.todo.acts) {
-                    Ok(()) => {
-                        let (revision, whole) = (roster.revision, roster.complete);
-                        let changed = self.take_roster(now, roster, None);
-                        self.starts.list_taken(now);
-                        let listed = self.listed.len();
-                        self.todo.log.push(LogEvent::ListTaken { revision, whole, changed, listed });
+                Ok(roster) => {
+                    match self.list_watch.answered(now, &roster, keep_alive, &mut self.actions.link_actions) {
+                        Ok(()) => {
+                            let (revision, whole) = (roster.revision, roster.complete);
+                            let changed = self.apply_roster(now, roster, None);
+                            self.server_starts.list_applied(now);
+                            let listed = self.listed.len();
+                            self.actions.log_events.push(LogEvent::ListTaken {
+                                revision,
+                                whole,
+                                changed,
+                                listed,
+                            });
+                        }
+                        Err(cause) => self.list_failed(&cause),
                     }
-                    Err(cause) => self.list_failed(&cause),
-                },
+                }
                 Err(cause) => {
-                    self.watch.failed(&mut self.todo.acts);
+                    self.list_watch.failed(&mut self.actions.link_actions);
                     self.list_failed(&cause);
                 }
             }
         } else if let Some((server, took)) = self.probes.end(now, link) {
-            self.todo.acts.push(Act::Drop { link });
+            self.actions.link_actions.push(Act::Drop { link });
             let report = probe::report(body, &self.names);
             self.events.push(Event::Probed { server, outcome: probes::outcome(status), took, report });
-        } else if self.streams.has(link) {
+        } else if self.event_streams.has(link) {
             self.drop_event_stream(now, link, "the relay has ended its news");
         }
     }
@@ -269,16 +279,18 @@
             let retried = self.order_queue.retried;
             self.order_queue.lost(now);
             self.log_retry(retried, cause);
-        } else if self.watch.has(link) {
-            if self.watch.lost(now) {
+        } else if self.list_watch.has(link) {
+            if self.list_watch.lost(now) {
                 self.list_failed(cause);
             }
-        } else if self.streams.has(link) {
+        } else if self.event_streams.has(link) {
             let mut out = Vec::new();
-            self.streams.lost(now, link, &mut out);
-            let streams = self.streams.streams();
-            self.todo.log.push(LogEvent::StreamEnded { cause: cause.to_owned(), streams });
-            self.take_news(now, out);
+            self.event_streams.lost(now, link, &mut out);
+            let open_streams = self.event_streams.open_streams();
+            self.actions
+                .log_events
+                .push(LogEvent::StreamEnded { cause: cause.to_owned(), streams: open_streams });
+            self.apply_relay_events(now, out);
         } else if let Some((server, took)) = self.probes.end(now, link) {
             self.probe_failed(server, took);
         }
@@ -290,35 +302,35 @@
     }
 
     fn list_failed(&mut self, cause: &str) {
-        self.todo.log.push(LogEvent::WatchFailed { cause: cause.to_owned() });
+        self.actions.log_events.push(LogEvent::WatchFailed { cause: cause.to_owned() });
         self.events.push(Event::List { scope: ListScope::Failed, entries: [].into() });
     }
 
     /// Takes a list in; how many servers are new or have changed.
-    fn take_roster(&mut self, now: Nanos, roster: Roster, scope: Option<ListScope>) -> usize {
-        let told = if roster.complete { ListScope::Whole } else { ListScope::Changes };
+    fn apply_roster(&mut self, now: Nanos, roster: Roster, scope: Option<ListScope>) -> usize {
+        let listed_scope = if roster.complete { ListScope::Whole } else { ListScope::Changes };
         let before = if roster.complete { std::mem::take(&mut self.listed) } else { BTreeMap::new() };
         let mut entries = Vec::with_capacity(roster.servers.len());
         let mut changed = 0;
         for (id, cause) in roster.malformed {
             // Whose entry can't be read stands as it was: it is listed all the same.
             if let Some(entry) = id.as_ref().and_then(|id| before.get(id)) {
-                self.starts.still_listed(now, &entry.0.server);
+                self.server_starts.confirm_listed(now, &entry.0.server);
                 self.listed.insert(entry.0.server.clone(), entry.clone());
                 entries.push(entry.0.clone());
             }
-            self.note(cause);
+            self.log_note(cause);
         }
         for claimed in roster.servers.iter().filter_map(|(listing, _)| listing.started) {
-            self.starts.learn_clock(now, claimed);
+            self.server_starts.learn_clock(now, claimed);
         }
         for (mut listing, address) in roster.servers {
-            let start = self.starts.observe(now, &listing.server, listing.started);
+            let start = self.server_starts.observe(now, &listing.server, listing.started);
             (listing.started, listing.is_start_certain) = (start.latest, start.is_certain);
             let known = before.get(&listing.server).or_else(|| self.listed.get(&listing.server));
             if known.is_none_or(|(known, _)| *known != listing) {
                 changed += 1;
-                self.todo.log.extend((scope != Some(ListScope::Remembered)).then(|| {
+                self.actions.log_events.extend((scope != Some(ListScope::Remembered)).then(|| {
                     LogEvent::ServerListed {
                         server: listing.server.clone(),
                         readiness: listing.readiness,
@@ -334,18 +346,18 @@
             }
             entries.push(listing);
         }
-        self.events.push(Event::List { scope: scope.unwrap_or(told), entries: entries.into() });
+        self.events.push(Event::List { scope: scope.unwrap_or(listed_scope), entries: entries.into() });
         changed
     }
 
-    fn note(&mut self, note: String) {
-        self.todo.log.push(LogEvent::Note(note));
+    fn log_note(&mut self, note: String) {
+        self.actions.log_events.push(LogEvent::Note(note));
     }
 
     /// Logs that the call to the relay is made again, if it is; `before`: how many had been until now.
     fn log_retry(&mut self, before: u64, cause: &str) {
         if self.order_queue.retried > before {
-            self.todo.log.push(LogEvent::CallRetried {
+            self.actions.log_events.push(LogEvent::CallRetried {
                 cause: cause.to_owned(),
                 failures: self.order_queue.failures(),
                 orders_waiting: self.order_queue.waiting(),
@@ -354,38 +366,40 @@
     }
 
     /// Does what is due, and gives what the shell is to do.
-    pub fn turn(&mut self, now: Nanos) -> Todo {
-        self.settle_orders();
+    pub fn turn(&mut self, now: Nanos) -> ShellActions {
+        self.handle_order_outcomes();
         if self.shutting_down {
             if self.backlog {
-                self.clients.make_way(now, &mut self.todo.client_actions);
+                self.clients.make_way(now, &mut self.actions.client_actions);
             }
         } else {
-            self.clients.turn(now, &mut self.todo.client_actions);
+            self.clients.turn(now, &mut self.actions.client_actions);
             self.decide(now);
         }
         let retried = self.order_queue.retried;
-        self.order_queue.turn(now, &mut self.links, &mut self.todo.acts);
+        self.order_queue.turn(now, &mut self.links, &mut self.actions.link_actions);
         self.log_retry(retried, "no answer in time");
-        self.look_for_lapses(now);
-        self.pending.set_orders(self.order_queue.waiting());
+        self.log_coverage_gaps(now);
+        self.pending.set_unacknowledged_orders(self.order_queue.waiting());
         self.pending.orders_overtaken(self.order_queue.take_overtaken());
-        self.todo.log.extend(self.takeovers.finished(now, self.streams.told()).map(LogEvent::Takeover));
-        std::mem::take(&mut self.todo)
+        self.actions
+            .log_events
+            .extend(self.takeovers.finished(now, self.event_streams.joined_count()).map(LogEvent::Takeover));
+        std::mem::take(&mut self.actions)
     }
 
     /// Logs who has lacked a line for longer than the settings allow.
-    fn look_for_lapses(&mut self, now: Nanos) {
+    fn log_coverage_gaps(&mut self, now: Nanos) {
         let listed = self.listed.values().map(|(listing, _)| listing);
-        for lapse in self.coverage.look(now, listed) {
-            let class = self.class_names(ClassSet::of(lapse.class));
+        for gap in self.coverage.evaluate(now, listed) {
+            let class = self.class_names(ClassSet::of(gap.class));
             let calls_failed = self.order_queue.failures();
             let orders_waiting = self.order_queue.waiting();
-            self.todo.log.push(LogEvent::Lapse { lapse, class, calls_failed, orders_waiting });
+            self.actions.log_events.push(LogEvent::Lapse { lapse: gap, class, calls_failed, orders_waiting });
         }
         for warning in self.coverage.take_warnings() {
             let class = self.class_names(ClassSet::of(warning.class));
-            self.todo.log.push(LogEvent::Bare { warning, class });
+            self.actions.log_events.push(LogEvent::Bare { warning, class });
         }
     }
 
@@ -396,21 +410,21 @@
     /// An order was not carried out: the decisions are told, with the next step.
     fn refuse(&mut self, order: Order, cause: &'static str) {
         let text = relay::order(&order, &self.names).unwrap_or_default();
-        self.todo.log.push(LogEvent::OrderRefused { order: text, cause });
+        self.actions.log_events.push(LogEvent::OrderRefused { order: text, cause });
         self.events.push(Event::OrderRefused { order });
     }
 
     /// Tells what has become of orders: to the decisions where they count on what did not happen.
-    fn settle_orders(&mut self) {
-        for (order, outcome) in self.order_queue.take_settled() {
-            self.coverage.settled(&order, outcome);
+    fn handle_order_outcomes(&mut self) {
+        for (order, outcome) in self.order_queue.take_outcomes() {
+            self.coverage.order_finished(&order, outcome);
             match (outcome, order) {
-                (Outcome::Refused, order) => self.refuse(order, "the relay can't use it"),
-                (Outcome::Taken, Order::Bind { proxy, classes, table }) => {
+                (OrderOutcome::Refused, order) => self.refuse(order, "the relay can't use it"),
+                (OrderOutcome::Taken, Order::Bind { proxy, classes, table }) => {
                     let classes = self.class_names(classes);
-                    self.todo.log.push(LogEvent::ProxyBound { proxy, table, classes });
+                    self.actions.log_events.push(LogEvent::ProxyBound { proxy, table, classes });
                 }
-                (Outcome::Taken | Outcome::Superseded | Outcome::Void, _) => {}
+                (OrderOutcome::Taken | OrderOutcome::Superseded | OrderOutcome::Cancelled, _) => {}
             }
         }
     }
@@ -428,11 +442,11 @@
 
     /// Whether nobody is connected and no order waits.
     pub fn is_finished(&self) -> bool {
-        self.clients.is_empty() && self.pending.is_settled()
+        self.clients.is_empty() && self.pending.is_empty()
     }
 
     /// Whether nothing is owed to any client.
-    pub fn clients_settled(&self) -> bool {
+    pub fn is_client_work_done(&self) -> bool {
         self.pending.clients() == 0
     }
 
@@ -443,26 +457,26 @@
     }
 
     fn decide(&mut self, now: Nanos) {
-        let mut news = Vec::new();
-        self.streams.turn(now, &mut self.links, &mut self.todo.acts, &mut news);
-        self.take_news(now, news);
-        let overdue = self.probes.overdue(now, &mut self.todo.acts);
+        let mut relay_events = Vec::new();
+        self.event_streams.turn(now, &mut self.links, &mut self.actions.link_actions, &mut relay_events);
+        self.apply_relay_events(now, relay_events);
+        let overdue = self.probes.overdue(now, &mut self.actions.link_actions);
         overdue.into_iter().for_each(|(server, took)| self.probe_failed(server, took));
-        if self.watch.turn(now, &mut self.links, &mut self.todo.acts) {
+        if self.list_watch.turn(now, &mut self.links, &mut self.actions.link_actions) {
             self.list_failed("no answer in time");
         }
         if self.wake_at.is_some_and(|at| at <= now) {
             self.wake_at = None;
             self.events.push(Event::Woken);
         }
-        if !self.events.is_empty() && now - self.stepped >= GAP {
+        if !self.events.is_empty() && now - self.last_step_at >= STEP_INTERVAL {
             self.step(now);
         }
-        self.watch.turn(now, &mut self.links, &mut self.todo.acts);
+        self.list_watch.turn(now, &mut self.links, &mut self.actions.link_actions);
     }
 
     fn step(&mut self, now: Nanos) {
-        self.stepped = now;
+        self.last_step_at = now;
         let events = std::mem::take(&mut self.events);
         for order in self.controller.step(now, &events) {
             match &order {
@@ -470,23 +484,23 @@
                     let at = now + *after;
                     self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
                 }
-                Order::WatchList => self.watch.start(),
+                Order::WatchList => self.list_watch.start(),
                 Order::Probe { server } => {
                     let Some((_, address)) = self.listed.get(server) else { continue };
-                    let (links, acts) = (&mut self.links, &mut self.todo.acts);
-                    self.probes.begin(now, server, *address, links, acts);
+                    let (links, link_actions) = (&mut self.links, &mut self.actions.link_actions);
+                    self.probes.begin(now, server, *address, links, link_actions);
                 }
-                Order::Bind { proxy, .. } => self.order(now, &order, Some(*proxy)),
+                Order::Bind { proxy, .. } => self.enqueue_order(now, &order, Some(*proxy)),
                 Order::Line { .. } | Order::Level { .. } | Order::Mark { .. } => {
-                    self.order(now, &order, None)
+                    self.enqueue_order(now, &order, None)
                 }
             }
         }
         for transition in self.controller.take_transitions() {
             if let Transition::Server { server, to, .. } = &transition {
-                self.coverage.set_shut_out(server, *to == State::Out);
+                self.coverage.set_ejected(server, *to == State::Out);
             }
-            self.todo.log.push(LogEvent::Decision(transition));
+            self.actions.log_events.push(LogEvent::Decision(transition));
         }
     }
 
@@ -498,17 +512,17 @@
                 let listed = self.listed.get(server);
                 *weight <= 0.0 || listed.is_some_and(|(listing, _)| listing.readiness == Readiness::Ready)
             }
-            Order::Bind { proxy, .. } => self.streams.is_told(*proxy),
+            Order::Bind { proxy, .. } => self.event_streams.is_joined(*proxy),
             Order::Level { classes, tries: FurtherTries::Once | FurtherTries::Twice, .. } => {
-                let named = (0u8..).zip(&self.repeats).filter(|(class, _)| classes.has(ClassId(*class)));
-                named.into_iter().all(|(_, repeats)| *repeats == Repeats::Safe)
+                let selected = (0u8..).zip(&self.repeats).filter(|(class, _)| classes.has(ClassId(*class)));
+                selected.into_iter().all(|(_, repeats)| *repeats == Repeats::Safe)
             }
             _ => true,
         }
     }
 
     /// Puts an order in line for the relay; of no use without that proxy.
-    fn order(&mut self, now: Nanos, order: &Order, proxy: Option<ProxyId>) {
+    fn enqueue_order(&mut self, now: Nanos, order: &Order, proxy: Option<ProxyId>) {
         if !self.permits(order) {
             self.pending.order_forbidden();
             return self.refuse(order.clone(), "it would break a rule");
@@ -518,24 +532,24 @@
         self.coverage.ordered(order);
         let subject = relay::subject(order);
         let encoded = |text| EncodedOrder { order: order.clone(), text, proxy, subject };
-        self.order_queue.offer(relay::order(order, &self.names).map(encoded));
+        self.order_queue.enqueue(relay::order(order, &self.names).map(encoded));
     }
 
     /// When the next turn is due though nothing comes in.
     pub fn next_at(&self, now: Nanos) -> Option<Nanos> {
         if self.shutting_down {
-            let make_way = self.backlog.then_some(now + GAP);
+            let make_way = self.backlog.then_some(now + STEP_INTERVAL);
             return [self.order_queue.next_at(), make_way].into_iter().flatten().min();
         }
-        let step = (!self.events.is_empty()).then_some(self.stepped + GAP);
+        let step = (!self.events.is_empty()).then_some(self.last_step_at + STEP_INTERVAL);
         let times = [
             step,
             self.wake_at,
             self.clients.next_at(),
             self.order_queue.next_at(),
-            self.watch.next_at(),
+            self.list_watch.next_at(),
             self.probes.next_at(),
-            self.streams.next_at(now),
+            self.event_streams.next_at(now),
         ];
         times.into_iter().flatten().min()
     }
@@ -548,7 +562,7 @@
     pub fn status(&self) -> Status {
         let (collectors, unidentified) = self.clients.counts();
         Status {
-            proxies: self.streams.told(),
+            proxies: self.event_streams.joined_count(),
             servers: self.listed.len(),
             collectors,
             unidentified,
@@ -559,17 +573,22 @@
             orders_waiting: self.order_queue.waiting(),
             orders_rejected: self.order_queue.rejected,
             calls_retried: self.order_queue.retried,
-            event_streams: self.streams.streams(),
-            news_malformed: self.news_malformed,
+            event_streams: self.event_streams.open_streams(),
+            news_malformed: self.relay_events_malformed,
             violations: self.pending.violations(),
             coverage: self.coverage.figures(),
-            worst: self.coverage.worst().map(|worst| self.named(worst)),
-            worst_bare: self.coverage.worst_bare().values().map(|worst| self.named(worst)).collect(),
+            worst: self.coverage.longest_gap().map(|longest| self.with_class_name(longest)),
+            worst_bare: self
+                .coverage
+                .longest_without_line()
+                .values()
+                .map(|longest| self.with_class_name(longest))
+                .collect(),
         }
     }
 
-    fn named(&self, worst: &Worst) -> NamedWorst {
-        let class = self.class_names(ClassSet::of(worst.lapse.class));
-        NamedWorst { worst: worst.clone(), class, since_start: worst.at - self.born }
+    fn with_class_name(&self, longest: &LongestGap) -> NamedWorst {
+        let class = self.class_names(ClassSet::of(longest.gap.class));
+        NamedWorst { worst: longest.clone(), class, since_start: longest.at - self.started_at }
     }
 }
--- a/crates/craneknot-node/src/coverage.rs
+++ b/crates/craneknot-node/src/coverage.rs
@@ -12,9 +12,9 @@
 
 use craneknot::interface::*;
 
-use crate::order_queue::Outcome;
+use crate::order_queue::OrderOutcome;
 
-const LOOK_EVERY: Nanos = Nanos::from_millis(100); // ms; how exact the spans are
+const EVALUATION_INTERVAL: Nanos = Nanos::from_millis(100); // ms; how exact the spans are
 
 /// What a proxy without a line waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// Proxies that have been bare, for one class and table, for half of the time that the settings allow.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BareWarning {
+pub struct NoLineWarning {
     pub class: ClassId,
     pub table: Option<TableId>,
     /// The first of them, and how many there are.
@@ -58,12 +58,12 @@
     /// Servers open to the class that are listed ready: all of them, those that are cold and those that are shut out.
     pub ready: usize,
     pub cold: usize,
-    pub shut_out: usize,
+    pub ejected: usize,
 }
 
 /// A proxy that lacks a line for a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lapse {
+pub struct CoverageGap {
     pub proxy: ProxyId,
     pub class: ClassId,
     /// The table it is bound to, as far as is acknowledged.
@@ -76,11 +76,11 @@
 
 /// The longest lack since the start of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Worst {
+pub struct LongestGap {
     /// When it was that long.
     pub at: Nanos,
     /// Who, and what it waited for.
-    pub lapse: Lapse,
+    pub gap: CoverageGap,
 }
 
 /// What an operator wants to know of it.
@@ -93,32 +93,32 @@
     /// How often one lacked a line for longer than the settings allow.
     pub over_limit: u64,
     /// Proxies and classes that are bare now.
-    pub bare: usize,
+    pub without_line: usize,
 }
 
 /// One class of one proxy.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct ClassState {
     table: Option<TableId>,
     /// Bindings ordered and not settled yet.
-    ordered: u32,
+    pending_bindings: u32,
     /// The last one that was settled had been refused.
     is_refused: bool,
     /// Since when it has had no line; nothing: it has one, or needs none.
-    since: Option<Nanos>,
+    uncovered_since: Option<Nanos>,
     /// Since when it has been bare.
-    bare_since: Option<Nanos>,
+    no_line_since: Option<Nanos>,
     /// Since when it has had no line and no server to go to.
-    unlisted_since: Option<Nanos>,
+    no_server_since: Option<Nanos>,
     /// What there is for it while it has no line.
     supply: Option<Supply>,
     is_over_limit: bool,
-    is_warned_of: bool,
+    is_warned: bool,
 }
 
-struct Joined {
+struct ProxyState {
     zone: ZoneId,
-    held: Vec<Held>,
+    classes: Vec<ClassState>,
 }
 
 /// Judges all joined proxies.
@@ -126,19 +126,19 @@
     classes: Vec<ClassSettings>,
     warm_after: Nanos,
     limit: Nanos,
-    proxies: BTreeMap<ProxyId, Joined>,
+    proxies: BTreeMap<ProxyId, ProxyState>,
     /// The lines of each table, as acknowledged.
     tables: BTreeMap<TableId, BTreeSet<ServerId>>,
     /// Lines ordered and not settled, by table.
-    ordered_lines: BTreeMap<TableId, usize>,
-    look_at: Nanos,
+    pending_lines: BTreeMap<TableId, usize>,
+    evaluate_at: Nanos,
     over_limit: u64,
-    worst: Option<Worst>,
+    longest_gap: Option<LongestGap>,
     /// The longest times without a line, by what there was meanwhile.
-    worst_bare: BTreeMap<Supply, Worst>,
+    longest_without_line: BTreeMap<Supply, LongestGap>,
     /// Servers that the decisions have shut out.
-    shut_out: BTreeSet<ServerId>,
-    warnings: Vec<BareWarning>,
+    ejected: BTreeSet<ServerId>,
+    warnings: Vec<NoLineWarning>,
 }
 
 impl Coverage {
@@ -150,73 +150,77 @@
             limit: settings.bare_limit,
             proxies: BTreeMap::new(),
             tables: BTreeMap::new(),
-            ordered_lines: BTreeMap::new(),
-            look_at: Nanos(0),
+            pending_lines: BTreeMap::new(),
+            evaluate_at: Nanos(0),
             over_limit: 0,
-            worst: None,
-            worst_bare: BTreeMap::new(),
-            shut_out: BTreeSet::new(),
+            longest_gap: None,
+            longest_without_line: BTreeMap::new(),
+            ejected: BTreeSet::new(),
             warnings: Vec::new(),
         }
     }
 
     /// The decisions have shut a server out, or no longer do.
-    pub fn set_shut_out(&mut self, server: &ServerId, is_shut_out: bool) {
-        if is_shut_out {
-            self.shut_out.insert(server.clone());
+    pub fn set_ejected(&mut self, server: &ServerId, is_ejected: bool) {
+        if is_ejected {
+            self.ejected.insert(server.clone());
         } else {
-            self.shut_out.remove(server);
+            self.ejected.remove(server);
         }
     }
 
     /// Who has become bare for half of the limit since the last call.
-    pub fn take_warnings(&mut self) -> Vec<BareWarning> {
+    pub fn take_warnings(&mut self) -> Vec<NoLineWarning> {
         std::mem::take(&mut self.warnings)
     }
 
     /// A proxy has joined: none of its bindings stands.
-    pub fn joined(&mut self, now: Nanos, proxy: ProxyId, zone: ZoneId) {
-        let held = Held { since: Some(now), bare_since: Some(now), ..Held::default() };
-        self.proxies.insert(proxy, Joined { zone, held: vec![held; self.classes.len()] });
+    pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId, zone: ZoneId) {
+        let state =
+            ClassState { uncovered_since: Some(now), no_line_since: Some(now), ..ClassState::default() };
+        self.proxies.insert(proxy, ProxyState { zone, classes: vec![state; self.classes.len()] });
     }
 
     /// A proxy has left.
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn proxy_left(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
     }
 
     /// The relay takes no orders from anybody for now: what lacks a line begins anew.
-    pub fn begin_anew(&mut self, now: Nanos) {
-        let held = self.proxies.values_mut().flat_map(|joined| &mut joined.held);
-        held.for_each(|held| {
-            held.since = held.since.map(|_| now);
-            held.bare_since = held.bare_since.map(|_| now);
+    pub fn restart_gaps(&mut self, now: Nanos) {
+        let state = self.proxies.values_mut().flat_map(|proxy_state| &mut proxy_state.classes);
+        state.for_each(|state| {
+            state.uncovered_since = state.uncovered_since.map(|_| now);
+            state.no_line_since = state.no_line_since.map(|_| now);
         });
     }
 
-    fn bindings(&mut self, proxy: ProxyId, classes: ClassSet) -> impl Iterator<Item = &mut Held> {
-        let held =
-            self.proxies.get_mut(&proxy).into_iter().flat_map(|joined| joined.held.iter_mut().enumerate());
-        held.filter(move |(class, _)| classes.has(ClassId(*class as u8))).map(|(_, held)| held)
+    fn bindings(&mut self, proxy: ProxyId, classes: ClassSet) -> impl Iterator<Item = &mut ClassState> {
+        let state = self
+            .proxies
+            .get_mut(&proxy)
+            .into_iter()
+            .flat_map(|proxy_state| proxy_state.classes.iter_mut().enumerate());
+        state.filter(move |(class, _)| classes.has(ClassId(*class as u8))).map(|(_, state)| state)
     }
 
     /// An order was given to be sent.
     pub fn ordered(&mut self, order: &Order) {
         match order {
-            Order::Line { table, .. } => *self.ordered_lines.entry(*table).or_default() += 1,
+            Order::Line { table, .. } => *self.pending_lines.entry(*table).or_default() += 1,
             Order::Bind { proxy, classes, .. } => {
-                self.bindings(*proxy, *classes).for_each(|held| held.ordered += 1);
+                self.bindings(*proxy, *classes).for_each(|state| state.pending_bindings += 1);
             }
             _ => {}
         }
     }
 
     /// What became of an order that was given.
-    pub fn settled(&mut self, order: &Order, outcome: Outcome) {
-        let is_taken = outcome == Outcome::Taken;
+    pub fn order_finished(&mut self, order: &Order, outcome: OrderOutcome) {
+        let is_taken = outcome == OrderOutcome::Taken;
         match order {
             Order::Line { table, server, weight } => {
-                let ordered = self.ordered_lines.entry(*table).or_default();
+                let ordered = self.pending_lines.entry(*table).or_default();
                 *ordered = ordered.saturating_sub(1);
                 let lines = self.tables.entry(*table).or_default();
                 match is_taken {
@@ -226,20 +230,20 @@
                 }
             }
             Order::Bind { proxy, classes, table } => {
-                for held in self.bindings(*proxy, *classes) {
-                    held.ordered = held.ordered.saturating_sub(1);
-                    held.is_refused = outcome == Outcome::Refused;
-                    held.table = if is_taken { Some(*table) } else { held.table };
+                for state in self.bindings(*proxy, *classes) {
+                    state.pending_bindings = state.pending_bindings.saturating_sub(1);
+                    state.is_refused = outcome == OrderOutcome::Refused;
+                    state.table = if is_taken { Some(*table) } else { state.table };
                 }
             }
             _ => {}
         }
     }
 
-    fn waiting_for(&self, held: &Held) -> WaitingFor {
-        let Some(table) = held.table else {
-            return match held.ordered {
-                0 if held.is_refused => WaitingFor::BindingRefused,
+    fn waiting_for(&self, state: &ClassState) -> WaitingFor {
+        let Some(table) = state.table else {
+            return match state.pending_bindings {
+                0 if state.is_refused => WaitingFor::BindingRefused,
                 0 => WaitingFor::Binding,
                 _ => WaitingFor::BindingTaken,
             };
@@ -247,7 +251,7 @@
         if self.tables.get(&table).is_some_and(|lines| !lines.is_empty()) {
             return WaitingFor::UsableServer;
         }
-        let is_ordered = self.ordered_lines.get(&table).is_some_and(|count| *count > 0);
+        let is_ordered = self.pending_lines.get(&table).is_some_and(|count| *count > 0);
         if is_ordered {
             WaitingFor::LineTaken
         } else {
@@ -256,148 +260,153 @@
     }
 
     /// Looks at all proxies where that is due; gives those whose lack has just become longer than the settings allow.
-    pub fn look<'a>(&mut self, now: Nanos, listed: impl Iterator<Item = &'a Listing>) -> Vec<Lapse> {
-        if now < self.look_at {
+    pub fn evaluate<'a>(
+        &mut self,
+        now: Nanos,
+        listed: impl Iterator<Item = &'a Listing>,
+    ) -> Vec<CoverageGap> {
+        if now < self.evaluate_at {
             return Vec::new();
         }
-        self.look_at = now + LOOK_EVERY;
-        let usable = Usable::new(now, self.warm_after, &self.classes, &self.shut_out, listed);
-        let mut lapsed: Vec<(ProxyId, usize)> = Vec::new();
-        let mut known: BTreeMap<(usize, ZoneId, Option<TableId>), Option<Supply>> = BTreeMap::new();
-        let mut warnings: BTreeMap<(usize, Option<TableId>), BareWarning> = BTreeMap::new();
-        for (proxy, joined) in &mut self.proxies {
-            for (class, held) in joined.held.iter_mut().enumerate() {
-                let lines = held.table.and_then(|table| self.tables.get(&table));
-                let supply = *known
-                    .entry((class, joined.zone, held.table))
-                    .or_insert_with(|| usable.supply_without_line(class, joined.zone, lines));
-                held.note(now, supply);
-                if held.bare_since.is_some_and(|since| now - since > Nanos(self.limit.0 / 2)) {
-                    if !std::mem::replace(&mut held.is_warned_of, true) {
-                        let warn = || usable.warning(*proxy, class, joined.zone, held);
-                        warnings.entry((class, held.table)).or_insert_with(warn).proxies += 1;
+        self.evaluate_at = now + EVALUATION_INTERVAL;
+        let ready_servers = ReadyServers::new(now, self.warm_after, &self.classes, &self.ejected, listed);
+        let mut newly_over_limit: Vec<(ProxyId, usize)> = Vec::new();
+        let mut supplies: BTreeMap<(usize, ZoneId, Option<TableId>), Option<Supply>> = BTreeMap::new();
+        let mut warnings: BTreeMap<(usize, Option<TableId>), NoLineWarning> = BTreeMap::new();
+        for (proxy, proxy_state) in &mut self.proxies {
+            for (class, state) in proxy_state.classes.iter_mut().enumerate() {
+                let lines = state.table.and_then(|table| self.tables.get(&table));
+                let supply = *supplies
+                    .entry((class, proxy_state.zone, state.table))
+                    .or_insert_with(|| ready_servers.supply_without_line(class, proxy_state.zone, lines));
+                state.update(now, supply);
+                if state.no_line_since.is_some_and(|start| now - start > Nanos(self.limit.0 / 2)) {
+                    if !std::mem::replace(&mut state.is_warned, true) {
+                        let warn = || ready_servers.warning(*proxy, class, proxy_state.zone, state);
+                        warnings.entry((class, state.table)).or_insert_with(warn).proxies += 1;
                     }
                 } else {
-                    held.is_warned_of = false;
+                    state.is_warned = false;
                 }
-                let is_over_limit = held.since.is_some_and(|since| now - since > self.limit);
-                if is_over_limit && !held.is_over_limit {
-                    lapsed.push((*proxy, class));
+                let is_over_limit = state.uncovered_since.is_some_and(|start| now - start > self.limit);
+                if is_over_limit && !state.is_over_limit {
+                    newly_over_limit.push((*proxy, class));
                 }
-                held.is_over_limit = is_over_limit;
+                state.is_over_limit = is_over_limit;
             }
         }
         self.warnings.extend(warnings.into_values());
-        self.over_limit += lapsed.len() as u64;
-        self.note_worst(now);
-        let lapse = |(proxy, class)| self.lapse(now, proxy, class, |held| held.since);
-        lapsed.into_iter().filter_map(lapse).collect()
+        self.over_limit += newly_over_limit.len() as u64;
+        self.update_longest(now);
+        let gap = |(proxy, class)| self.gap(now, proxy, class, |state| state.uncovered_since);
+        newly_over_limit.into_iter().filter_map(gap).collect()
     }
 
     /// Keeps the longest lack, and the longest time without a line for each supply.
-    fn note_worst(&mut self, now: Nanos) {
-        let lapse = self.longest_now(now, |held| held.since);
-        self.worst = longer(now, self.worst.take(), lapse);
+    fn update_longest(&mut self, now: Nanos) {
+        let gap = self.longest_now(now, |state| state.uncovered_since);
+        self.longest_gap = longer_gap(now, self.longest_gap.take(), gap);
         for supply in [Supply::Usable, Supply::AllCold, Supply::AllOut, Supply::NoneListed] {
-            let since = |held: &Held| {
-                let since = held.bare_since.or(held.unlisted_since);
-                since.filter(|_| held.supply == Some(supply))
+            let start = |state: &ClassState| {
+                let start = state.no_line_since.or(state.no_server_since);
+                start.filter(|_| state.supply == Some(supply))
             };
-            let lapse = self.longest_now(now, since);
-            if let Some(worst) = longer(now, self.worst_bare.remove(&supply), lapse) {
-                self.worst_bare.insert(supply, worst);
+            let gap = self.longest_now(now, start);
+            if let Some(longest_gap) = longer_gap(now, self.longest_without_line.remove(&supply), gap) {
+                self.longest_without_line.insert(supply, longest_gap);
             }
         }
     }
 
-    fn longest_now(&self, now: Nanos, since: impl Fn(&Held) -> Option<Nanos>) -> Option<Lapse> {
-        let held = self.proxies.iter().flat_map(|(proxy, joined)| {
-            joined.held.iter().enumerate().map(move |(class, held)| (*proxy, class, held))
+    fn longest_now(&self, now: Nanos, start: impl Fn(&ClassState) -> Option<Nanos>) -> Option<CoverageGap> {
+        let state = self.proxies.iter().flat_map(|(proxy, proxy_state)| {
+            proxy_state.classes.iter().enumerate().map(move |(class, state)| (*proxy, class, state))
         });
-        let lacking = held.filter_map(|(proxy, class, held)| Some((since(held)?, proxy, class)));
-        let (_, proxy, class) = lacking.min()?;
-        self.lapse(now, proxy, class, since)
+        let uncovered_classes = state.filter_map(|(proxy, class, state)| Some((start(state)?, proxy, class)));
+        let (_, proxy, class) = uncovered_classes.min()?;
+        self.gap(now, proxy, class, start)
     }
 
-    fn lapse(
+    fn gap(
         &self,
         now: Nanos,
         proxy: ProxyId,
         class: usize,
-        since: impl Fn(&Held) -> Option<Nanos>,
-    ) -> Option<Lapse> {
-        let held = self.proxies.get(&proxy)?.held.get(class)?;
-        Some(Lapse {
+        start: impl Fn(&ClassState) -> Option<Nanos>,
+    ) -> Option<CoverageGap> {
+        let state = self.proxies.get(&proxy)?.classes.get(class)?;
+        Some(CoverageGap {
             proxy,
             class: ClassId(class as u8),
-            table: held.table,
-            waiting_for: self.waiting_for(held),
-            supply: held.supply.unwrap_or(Supply::Usable),
-            lasted: now - since(held)?,
+            table: state.table,
+            waiting_for: self.waiting_for(state),
+            supply: state.supply.unwrap_or(Supply::Usable),
+            lasted: now - start(state)?,
         })
     }
 
     /// The figures as of the last look.
     pub fn figures(&self) -> CoverageFigures {
-        let held = || self.proxies.values().flat_map(|joined| &joined.held);
+        let state = || self.proxies.values().flat_map(|proxy_state| &proxy_state.classes);
         CoverageFigures {
-            uncovered: held().filter(|held| held.since.is_some()).count(),
-            longest: self.worst.as_ref().map_or(Nanos(0), |worst| worst.lapse.lasted),
+            uncovered: state().filter(|state| state.uncovered_since.is_some()).count(),
+            longest: self.longest_gap.as_ref().map_or(Nanos(0), |longest_gap| longest_gap.gap.lasted),
             over_limit: self.over_limit,
-            bare: held().filter(|held| held.bare_since.is_some()).count(),
+            without_line: state().filter(|state| state.no_line_since.is_some()).count(),
         }
     }
 
     /// The longest lack since the start.
-    pub fn worst(&self) -> Option<&Worst> {
-        self.worst.as_ref()
+    pub fn longest_gap(&self) -> Option<&LongestGap> {
+        self.longest_gap.as_ref()
     }
 
     /// The longest times without a line since the start, by what there was meanwhile.
-    pub fn worst_bare(&self) -> &BTreeMap<Supply, Worst> {
-        &self.worst_bare
+    pub fn longest_without_line(&self) -> &BTreeMap<Supply, LongestGap> {
+        &self.longest_without_line
     }
 }
 
-impl Held {
+impl ClassState {
     /// `supply`: what there is for it, where it has no line.
-    fn note(&mut self, now: Nanos, supply: Option<Supply>) {
-        let is_listed = supply.is_some_and(|supply| supply != Supply::NoneListed);
-        let is_lacking = matches!(supply, Some(Supply::Usable | Supply::AllOut));
-        self.since = is_lacking.then(|| self.since.unwrap_or(now));
-        self.bare_since = is_listed.then(|| self.bare_since.unwrap_or(now));
-        self.unlisted_since = (supply.is_some() && !is_listed).then(|| self.unlisted_since.unwrap_or(now));
+    fn update(&mut self, now: Nanos, supply: Option<Supply>) {
+        let has_ready_server = supply.is_some_and(|supply| supply != Supply::NoneListed);
+        let is_uncovered = matches!(supply, Some(Supply::Usable | Supply::AllOut));
+        self.uncovered_since = is_uncovered.then(|| self.uncovered_since.unwrap_or(now));
+        self.no_line_since = has_ready_server.then(|| self.no_line_since.unwrap_or(now));
+        self.no_server_since =
+            (supply.is_some() && !has_ready_server).then(|| self.no_server_since.unwrap_or(now));
         self.supply = supply;
     }
 }
 
 /// The longer of the worst until now and a lapse of this moment.
-fn longer(now: Nanos, worst: Option<Worst>, lapse: Option<Lapse>) -> Option<Worst> {
-    let longest = worst.as_ref().map_or(Nanos(0), |worst| worst.lapse.lasted);
-    let lapse = lapse.filter(|lapse| lapse.lasted > longest);
-    lapse.map(|lapse| Worst { at: now, lapse }).or(worst)
+fn longer_gap(now: Nanos, longest_gap: Option<LongestGap>, gap: Option<CoverageGap>) -> Option<LongestGap> {
+    let longest = longest_gap.as_ref().map_or(Nanos(0), |longest_gap| longest_gap.gap.lasted);
+    let gap = gap.filter(|gap| gap.lasted > longest);
+    gap.map(|gap| LongestGap { at: now, gap }).or(longest_gap)
 }
 
 /// The servers that are listed ready.
-struct Usable<'c, 'a> {
+struct ReadyServers<'c, 'a> {
     classes: &'c [ClassSettings],
     now: Nanos,
     warm_after: Nanos,
-    shut_out: &'c BTreeSet<ServerId>,
+    ejected: &'c BTreeSet<ServerId>,
     servers: BTreeMap<&'a ServerId, &'a Listing>,
 }
 
-impl<'c, 'a> Usable<'c, 'a> {
+impl<'c, 'a> ReadyServers<'c, 'a> {
     fn new(
         now: Nanos,
         warm_after: Nanos,
         classes: &'c [ClassSettings],
-        shut_out: &'c BTreeSet<ServerId>,
+        ejected: &'c BTreeSet<ServerId>,
         listed: impl Iterator<Item = &'a Listing>,
     ) -> Self {
         let ready = listed.filter(|entry| entry.readiness == Readiness::Ready);
         let servers = ready.map(|entry| (&entry.server, entry)).collect();
-        Usable { classes, now, warm_after, shut_out, servers }
+        ReadyServers { classes, now, warm_after, ejected, servers }
     }
 
     /// Whether it is warm, or may be.
@@ -406,15 +415,15 @@
         entry.started.is_none_or(is_old) || !entry.is_start_certain
     }
 
-    fn is_open(&self, class: usize, zone: ZoneId, entry: &Listing) -> bool {
+    fn is_allowed(&self, class: usize, zone: ZoneId, entry: &Listing) -> bool {
         let settings = &self.classes[class];
         (settings.only_zones.is_empty() || settings.only_zones.contains(&entry.zone))
             && (settings.only_kinds.is_empty() || settings.only_kinds.contains(&entry.kind))
             && (!settings.home_only || entry.zone == zone)
     }
 
-    fn open(&self, class: usize, zone: ZoneId) -> impl Iterator<Item = &&'a Listing> {
-        self.servers.values().filter(move |entry| self.is_open(class, zone, entry))
+    fn allowed(&self, class: usize, zone: ZoneId) -> impl Iterator<Item = &&'a Listing> {
+        self.servers.values().filter(move |entry| self.is_allowed(class, zone, entry))
     }
 
     /// What there is for a proxy of a zone, if none of these lines is of use to it.
@@ -425,18 +434,18 @@
         lines: Option<&BTreeSet<ServerId>>,
     ) -> Option<Supply> {
         let has = |server: &ServerId| {
-            self.servers.get(server).is_some_and(|entry| self.is_open(class, zone, entry))
+            self.servers.get(server).is_some_and(|entry| self.is_allowed(class, zone, entry))
         };
         if lines.is_some_and(|lines| lines.iter().any(has)) {
             return None;
         }
-        let mut warm = self.open(class, zone).filter(|entry| self.is_warm(entry)).peekable();
+        let mut warm = self.allowed(class, zone).filter(|entry| self.is_warm(entry)).peekable();
         Some(if warm.peek().is_some() {
-            match warm.all(|entry| self.shut_out.contains(&entry.server)) {
+            match warm.all(|entry| self.ejected.contains(&entry.server)) {
                 true => Supply::AllOut,
                 false => Supply::Usable,
             }
-        } else if self.open(class, zone).next().is_some() {
+        } else if self.allowed(class, zone).next().is_some() {
             Supply::AllCold
         } else {
             Supply::NoneListed
@@ -444,18 +453,19 @@
     }
 
     /// Of no proxy yet: `proxies` is to be counted.
-    fn warning(&self, proxy: ProxyId, class: usize, zone: ZoneId, held: &Held) -> BareWarning {
-        let count =
-            |fits: &dyn Fn(&Listing) -> bool| self.open(class, zone).filter(|entry| fits(entry)).count();
-        BareWarning {
+    fn warning(&self, proxy: ProxyId, class: usize, zone: ZoneId, state: &ClassState) -> NoLineWarning {
+        let count = |matches: &dyn Fn(&Listing) -> bool| {
+            self.allowed(class, zone).filter(|entry| matches(entry)).count()
+        };
+        NoLineWarning {
             class: ClassId(class as u8),
-            table: held.table,
+            table: state.table,
             proxy,
             proxies: 0,
-            supply: held.supply.unwrap_or(Supply::NoneListed),
+            supply: state.supply.unwrap_or(Supply::NoneListed),
             ready: count(&|_| true),
             cold: count(&|entry| !self.is_warm(entry)),
-            shut_out: count(&|entry| self.shut_out.contains(&entry.server)),
+            ejected: count(&|entry| self.ejected.contains(&entry.server)),
         }
     }
 }
--- a/crates/craneknot-node/src/event_streams.rs
+++ b/crates/craneknot-node/src/event_streams.rs
@@ -10,56 +10,58 @@
 use http::{header, Method};
 
 use crate::link::{backoff, Act, LinkId, Links};
-use crate::presence::{Account, Presence};
-
-const HELD: usize = 2; // streams: with one, news is missed whenever it breaks
-const SILENT: Nanos = Nanos::from_millis(2_500); // ms; a sign of life comes every second
-const QUIET: Nanos = Nanos::from_millis(1_500); // ms; a stream this long without a sign of life may miss what happens
-const OPEN_MOST: Nanos = Nanos::from_millis(1_500); // ms; to be connected and hear the first byte
-const SETTLED: Nanos = Nanos::from_millis(500); // ms; what stands has been told by then, on a new stream
-const REPEATED: Nanos = Nanos::from_millis(4_000); // ms; what a stream told so long before another ended may have been more
-                                                   // than a repetition
+use crate::presence::{Presence, StreamView};
+
+const STREAM_COUNT: usize = 2; // streams: with one, news is missed whenever it breaks
+const SILENT_AFTER: Nanos = Nanos::from_millis(2_500); // ms; a sign of life comes every second
+const QUIET_AFTER: Nanos = Nanos::from_millis(1_500); // ms; a stream this long without a sign of life may miss what happens
+const OPEN_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; to be connected and hear the first byte
+const SNAPSHOT_SPAN: Nanos = Nanos::from_millis(500); // ms; what stands has been told by then, on a new stream
+const REPEAT_WINDOW: Nanos = Nanos::from_millis(4_000); // ms; what a stream told so long before another ended may have been more
+                                                        // than a repetition
 const OVERLAP: Nanos = Nanos::from_millis(500); // ms; before a stream's last word, news may have been on its way
-const RIPE: Nanos = Nanos::from_millis(1_000); // ms; a stream open for so long has told what stands twice over
-const KEPT: Nanos = Nanos::from_millis(4_000); // ms; acknowledgements: a stream's silence and the overlap before
-const BACKOFF: Nanos = Nanos::from_millis(50); // ms; first wait before dialling again, doubled each time
-const BACKOFF_MOST: Nanos = Nanos::from_millis(800); // ms; the longest
+const ESTABLISHED_AFTER: Nanos = Nanos::from_millis(1_000); // ms; a stream open for so long has told what stands twice over
+const APPLIED_RETENTION: Nanos = Nanos::from_millis(4_000); // ms; acknowledgements: a stream's silence and the overlap before
+const BACKOFF_FIRST: Nanos = Nanos::from_millis(50); // ms; first wait before dialling again, doubled each time
+const BACKOFF_MAX: Nanos = Nanos::from_millis(800); // ms; the longest
 
 /// One stream, and what it has told.
 struct EventStream {
     link: LinkId,
     address: SocketAddr,
-    dialled: Nanos,
+    dialled_at: Nanos,
     /// When its first byte came, and its last.
-    open: Option<Nanos>,
-    heard: Nanos,
+    opened_at: Option<Nanos>,
+    last_input_at: Nanos,
     decoder: Decoder,
-    account: Account,
+    view: StreamView,
 }
 
 impl EventStream {
-    fn speaks(&self, now: Nanos) -> bool {
-        self.open.is_some() && now - self.heard < SILENT
+    fn is_alive(&self, now: Nanos) -> bool {
+        self.opened_at.is_some() && now - self.last_input_at < SILENT_AFTER
     }
 
     /// It has told what stands, and speaks on.
-    fn ripe(&self, now: Nanos) -> bool {
-        self.speaks(now) && self.open.is_some_and(|open| now - open >= RIPE)
+    fn is_established(&self, now: Nanos) -> bool {
+        self.is_alive(now) && self.opened_at.is_some_and(|opened_at| now - opened_at >= ESTABLISHED_AFTER)
     }
 
     fn is_quiet(&self, now: Nanos) -> bool {
-        now - self.heard >= QUIET
+        now - self.last_input_at >= QUIET_AFTER
     }
 
     /// When it has told what stands; nothing: that is over, or has not begun.
-    fn settles_at(&self) -> Option<Nanos> {
-        self.open.filter(|_| !self.account.is_settled()).map(|open| open + SETTLED)
+    fn snapshot_due_at(&self) -> Option<Nanos> {
+        self.opened_at
+            .filter(|_| !self.view.is_snapshot_complete())
+            .map(|opened_at| opened_at + SNAPSHOT_SPAN)
     }
 }
 
 /// The streams that would tell of a proxy's leaving.
-fn following(streams: &[EventStream], now: Nanos) -> impl Iterator<Item = &EventStream> {
-    streams.iter().filter(move |stream| stream.open.is_some() && !stream.is_quiet(now))
+fn tracking(streams: &[EventStream], now: Nanos) -> impl Iterator<Item = &EventStream> {
+    streams.iter().filter(move |stream| stream.opened_at.is_some() && !stream.is_quiet(now))
 }
 
 /// All streams, and what they have told together.
@@ -68,10 +70,10 @@
     streams: Vec<EventStream>,
     presence: Presence,
     /// The acknowledgements told of late, and when: other streams bring them too.
-    applied: BTreeMap<(ProxyId, u16), Nanos>,
+    applied_at: BTreeMap<(ProxyId, u16), Nanos>,
     /// When the streams that remain have had time to tell what one that has ended told last.
-    doubt_ends: Option<Nanos>,
-    dial_at: Nanos,
+    uncertainty_ends_at: Option<Nanos>,
+    next_dial_at: Nanos,
     failures: u32,
 }
 
@@ -82,9 +84,9 @@
             address,
             streams: Vec::new(),
             presence: Presence::default(),
-            applied: BTreeMap::new(),
-            doubt_ends: None,
-            dial_at: now,
+            applied_at: BTreeMap::new(),
+            uncertainty_ends_at: None,
+            next_dial_at: now,
             failures: 0,
         }
     }
@@ -97,67 +99,70 @@
     /// The relay is elsewhere from now on. Streams from its old address serve until new ones speak.
     pub fn move_to(&mut self, now: Nanos, address: SocketAddr) {
         if self.address != address {
-            (self.address, self.dial_at, self.failures) = (address, now, 0);
+            (self.address, self.next_dial_at, self.failures) = (address, now, 0);
         }
     }
 
     /// Ends and dials streams where that is due.
-    pub fn turn(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>, out: &mut Vec<News>) {
-        self.settle(now, out);
-        self.end_late(now, acts, out);
+    pub fn turn(&mut self, now: Nanos, links: &mut Links, link_actions: &mut Vec<Act>, out: &mut Vec<News>) {
+        self.complete_snapshots(now, out);
+        self.drop_late(now, link_actions, out);
         self.confirm(now, out);
-        self.end_doubt(now, out);
-        if self.wants_more(now) && now >= self.dial_at {
-            self.dial(now, links, acts);
+        self.resolve_uncertain(now, out);
+        if self.needs_dial(now) && now >= self.next_dial_at {
+            self.dial(now, links, link_actions);
         }
     }
 
     /// Ends streams that never opened, or fell silent. The last one heard is kept while nothing else speaks, since what
     /// is cut off may come back.
-    fn end_late(&mut self, now: Nanos, acts: &mut Vec<Act>, out: &mut Vec<News>) {
-        let speaking = self.streams.iter().any(|stream| stream.speaks(now));
-        let open = self.streams.iter().filter(|stream| stream.open.is_some());
-        let last = open.max_by_key(|stream| stream.heard).map(|stream| stream.link);
+    fn drop_late(&mut self, now: Nanos, link_actions: &mut Vec<Act>, out: &mut Vec<News>) {
+        let is_any_alive = self.streams.iter().any(|stream| stream.is_alive(now));
+        let opened = self.streams.iter().filter(|stream| stream.opened_at.is_some());
+        let last = opened.max_by_key(|stream| stream.last_input_at).map(|stream| stream.link);
         let address = self.address;
-        let moved =
-            self.streams.iter().filter(|stream| stream.address == address && stream.ripe(now)).count();
-        let late = |stream: &EventStream| match stream.open {
-            None => now - stream.dialled >= OPEN_MOST,
-            Some(_) if stream.address != address && moved >= HELD => true,
-            Some(_) => !stream.speaks(now) && (speaking || Some(stream.link) != last),
+        let established = self
+            .streams
+            .iter()
+            .filter(|stream| stream.address == address && stream.is_established(now))
+            .count();
+        let late = |stream: &EventStream| match stream.opened_at {
+            None => now - stream.dialled_at >= OPEN_TIMEOUT,
+            Some(_) if stream.address != address && established >= STREAM_COUNT => true,
+            Some(_) => !stream.is_alive(now) && (is_any_alive || Some(stream.link) != last),
         };
         let late = self.streams.iter().filter(|stream| late(stream)).map(|stream| stream.link);
         for link in late.collect::<Vec<_>>() {
-            acts.push(Act::Drop { link });
+            link_actions.push(Act::Drop { link });
             self.lost(now, link, out);
         }
     }
 
-    fn dial(&mut self, now: Nanos, links: &mut Links, acts: &mut Vec<Act>) {
+    fn dial(&mut self, now: Nanos, links: &mut Links, link_actions: &mut Vec<Act>) {
         let (link, address) = (links.name(), self.address);
         let headers = [(header::ACCEPT, "text/event-stream")];
         let request = request(&Method::GET, news::PATH, &address.to_string(), &headers, b"");
-        acts.push(Act::Dial { link, address, request });
+        link_actions.push(Act::Dial { link, address, request });
         self.streams.push(EventStream {
             link,
             address,
-            dialled: now,
-            open: None,
-            heard: now,
+            dialled_at: now,
+            opened_at: None,
+            last_input_at: now,
             decoder: Decoder::default(),
-            account: self.presence.open_account(),
+            view: self.presence.new_view(),
         });
-        self.dial_at = now + self.wait();
+        self.next_dial_at = now + self.backoff_wait();
     }
 
     /// Whether too few streams of the present address speak, or may still open.
-    fn wants_more(&self, now: Nanos) -> bool {
-        let here = self.streams.iter().filter(|stream| stream.address == self.address);
-        here.filter(|stream| stream.open.is_none() || stream.speaks(now)).count() < HELD
+    fn needs_dial(&self, now: Nanos) -> bool {
+        let current = self.streams.iter().filter(|stream| stream.address == self.address);
+        current.filter(|stream| stream.opened_at.is_none() || stream.is_alive(now)).count() < STREAM_COUNT
     }
 
-    fn wait(&self) -> Nanos {
-        backoff(self.failures, BACKOFF, BACKOFF_MOST)
+    fn backoff_wait(&self) -> Nanos {
+        backoff(self.failures, BACKOFF_FIRST, BACKOFF_MAX)
     }
 
     /// What reads a stream's bytes.
@@ -166,53 +171,53 @@
     }
 
     /// Bytes have come on a stream, with this news in them.
-    pub fn heard(&mut self, now: Nanos, link: LinkId, news: Vec<News>, out: &mut Vec<News>) {
-        let Some(place) = self.streams.iter().position(|stream| stream.link == link) else { return };
-        let mut stream = self.streams.remove(place);
-        if stream.open.is_none() {
-            stream.open = Some(now);
+    pub fn receive(&mut self, now: Nanos, link: LinkId, relay_events: Vec<News>, out: &mut Vec<News>) {
+        let Some(index) = self.streams.iter().position(|stream| stream.link == link) else { return };
+        let mut stream = self.streams.remove(index);
+        if stream.opened_at.is_none() {
+            stream.opened_at = Some(now);
             self.failures = 0;
         }
-        stream.heard = now;
-        for news in news {
-            self.take(now, &mut stream.account, news, out);
+        stream.last_input_at = now;
+        for relay_event in relay_events {
+            self.apply(now, &mut stream.view, relay_event, out);
         }
-        self.streams.insert(place, stream);
-        self.settle(now, out);
+        self.streams.insert(index, stream);
+        self.complete_snapshots(now, out);
         self.confirm(now, out);
-        self.applied.retain(|_, at| now - *at < KEPT);
+        self.applied_at.retain(|_, at| now - *at < APPLIED_RETENTION);
     }
 
     /// Takes news of a stream that is not among the others for the moment.
-    fn take(&mut self, now: Nanos, account: &mut Account, news: News, out: &mut Vec<News>) {
-        let is_followed = self.is_followed(now, news.proxy());
-        match news {
-            News::Joined { .. } => self.presence.take_joined(now, account, &news, is_followed, out),
-            News::Left { proxy } => self.presence.take_left(now, account, proxy, is_followed, out),
+    fn apply(&mut self, now: Nanos, view: &mut StreamView, relay_event: News, out: &mut Vec<News>) {
+        let is_tracked = self.is_tracked(now, relay_event.proxy());
+        match relay_event {
+            News::Joined { .. } => self.presence.apply_joined(now, view, &relay_event, is_tracked, out),
+            News::Left { proxy } => self.presence.apply_left(now, view, proxy, is_tracked, out),
             News::Applied { proxy, mark } => {
-                let is_new = self.applied.insert((proxy, mark), now).is_none();
-                out.extend((is_new && self.presence.is_joined(proxy)).then_some(news));
+                let is_new = self.applied_at.insert((proxy, mark), now).is_none();
+                out.extend((is_new && self.presence.is_joined(proxy)).then_some(relay_event));
             }
         }
     }
 
     /// Whether a stream that is not quiet has told all that is known of a proxy, and would tell of its leaving.
-    fn is_followed(&self, now: Nanos, proxy: ProxyId) -> bool {
-        following(&self.streams, now).any(|stream| self.presence.is_followed(&stream.account, proxy))
+    fn is_tracked(&self, now: Nanos, proxy: ProxyId) -> bool {
+        tracking(&self.streams, now).any(|stream| self.presence.is_tracked(&stream.view, proxy))
     }
 
     /// A stream has ended.
     pub fn lost(&mut self, now: Nanos, link: LinkId, out: &mut Vec<News>) {
-        let Some(place) = self.streams.iter().position(|stream| stream.link == link) else { return };
-        let ended = self.streams.remove(place);
-        self.dial_at = self.dial_at.max(now + self.wait());
+        let Some(index) = self.streams.iter().position(|stream| stream.link == link) else { return };
+        let ended = self.streams.remove(index);
+        self.next_dial_at = self.next_dial_at.max(now + self.backoff_wait());
         self.failures += 1;
         // One that never opened has told nothing.
-        if ended.open.is_some() {
-            let mut remaining: Vec<&mut Account> =
-                self.streams.iter_mut().map(|stream| &mut stream.account).collect();
-            self.presence.doubt(&mut remaining, now - REPEATED);
-            self.doubt_ends = Some(now + SETTLED);
+        if ended.opened_at.is_some() {
+            let mut remaining: Vec<&mut StreamView> =
+                self.streams.iter_mut().map(|stream| &mut stream.view).collect();
+            self.presence.mark_uncertain(&mut remaining, now - REPEAT_WINDOW);
+            self.uncertainty_ends_at = Some(now + SNAPSHOT_SPAN);
         }
         self.confirm(now, out);
     }
@@ -220,86 +225,88 @@
     /// Whether a proxy came and went before a stream began is told by one that was open before: it has done so by some
     /// time after, or it is gone or quiet, and whoever may have done so is told as joined anew.
     fn confirm(&mut self, now: Nanos, out: &mut Vec<News>) {
-        for place in 0..self.streams.len() {
-            let mut stream = self.streams.remove(place);
-            if let Some(since) = stream.account.assumed_since().filter(|_| !stream.is_quiet(now)) {
-                let others = self.streams.iter().filter(|other| other.open.is_some_and(|open| open <= since));
-                let spoke_last = others.max_by_key(|other| other.heard);
-                match spoke_last.filter(|other| !other.is_quiet(now)) {
-                    Some(other) => stream.account.confirm(other.heard - OVERLAP, &other.account),
-                    None => self.presence.join_assumed_anew(&mut stream.account, out),
+        for index in 0..self.streams.len() {
+            let mut stream = self.streams.remove(index);
+            if let Some(since) = stream.view.assumed_since().filter(|_| !stream.is_quiet(now)) {
+                let others = self
+                    .streams
+                    .iter()
+                    .filter(|other| other.opened_at.is_some_and(|opened_at| opened_at <= since));
+                let latest = others.max_by_key(|other| other.last_input_at);
+                match latest.filter(|other| !other.is_quiet(now)) {
+                    Some(other) => stream.view.confirm(other.last_input_at - OVERLAP, &other.view),
+                    None => self.presence.rejoin_assumed(&mut stream.view, out),
                 }
             }
-            self.streams.insert(place, stream);
+            self.streams.insert(index, stream);
         }
     }
 
     /// Streams that have opened for long enough have told what stands; who is not named has left, unless a stream that
     /// is not quiet would have told of it.
-    fn settle(&mut self, now: Nanos, out: &mut Vec<News>) {
-        for place in 0..self.streams.len() {
-            let mut stream = self.streams.remove(place);
-            if stream.settles_at().is_some_and(|at| at <= now) {
-                let followers: Vec<&Account> =
-                    following(&self.streams, now).map(|other| &other.account).collect();
-                self.presence.settle(&mut stream.account, &followers, out);
+    fn complete_snapshots(&mut self, now: Nanos, out: &mut Vec<News>) {
+        for index in 0..self.streams.len() {
+            let mut stream = self.streams.remove(index);
+            if stream.snapshot_due_at().is_some_and(|at| at <= now) {
+                let tracking_views: Vec<&StreamView> =
+                    tracking(&self.streams, now).map(|other| &other.view).collect();
+                self.presence.complete_snapshot(&mut stream.view, &tracking_views, out);
             }
-            self.streams.insert(place, stream);
+            self.streams.insert(index, stream);
         }
     }
 
     /// After a stream has ended the others have had time to tell what it told last.
-    fn end_doubt(&mut self, now: Nanos, out: &mut Vec<News>) {
-        let Some(at) = self.doubt_ends.filter(|at| *at <= now) else { return };
-        self.doubt_ends = None;
-        for place in 0..self.streams.len() {
-            let mut stream = self.streams.remove(place);
+    fn resolve_uncertain(&mut self, now: Nanos, out: &mut Vec<News>) {
+        let Some(at) = self.uncertainty_ends_at.filter(|at| *at <= now) else { return };
+        self.uncertainty_ends_at = None;
+        for index in 0..self.streams.len() {
+            let mut stream = self.streams.remove(index);
             // One that has been silent since may have it on its way.
-            if stream.heard + SETTLED > at {
+            if stream.last_input_at + SNAPSHOT_SPAN > at {
                 let others = &self.streams;
-                let is_followed = |presence: &Presence, proxy| {
-                    others
-                        .iter()
-                        .any(|other| !other.is_quiet(now) && presence.is_followed(&other.account, proxy))
+                let is_tracked = |presence: &Presence, proxy| {
+                    others.iter().any(|other| !other.is_quiet(now) && presence.is_tracked(&other.view, proxy))
                 };
-                self.presence.end_doubt(&mut stream.account, is_followed, out);
-            } else if stream.speaks(now) && stream.account.is_doubted() {
-                self.doubt_ends = Some(now + SETTLED);
+                self.presence.resolve_uncertain(&mut stream.view, is_tracked, out);
+            } else if stream.is_alive(now) && stream.view.is_uncertain() {
+                self.uncertainty_ends_at = Some(now + SNAPSHOT_SPAN);
             }
-            self.streams.insert(place, stream);
+            self.streams.insert(index, stream);
         }
     }
 
     /// Streams that have opened.
-    pub fn streams(&self) -> usize {
-        self.streams.iter().filter(|stream| stream.open.is_some()).count()
+    pub fn open_streams(&self) -> usize {
+        self.streams.iter().filter(|stream| stream.opened_at.is_some()).count()
     }
 
     /// Proxies told as joined.
-    pub fn told(&self) -> usize {
-        self.presence.joined()
+    pub fn joined_count(&self) -> usize {
+        self.presence.joined_count()
     }
 
     /// Whether a proxy is told as joined.
-    pub fn is_told(&self, proxy: ProxyId) -> bool {
+    pub fn is_joined(&self, proxy: ProxyId) -> bool {
         self.presence.is_joined(proxy)
     }
 
     /// When the next stream will be quiet that others may wait for.
     fn quiet_at(&self, now: Nanos) -> Option<Nanos> {
-        let is_awaited = self.streams.iter().any(|stream| stream.account.assumed_since().is_some());
-        let quiet = self.streams.iter().map(|stream| stream.heard + QUIET).filter(|at| *at > now);
+        let is_awaited = self.streams.iter().any(|stream| stream.view.assumed_since().is_some());
+        let quiet =
+            self.streams.iter().map(|stream| stream.last_input_at + QUIET_AFTER).filter(|at| *at > now);
         quiet.min().filter(|_| is_awaited)
     }
 
     /// When the next turn is due though nothing comes in. A stream that is silent, and kept, sets no time.
     pub fn next_at(&self, now: Nanos) -> Option<Nanos> {
-        let settled = self.streams.iter().filter_map(EventStream::settles_at);
-        let streams = self.streams.iter().filter_map(|stream| match stream.open {
-            None => Some(stream.dialled + OPEN_MOST),
-            Some(_) => stream.speaks(now).then_some(stream.heard + SILENT),
+        let settled = self.streams.iter().filter_map(EventStream::snapshot_due_at);
+        let streams = self.streams.iter().filter_map(|stream| match stream.opened_at {
+            None => Some(stream.dialled_at + OPEN_TIMEOUT),
+            Some(_) => stream.is_alive(now).then_some(stream.last_input_at + SILENT_AFTER),
         });
-        let dial = self.wants_more(now).then_some(self.dial_at);
-        settled.chain(streams).chain(self.quiet_at(now)).chain(self.doubt_ends).chain(dial).min()
+        let dial = self.needs_dial(now).then_some(self.next_dial_at);
+        settled.chain(streams).chain(self.quiet_at(now)).chain(self.uncertainty_ends_at).chain(dial).min()
     }
 }
--- a/crates/craneknot-node/src/log_event.rs
+++ b/crates/craneknot-node/src/log_event.rs
@@ -8,7 +8,7 @@
 use tracing::{info, warn};
 
 use crate::clients::ClientId;
-use crate::coverage::{BareWarning, Lapse};
+use crate::coverage::{CoverageGap, NoLineWarning};
 use crate::takeover::Takeover;
 
 const LINES_MOST: u32 = 40; // of one kind between two status lines: enough to see how it began
@@ -22,14 +22,14 @@
     Note(String),
     /// A proxy has lacked a line for longer than the settings allow.
     Lapse {
-        lapse: Lapse,
+        lapse: CoverageGap,
         class: String,
         calls_failed: u32,
         orders_waiting: usize,
     },
     /// Proxies have had no line for half of what the settings allow, though servers are listed.
     Bare {
-        warning: BareWarning,
+        warning: NoLineWarning,
         class: String,
     },
     /// Many proxies came at once, some seconds ago.
@@ -153,7 +153,7 @@
             LogEvent::Bare { warning, class } => warn!(
                 class = cut_name(class), supply = ?warning.supply, proxies = warning.proxies,
                 proxy = warning.proxy.0, table = warning.table.map(|table| table.0), ready = warning.ready,
-                cold = warning.cold, shut_out = warning.shut_out, "{kind}"
+                cold = warning.cold, shut_out = warning.ejected, "{kind}"
             ),
             LogEvent::Takeover(takeover) => write_takeover(takeover, kind),
             LogEvent::ProxyJoined { proxy, zone } => info!(proxy = proxy.0, zone = zone.0, "{kind}"),
--- a/crates/craneknot-node/src/pending.rs
+++ b/crates/craneknot-node/src/pending.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Default)]
 pub struct PendingWork {
     clients: BTreeMap<ClientId, PendingClient>,
-    orders: usize,
+    unacknowledged_orders: usize,
     violations: Violations,
 }
 
@@ -92,14 +92,14 @@
     }
 
     /// Orders that are not acknowledged, as of now.
-    pub fn set_orders(&mut self, orders: usize) {
-        self.orders = orders;
+    pub fn set_unacknowledged_orders(&mut self, orders: usize) {
+        self.unacknowledged_orders = orders;
     }
 
     /// A connection ends: nothing is owed on it any more.
     pub fn closed(&mut self, id: ClientId, reason: CloseReason) {
-        let owed = self.clients.remove(&id);
-        if reason == CloseReason::Dropped && owed.is_some() {
+        let pending = self.clients.remove(&id);
+        if reason == CloseReason::Dropped && pending.is_some() {
             self.violations.closed_unanswered += 1;
         }
     }
@@ -107,7 +107,7 @@
     /// The process ends: what is owed now will not be done.
     pub fn abandon(&mut self) {
         self.violations.closed_unanswered += std::mem::take(&mut self.clients).len() as u64;
-        self.violations.orders_dropped += std::mem::take(&mut self.orders) as u64;
+        self.violations.orders_dropped += std::mem::take(&mut self.unacknowledged_orders) as u64;
     }
 
     /// An order was refused on its way out.
@@ -121,7 +121,7 @@
     }
 
     /// Whether anything is owed to a client.
-    pub fn owes(&self, id: ClientId) -> bool {
+    pub fn has_pending(&self, id: ClientId) -> bool {
         self.clients.contains_key(&id)
     }
 
@@ -131,13 +131,13 @@
     }
 
     /// Orders not acknowledged.
-    pub fn orders(&self) -> usize {
-        self.orders
+    pub fn unacknowledged_orders(&self) -> usize {
+        self.unacknowledged_orders
     }
 
     /// Whether nothing is owed to anybody.
-    pub fn is_settled(&self) -> bool {
-        self.clients.is_empty() && self.orders == 0
+    pub fn is_empty(&self) -> bool {
+        self.clients.is_empty() && self.unacknowledged_orders == 0
     }
 
     /// What was owed and not done.
--- a/crates/craneknot-node/src/server_age.rs
+++ b/crates/craneknot-node/src/server_age.rs
@@ -12,10 +12,10 @@
 
 use craneknot::interface::{Nanos, ServerId};
 
-const DISCOVERY_LAG_MOST: Nanos = Nanos::from_millis(15_000); // ms; a start is listed well before that: the platform
-                                                              // says 6 s
-const CLOCK_ERROR_MOST: Nanos = Nanos::from_millis(3_600_000); // ms; how far a wall clock may be ahead: an hour
-const REMEMBERED: Nanos = Nanos::from_millis(600_000); // ms; a server that was removed for so long is a new one
+const DISCOVERY_LAG_MAX: Nanos = Nanos::from_millis(15_000); // ms; a start is listed well before that: the platform
+                                                             // says 6 s
+const CLOCK_ERROR_MAX: Nanos = Nanos::from_millis(3_600_000); // ms; how far a wall clock may be ahead: an hour
+const REMOVED_RETENTION: Nanos = Nanos::from_millis(600_000); // ms; a server that was removed for so long is a new one
 
 /// When a server started, as far as can be told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     claimed: Option<Nanos>,
     /// As believed here.
     start: Start,
-    seen: Nanos,
+    seen_at: Nanos,
 }
 
 /// The starts of all servers that were listed.
@@ -39,13 +39,13 @@
 pub struct ServerStarts {
     observed: BTreeMap<ServerId, Observed>,
     /// When the last list came from discovery; nothing: none came yet.
-    list_at: Option<Nanos>,
+    last_list_at: Option<Nanos>,
     /// How far the wall clock that this process began with is behind, at the least.
     clock_behind: Nanos,
     /// A start looked recent: the wall clock is not ahead.
-    is_clock_proven: bool,
+    is_clock_not_ahead: bool,
     /// The newest start that any list told.
-    newest: Nanos,
+    newest_claimed: Nanos,
 }
 
 impl ServerStarts {
@@ -53,8 +53,8 @@
     /// its servers is observed.
     pub fn learn_clock(&mut self, now: Nanos, claimed: Nanos) {
         self.clock_behind = self.clock_behind.max(claimed - now);
-        self.is_clock_proven |= claimed <= now && now - claimed <= DISCOVERY_LAG_MOST;
-        self.newest = self.newest.max(claimed);
+        self.is_clock_not_ahead |= claimed <= now && now - claimed <= DISCOVERY_LAG_MAX;
+        self.newest_claimed = self.newest_claimed.max(claimed);
     }
 
     /// When a listed server started, as far as can be believed. `claimed`: as discovery tells it, nothing: long ago.
@@ -63,26 +63,26 @@
         let start = match known.filter(|known| known.claimed == claimed) {
             Some(known) => known.start,
             None => claimed.map_or(Start { latest: None, is_certain: true }, |claimed| {
-                self.believed(now, claimed, known.is_some())
+                self.estimate(now, claimed, known.is_some())
             }),
         };
-        self.observed.insert(server.clone(), Observed { claimed, start, seen: now });
+        self.observed.insert(server.clone(), Observed { claimed, start, seen_at: now });
         start
     }
 
     /// `is_restart`: it was listed with another start before.
-    fn believed(&self, now: Nanos, claimed: Nanos, is_restart: bool) -> Start {
+    fn estimate(&self, now: Nanos, claimed: Nanos, is_restart: bool) -> Start {
         let claimed = claimed.min(now + self.clock_behind) - self.clock_behind;
         // A start that the list before did not show, though it was long before that: the wall clock is ahead, or the
         // server was not listed for a while.
-        let before = self.list_at.filter(|before| now - claimed > (now - *before) + DISCOVERY_LAG_MOST);
+        let before = self.last_list_at.filter(|before| now - claimed > (now - *before) + DISCOVERY_LAG_MAX);
         match before {
-            Some(before) if is_restart || !self.is_clock_proven => {
+            Some(before) if is_restart || !self.is_clock_not_ahead => {
                 Start { latest: Some(before), is_certain: is_restart }
             }
             Some(_) | None if is_restart => Start { latest: Some(claimed), is_certain: true },
             Some(_) | None => {
-                let ahead = self.ahead_most(now);
+                let ahead = self.clock_ahead_max(now);
                 let is_certain = ahead == Nanos(0) && self.clock_behind == Nanos(0);
                 Start { latest: Some(claimed + ahead), is_certain }
             }
@@ -90,23 +90,23 @@
     }
 
     /// How far the wall clock may be ahead: no further than makes the newest start lie in the future.
-    fn ahead_most(&self, now: Nanos) -> Nanos {
-        if self.is_clock_proven || self.clock_behind > Nanos(0) {
+    fn clock_ahead_max(&self, now: Nanos) -> Nanos {
+        if self.is_clock_not_ahead || self.clock_behind > Nanos(0) {
             return Nanos(0);
         }
-        CLOCK_ERROR_MOST.min(now - self.newest)
+        CLOCK_ERROR_MAX.min(now - self.newest_claimed)
     }
 
     /// A list from discovery has been taken in whole.
-    pub fn list_taken(&mut self, now: Nanos) {
-        self.list_at = Some(now);
-        self.observed.retain(|_, observed| now - observed.seen < REMEMBERED);
+    pub fn list_applied(&mut self, now: Nanos) {
+        self.last_list_at = Some(now);
+        self.observed.retain(|_, observed| now - observed.seen_at < REMOVED_RETENTION);
     }
 
     /// A server is still listed though it was not named.
-    pub fn still_listed(&mut self, now: Nanos, server: &ServerId) {
+    pub fn confirm_listed(&mut self, now: Nanos, server: &ServerId) {
         if let Some(observed) = self.observed.get_mut(server) {
-            observed.seen = now;
+            observed.seen_at = now;
         }
     }
 }
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -21,7 +21,7 @@
 use tracing::{debug, error, info, warn};
 
 use crate::clients::{ClientAction, ClientId, Clients};
-use crate::coordinator::{Coordinator, Todo};
+use crate::coordinator::{Coordinator, ShellActions};
 use crate::descriptors::Descriptors;
 use crate::link::{Act, LinkId};
 use crate::log_event::{cut, EventLog, LogEvent};
@@ -238,7 +238,7 @@
             self.end();
             return Ok(false);
         }
-        self.reactor.set_accept_room(self.listener, self.coordinator.accept_room());
+        self.reactor.set_accept_room(self.listener, self.coordinator.accept_capacity());
         let is_draining = self.shutdown != Shutdown::No;
         self.coordinator.set_backlog(is_draining && self.reactor.is_listening(self.listener));
         self.reactor.poll(None)?;
@@ -273,7 +273,7 @@
                 if let Some(client) = self.clients.remove(&conn) {
                     self.client_conns.remove(&client);
                     debug!(client = client.0, ?cause, "a client's connection has ended");
-                    self.coordinator.client_gone(client, CloseReason::ByPeer);
+                    self.coordinator.client_closed(client, CloseReason::ByPeer);
                 }
                 if matches!(cause, CloseCause::PeerClosed) {
                     self.end_response(conn);
@@ -305,7 +305,7 @@
         match self.shutdown {
             Shutdown::No => false,
             Shutdown::Draining => !self.reactor.is_listening(self.listener) && self.coordinator.is_finished(),
-            Shutdown::Hurried => self.coordinator.clients_settled(),
+            Shutdown::Hurried => self.coordinator.is_client_work_done(),
         }
     }
 
@@ -318,7 +318,7 @@
                 info!(signal, "shutting down");
                 self.shutdown = Shutdown::Draining;
                 self.coordinator.shut_down();
-                self.reactor.set_accept_room(self.listener, self.coordinator.accept_room());
+                self.reactor.set_accept_room(self.listener, self.coordinator.accept_capacity());
                 self.reactor.unlisten(self.listener);
                 self.reactor.set_timer(self.reactor.now() + SHUTDOWN_MOST, Due::Shutdown);
             }
@@ -465,12 +465,12 @@
     /// Lets the coordinator act, and carries out what it asks for.
     fn turn(&mut self) {
         let now = self.reactor.now();
-        let Todo { client_actions, acts, log } = self.coordinator.turn(now);
-        for event in &log {
+        let ShellActions { client_actions, link_actions, log_events } = self.coordinator.turn(now);
+        for event in &log_events {
             self.log.write(event);
         }
         client_actions.into_iter().for_each(|action| self.serve(action));
-        acts.into_iter().for_each(|act| self.act(act));
+        link_actions.into_iter().for_each(|act| self.act(act));
         // One timer that comes too early does no harm; one for each change would pile up.
         if let Some(next) =
             self.coordinator.next_at(now).filter(|next| self.turn_at.is_none_or(|at| *next < at))
@@ -531,7 +531,7 @@
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
         if self.reactor.read_last(conn) {
             self.read(conn);
-        } else if !self.coordinator.owes(id) {
+        } else if !self.coordinator.has_pending(id) {
             self.reject(id, cause);
         } else if self.reactor.stuck(conn) >= STUCK_MOST {
             self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD.to_owned() });
@@ -542,7 +542,7 @@
 
     /// Forgets a client; its connection is the caller's to close.
     fn forget(&mut self, id: ClientId, reason: CloseReason) -> Option<ConnId> {
-        self.coordinator.client_gone(id, reason);
+        self.coordinator.client_closed(id, reason);
         let conn = self.client_conns.remove(&id)?;
         self.clients.remove(&conn);
         Some(conn)
--- a/crates/craneknot-node/src/status.rs
+++ b/crates/craneknot-node/src/status.rs
@@ -4,7 +4,7 @@
 use craneknot::interface::Nanos;
 use tracing::{info, warn};
 
-use crate::coverage::{CoverageFigures, Worst};
+use crate::coverage::{CoverageFigures, LongestGap};
 use crate::log_event::{beginning, millis};
 use crate::pending::Violations;
 
@@ -41,7 +41,7 @@
 /// The longest lack, with what an operator calls its class, and the time since the start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedWorst {
-    pub worst: Worst,
+    pub worst: LongestGap,
     pub class: String,
     pub since_start: Nanos,
 }
@@ -73,10 +73,10 @@
     );
     write_worst("status of the longest lack", status.worst.as_ref(), status.coverage.uncovered);
     if status.worst_bare.is_empty() {
-        write_worst("status of the longest bare", None, status.coverage.bare);
+        write_worst("status of the longest bare", None, status.coverage.without_line);
     }
     for worst in &status.worst_bare {
-        write_worst("status of the longest bare", Some(worst), status.coverage.bare);
+        write_worst("status of the longest bare", Some(worst), status.coverage.without_line);
     }
     info!(
         orders = status.orders,
@@ -107,9 +107,10 @@
 
 /// The last lines of a process: the longest that a proxy was without a line, and what is left undone.
 pub fn write_end(status: &Status, violations: Violations) {
-    let longest = status.worst_bare.iter().max_by_key(|worst| worst.worst.lapse.lasted);
-    let lapse = longest.map(|longest| &longest.worst.lapse);
-    let (bare_longest_ms, bare_now) = (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.bare);
+    let longest = status.worst_bare.iter().max_by_key(|worst| worst.worst.gap.lasted);
+    let lapse = longest.map(|longest| &longest.worst.gap);
+    let (bare_longest_ms, bare_now) =
+        (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.without_line);
     let supply = lapse.map(|lapse| format!("{:?}", lapse.supply));
     let class = longest.map(|longest| beginning(&longest.class, CLASS_MOST));
     let over_limit = status.coverage.over_limit;
@@ -125,7 +126,7 @@
 /// The longest since the start, in each status line anew: readers keep a log's beginning and end only. `now`: how many
 /// proxies and classes are without a line now.
 fn write_worst(kind: &str, worst: Option<&NamedWorst>, now: usize) {
-    let lapse = worst.map(|worst| &worst.worst.lapse);
+    let lapse = worst.map(|worst| &worst.worst.gap);
     info!(
         now,
         longest_ms = lapse.map_or(0, |lapse| millis(lapse.lasted)),
--- a/crates/craneknot-node/src/takeover.rs
+++ b/crates/craneknot-node/src/takeover.rs
@@ -5,9 +5,9 @@
 
 use craneknot::interface::{Nanos, Order, ProxyId};
 
-const MANY: usize = 8; // proxies that join within a moment of each other: fewer is the usual coming and going
-const TOGETHER: Nanos = Nanos::from_millis(500); // ms; between two joinings that belong together
-const WATCHED: Nanos = Nanos::from_millis(10_000); // ms; by then all is bound, acknowledged and reported on
+const PROXIES_MIN: usize = 8; // proxies that join within a moment of each other: fewer is the usual coming and going
+const JOIN_INTERVAL_MAX: Nanos = Nanos::from_millis(500); // ms; between two joinings that belong together
+const OBSERVATION_SPAN: Nanos = Nanos::from_millis(10_000); // ms; by then all is bound, acknowledged and reported on
 
 /// One takeover, told when it is over. Times are spans since the first proxy joined.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -32,10 +32,10 @@
 
 #[derive(Default)]
 struct Current {
-    since: Nanos,
-    last_join: Nanos,
-    waiting: BTreeSet<ProxyId>,
-    told: Takeover,
+    started_at: Nanos,
+    last_join_at: Nanos,
+    unbound: BTreeSet<ProxyId>,
+    takeover: Takeover,
 }
 
 /// Watches for takeovers.
@@ -44,34 +44,37 @@
 
 impl TakeoverWatch {
     /// A proxy has joined.
-    pub fn joined(&mut self, now: Nanos, proxy: ProxyId) {
-        let few = |current: &Current| current.told.proxies < MANY && now - current.last_join > TOGETHER;
-        if self.0.as_ref().is_none_or(few) {
-            self.0 = Some(Current { since: now, ..Current::default() });
+    pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId) {
+        let is_ended_early = |current: &Current| {
+            current.takeover.proxies < PROXIES_MIN && now - current.last_join_at > JOIN_INTERVAL_MAX
+        };
+        if self.0.as_ref().is_none_or(is_ended_early) {
+            self.0 = Some(Current { started_at: now, ..Current::default() });
         }
         let Some(current) = &mut self.0 else { return };
-        current.last_join = now;
-        current.told.proxies += usize::from(current.waiting.insert(proxy));
+        current.last_join_at = now;
+        current.takeover.proxies += usize::from(current.unbound.insert(proxy));
     }
 
     /// A proxy has left.
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn proxy_left(&mut self, proxy: ProxyId) {
         if let Some(current) = &mut self.0 {
-            current.waiting.remove(&proxy);
+            current.unbound.remove(&proxy);
         }
     }
 
     /// An order was given.
     pub fn ordered(&mut self, now: Nanos, order: &Order) {
         let Some(current) = &mut self.0 else { return };
-        let (since, told) = (now - current.since, &mut current.told);
+        let (since, takeover) = (now - current.started_at, &mut current.takeover);
         match order {
-            Order::Bind { proxy, .. } if current.waiting.remove(proxy) => {
-                told.first_bind.get_or_insert(since);
-                told.last_bind = Some(since);
+            Order::Bind { proxy, .. } if current.unbound.remove(proxy) => {
+                takeover.first_bind.get_or_insert(since);
+                takeover.last_bind = Some(since);
             }
             Order::Level { level, .. } => {
-                told.lowest_level = Some(told.lowest_level.map_or(*level, |lowest| lowest.min(*level)));
+                takeover.lowest_level =
+                    Some(takeover.lowest_level.map_or(*level, |lowest| lowest.min(*level)));
             }
             _ => {}
         }
@@ -80,21 +83,21 @@
     /// A proxy has applied what it was sent.
     pub fn applied(&mut self, now: Nanos) {
         let Some(current) = &mut self.0 else { return };
-        let since = now - current.since;
-        current.told.first_applied.get_or_insert(since);
-        current.told.last_applied = Some(since);
+        let since = now - current.started_at;
+        current.takeover.first_applied.get_or_insert(since);
+        current.takeover.last_applied = Some(since);
     }
 
     /// A report has come.
     pub fn reported(&mut self, now: Nanos) {
         let Some(current) = &mut self.0 else { return };
-        current.told.first_report.get_or_insert(now - current.since);
+        current.takeover.first_report.get_or_insert(now - current.started_at);
     }
 
     /// The takeover that is over by now, if any; `joined`: proxies joined here in all.
     pub fn finished(&mut self, now: Nanos, joined: usize) -> Option<Takeover> {
-        let current = self.0.take_if(|current| now - current.since >= WATCHED)?;
-        let unbound = current.waiting.len();
-        (current.told.proxies >= MANY).then_some(Takeover { joined, unbound, ..current.told })
+        let current = self.0.take_if(|current| now - current.started_at >= OBSERVATION_SPAN)?;
+        let unbound = current.unbound.len();
+        (current.takeover.proxies >= PROXIES_MIN).then_some(Takeover { joined, unbound, ..current.takeover })
     }
 }
--- a/crates/craneknot-node/tests/clients.rs
+++ b/crates/craneknot-node/tests/clients.rs
@@ -178,12 +178,12 @@
     ];
     for (number, (enter, clear)) in (1..).zip(entries) {
         enter(&mut pending, id);
-        assert!(pending.owes(id) && !pending.is_settled(), "entry {number}");
+        assert!(pending.has_pending(id) && !pending.is_empty(), "entry {number}");
         clear(&mut pending, id);
-        assert!(!pending.owes(id) && pending.is_settled(), "entry {number}");
+        assert!(!pending.has_pending(id) && pending.is_empty(), "entry {number}");
         enter(&mut pending, id);
         pending.closed(id, CloseReason::Dropped);
-        assert!(!pending.owes(id));
+        assert!(!pending.has_pending(id));
         assert_eq!(pending.violations().closed_unanswered, number);
     }
     for reason in [CloseReason::ByPeer, CloseReason::Rejected] {
@@ -191,8 +191,8 @@
         pending.closed(id, reason);
     }
     assert_eq!(pending.violations().total(), 3, "whoever left or was told is owed nothing");
-    pending.set_orders(2);
-    assert!(!pending.is_settled());
+    pending.set_unacknowledged_orders(2);
+    assert!(!pending.is_empty());
     pending.abandon();
     assert_eq!(pending.violations().orders_dropped, 2);
 }
@@ -208,8 +208,8 @@
     {
         input.extend_from_slice(text.as_bytes());
         clients.take(ms(0), id, &mut input, &names, 150, &mut pending, &mut reports, &mut actions);
-        assert_eq!((pending.owes(id), actions.len()), (owed, answers), "{text}");
+        assert_eq!((pending.has_pending(id), actions.len()), (owed, answers), "{text}");
         actions.drain(..).for_each(|_| pending.request_answered(id, false));
     }
-    assert!(pending.is_settled());
+    assert!(pending.is_empty());
 }
--- a/crates/craneknot-node/tests/coordinator.rs
+++ b/crates/craneknot-node/tests/coordinator.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use craneknot::interface::*;
 use craneknot_node::clients::ClientId;
-use craneknot_node::coordinator::{Coordinator, Todo};
+use craneknot_node::coordinator::{Coordinator, ShellActions};
 use craneknot_node::coverage::WaitingFor;
 use craneknot_node::link::{Act, LinkId};
 use craneknot_node::log_event::LogEvent;
@@ -72,10 +72,10 @@
         }
     }
 
-    fn turn(&mut self) -> Todo {
+    fn turn(&mut self) -> ShellActions {
         let todo = self.coordinator.turn(self.now);
-        self.log.extend(todo.log.iter().cloned());
-        for act in &todo.acts {
+        self.log.extend(todo.log_events.iter().cloned());
+        for act in &todo.link_actions {
             let (link, request) = match act {
                 Act::Dial { link, request, .. } | Act::Send { link, request } => (*link, request),
                 Act::Drop { link } => {
@@ -204,7 +204,7 @@
     moved.relay = OTHER;
     platform.mute = false;
     platform.coordinator.reconfigure(platform.now, &moved);
-    let acts = platform.turn().acts;
+    let acts = platform.turn().link_actions;
     let dials = acts.iter().filter_map(|act| match act {
         Act::Dial { address, .. } => Some(*address),
         Act::Send { .. } | Act::Drop { .. } => None,
@@ -301,13 +301,13 @@
     platform.coordinator.client_connected(platform.now, id);
     let mut input = BytesMut::from(&b"{\"type\":\"hb\"}\n"[..]);
     platform.coordinator.client_input(platform.now, id, &mut input);
-    assert!(!platform.coordinator.clients_settled(), "it has asked");
+    assert!(!platform.coordinator.is_client_work_done(), "it has asked");
     platform.coordinator.client_answered(id, true);
-    assert!(!platform.coordinator.clients_settled(), "its answer is not written");
+    assert!(!platform.coordinator.is_client_work_done(), "its answer is not written");
     platform.coordinator.client_flushed(id);
-    assert!(platform.coordinator.clients_settled());
+    assert!(platform.coordinator.is_client_work_done());
     assert!(!platform.coordinator.is_finished(), "it may ask again");
-    platform.coordinator.client_gone(id, CloseReason::ByPeer);
+    platform.coordinator.client_closed(id, CloseReason::ByPeer);
     assert!(platform.coordinator.is_finished());
     assert_eq!(platform.coordinator.abandon().total(), 0);
 }
--- a/crates/craneknot-node/tests/event_streams.rs
+++ b/crates/craneknot-node/tests/event_streams.rs
@@ -41,7 +41,7 @@
     }
 
     fn hear(&mut self, at: u64, link: LinkId, news: Vec<News>) {
-        self.streams.heard(ms(at), link, news, &mut self.out);
+        self.streams.receive(ms(at), link, news, &mut self.out);
     }
 
     fn told(&mut self) -> Vec<News> {
--- a/crates/craneknot-node/tests/helpers/platform.rs
+++ b/crates/craneknot-node/tests/helpers/platform.rs
@@ -406,9 +406,9 @@
         let Some(coordinator) = &mut self.places[place].coordinator else { return };
         let todo = coordinator.turn(ms(now));
         let stamp = self.at();
-        let lines = todo.log.iter().map(|event| format!("{stamp} {event:?}"));
+        let lines = todo.log_events.iter().map(|event| format!("{stamp} {event:?}"));
         self.places[place].log.extend(lines);
-        for act in todo.acts {
+        for act in todo.link_actions {
             match act {
                 Act::Drop { link } => drop(self.places[place].links.remove(&link)),
                 Act::Dial { link, address, request } => {
--- a/crates/craneknot-node/tests/watch.rs
+++ b/crates/craneknot-node/tests/list_watch.rs
@@ -1,7 +1,7 @@
 //! How discovery's list is followed.
 
 use craneknot_node::link::{Act, LinkId, Links};
-use craneknot_node::watch::Watch;
+use craneknot_node::list_watch::ListWatch;
 use craneknot_platform::discovery::Roster;
 
 mod helpers;
@@ -12,8 +12,8 @@
 }
 
 /// A watch that has had its first answer, of revision 43, at 100 ms, and asks on.
-fn watching() -> (Watch, Links, LinkId) {
-    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
+fn watching() -> (ListWatch, Links, LinkId) {
+    let (mut watch, mut links, mut acts) = (ListWatch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
     watch.start();
     watch.turn(ms(0), &mut links, &mut acts);
     let link = called(&acts).0;
@@ -46,7 +46,7 @@
 /// overloaded discovery had the same work twice.
 #[test]
 fn a_first_call_is_not_made_again_while_discovery_may_still_work_on_it() {
-    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
+    let (mut watch, mut links, mut acts) = (ListWatch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
     watch.start();
     watch.turn(ms(0), &mut links, &mut acts);
     assert!(!watch.turn(ms(2_400), &mut links, &mut acts) && acts.len() == 1, "it is still waited for");
@@ -78,7 +78,7 @@
 
 #[test]
 fn the_list_is_watched_without_a_gap_and_failures_are_told() {
-    let (mut watch, mut links, mut acts) = (Watch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
+    let (mut watch, mut links, mut acts) = (ListWatch::new(ADDRESS, Some(41)), Links::default(), Vec::new());
     assert!(!watch.turn(ms(0), &mut links, &mut acts) && acts.is_empty(), "not asked for yet");
     watch.start();
     watch.turn(ms(0), &mut links, &mut acts);
--- a/crates/craneknot-node/tests/observability.rs
+++ b/crates/craneknot-node/tests/observability.rs
@@ -7,9 +7,11 @@
 use craneknot::interface::*;
 use craneknot::{Load, Sign, State, Transition};
 use craneknot_node::clients::ClientId;
-use craneknot_node::coverage::{BareWarning, Coverage, CoverageFigures, Lapse, Supply, WaitingFor, Worst};
+use craneknot_node::coverage::{
+    Coverage, CoverageFigures, CoverageGap, LongestGap, NoLineWarning, Supply, WaitingFor,
+};
 use craneknot_node::log_event::{EventLog, LogEvent};
-use craneknot_node::order_queue::Outcome;
+use craneknot_node::order_queue::OrderOutcome;
 use craneknot_node::pending::Violations;
 use craneknot_node::status::{write_end, write_status, NamedWorst, ProcessFigures, Status};
 use craneknot_node::takeover::Takeover;
@@ -62,7 +64,7 @@
     let long = "\u{1}\"\\é".repeat(200);
     let server = || ServerId(long.as_str().into());
     let (proxy, table, span) = (ProxyId(u16::MAX), TableId(u16::MAX), Some(Nanos::from_millis(600_000)));
-    let lapse = Lapse {
+    let lapse = CoverageGap {
         proxy,
         class: ClassId(0),
         table: Some(table),
@@ -85,7 +87,7 @@
         LogEvent::Note(long.clone()),
         LogEvent::Lapse { lapse, class: long.clone(), calls_failed: 10_000, orders_waiting: 1_000_000 },
         LogEvent::Bare {
-            warning: BareWarning {
+            warning: NoLineWarning {
                 class: ClassId(31),
                 table: Some(table),
                 proxy,
@@ -93,7 +95,7 @@
                 supply: Supply::NoneListed,
                 ready: 65_535,
                 cold: 65_535,
-                shut_out: 65_535,
+                ejected: 65_535,
             },
             class: long.clone(),
         },
@@ -129,7 +131,7 @@
 #[test]
 fn no_line_of_the_log_is_longer_than_is_kept() {
     let many = 100_000_000;
-    let lapse = Lapse {
+    let lapse = CoverageGap {
         proxy: ProxyId(u16::MAX),
         class: ClassId(31),
         table: Some(TableId(u16::MAX)),
@@ -138,7 +140,7 @@
         lasted: Nanos::from_millis(100_000_000),
     };
     let worst = NamedWorst {
-        worst: Worst { at: Nanos(u64::MAX), lapse },
+        worst: LongestGap { at: Nanos(u64::MAX), gap: lapse },
         class: "\u{1}\"\\é".repeat(200),
         since_start: Nanos::from_millis(10_000_000_000),
     };
@@ -166,7 +168,7 @@
             uncovered: 7_200,
             longest: Nanos::from_millis(600_000),
             over_limit: 100_000,
-            bare: 7_200,
+            without_line: 7_200,
         },
         worst: Some(worst.clone()),
         worst_bare: vec![worst],
@@ -232,7 +234,7 @@
 /// With a proxy that joins then.
 fn coverage_since(joined: u64) -> Coverage {
     let mut coverage = Coverage::new(&config().settings);
-    coverage.joined(ms(joined), ProxyId(1), ZoneId(1));
+    coverage.proxy_joined(ms(joined), ProxyId(1), ZoneId(1));
     coverage
 }
 
@@ -247,8 +249,8 @@
     let list = [listing("a-1", 0, None), listing("b-1", 1, None)];
     let mut coverage = coverage();
     coverage.ordered(&BIND);
-    coverage.settled(&BIND, Outcome::Refused);
-    let refused = coverage.look(ms(BARE + 200), list.iter());
+    coverage.order_finished(&BIND, OrderOutcome::Refused);
+    let refused = coverage.evaluate(ms(BARE + 200), list.iter());
     assert!(refused.iter().all(|lapse| lapse.waiting_for == WaitingFor::BindingRefused), "{refused:?}");
     assert_eq!(refused.len(), 2);
     let steps: [(&[Order], &[Order], WaitingFor); 4] = [
@@ -260,12 +262,12 @@
     for (ordered, taken, waiting_for) in steps {
         let mut coverage = coverage_since(0);
         ordered.iter().for_each(|order| coverage.ordered(order));
-        taken.iter().for_each(|order| coverage.settled(order, Outcome::Taken));
-        assert!(coverage.look(ms(BARE), list.iter()).is_empty(), "{waiting_for:?}: not yet");
-        let lapses = coverage.look(ms(BARE + 200), list.iter());
+        taken.iter().for_each(|order| coverage.order_finished(order, OrderOutcome::Taken));
+        assert!(coverage.evaluate(ms(BARE), list.iter()).is_empty(), "{waiting_for:?}: not yet");
+        let lapses = coverage.evaluate(ms(BARE + 200), list.iter());
         assert_eq!(lapses.len(), 2, "both classes");
         assert!(lapses.iter().all(|lapse| lapse.waiting_for == waiting_for), "{waiting_for:?}: {lapses:?}");
-        assert!(coverage.look(ms(BARE + 400), list.iter()).is_empty(), "told once");
+        assert!(coverage.evaluate(ms(BARE + 400), list.iter()).is_empty(), "told once");
         let figures = coverage.figures();
         assert_eq!((figures.uncovered, figures.over_limit), (2, 2));
         assert_eq!(figures.longest, ms(BARE + 400));
@@ -277,29 +279,29 @@
     let mut coverage = coverage_since(40_000);
     for order in [line("a-1", 1.0), line("b-1", 1.0), BIND] {
         coverage.ordered(&order);
-        coverage.settled(&order, Outcome::Taken);
+        coverage.order_finished(&order, OrderOutcome::Taken);
     }
     let draining = |mut entry: Listing| {
         entry.readiness = Readiness::Draining;
         entry
     };
     let list = [draining(listing("a-1", 0, None)), listing("a-2", 0, None), listing("b-1", 1, None)];
-    coverage.look(ms(40_000), list.iter());
+    coverage.evaluate(ms(40_000), list.iter());
     // The first class has a line to the server of the second zone; the other's only one is to a server that drains.
     assert_eq!(coverage.figures().uncovered, 1);
-    let lapses = coverage.look(ms(40_000 + BARE + 100), list.iter());
+    let lapses = coverage.evaluate(ms(40_000 + BARE + 100), list.iter());
     let told: Vec<_> = lapses.iter().map(|lapse| (lapse.class, lapse.waiting_for)).collect();
     assert_eq!(told, [(ClassId(1), WaitingFor::UsableServer)]);
     // A line to a cold server is a line.
     let list = [listing("a-1", 0, Some(42_000)), listing("a-2", 0, None), listing("b-1", 1, None)];
-    coverage.look(ms(43_000), list.iter());
+    coverage.evaluate(ms(43_000), list.iter());
     assert_eq!(coverage.figures().uncovered, 0);
     // Nobody lacks what there is none of: no warm server is open to the second class.
-    coverage.settled(&line("a-1", 0.0), Outcome::Taken);
+    coverage.order_finished(&line("a-1", 0.0), OrderOutcome::Taken);
     let cold = [listing("a-1", 0, Some(42_000)), listing("b-1", 1, None)];
-    coverage.look(ms(44_000), cold.iter());
+    coverage.evaluate(ms(44_000), cold.iter());
     assert_eq!(coverage.figures().uncovered, 0);
-    coverage.look(ms(45_000), list.iter());
+    coverage.evaluate(ms(45_000), list.iter());
     assert_eq!(coverage.figures().uncovered, 1, "from now on, and not from when the line went");
     assert_eq!(coverage.figures().longest, ms(BARE + 100));
 }
@@ -309,11 +311,11 @@
 fn a_proxy_that_has_left_lacks_nothing() {
     let list = [listing("a-1", 0, None)];
     let mut coverage = coverage();
-    coverage.look(ms(100), list.iter());
-    coverage.left(ProxyId(1));
-    assert!(coverage.look(ms(BARE + 1_000), list.iter()).is_empty());
+    coverage.evaluate(ms(100), list.iter());
+    coverage.proxy_left(ProxyId(1));
+    assert!(coverage.evaluate(ms(BARE + 1_000), list.iter()).is_empty());
     let figures = coverage.figures();
-    assert_eq!((figures.uncovered, figures.bare, figures.longest), (0, 0, ms(100)));
+    assert_eq!((figures.uncovered, figures.without_line, figures.longest), (0, 0, ms(100)));
 }
 
 /// A line that the relay could not use is none, and is waited for as one that was not ordered.
@@ -321,10 +323,10 @@
 fn a_refused_line_is_no_line() {
     let list = [listing("a-1", 0, None)];
     let mut coverage = coverage();
-    coverage.settled(&BIND, Outcome::Taken);
+    coverage.order_finished(&BIND, OrderOutcome::Taken);
     coverage.ordered(&line("a-1", 1.0));
-    coverage.settled(&line("a-1", 1.0), Outcome::Refused);
-    let lapses = coverage.look(ms(BARE + 200), list.iter());
+    coverage.order_finished(&line("a-1", 1.0), OrderOutcome::Refused);
+    let lapses = coverage.evaluate(ms(BARE + 200), list.iter());
     assert_eq!(lapses.len(), 2);
     assert!(lapses.iter().all(|lapse| lapse.waiting_for == WaitingFor::Line), "{lapses:?}");
 }
@@ -336,19 +338,19 @@
     settings.classes[0].only_kinds = vec![KindId(1)];
     (settings.classes[1].home_only, settings.classes[1].only_zones) = (true, Vec::new());
     let mut coverage = Coverage::new(&settings);
-    coverage.joined(ms(0), ProxyId(1), ZoneId(1));
+    coverage.proxy_joined(ms(0), ProxyId(1), ZoneId(1));
     for order in [line("a-1", 1.0), line("gone", 1.0), BIND] {
-        coverage.settled(&order, Outcome::Taken);
+        coverage.order_finished(&order, OrderOutcome::Taken);
     }
     let of_kind = |name: &str, kind: u16| Listing { kind: KindId(kind), ..listing(name, 1, None) };
     // The line is to a server of another kind, in another zone; one that is open to both classes is listed.
     let list = [listing("a-1", 0, None), of_kind("b-1", 1)];
-    let lapses = coverage.look(ms(BARE + 200), list.iter());
+    let lapses = coverage.evaluate(ms(BARE + 200), list.iter());
     let told: Vec<_> = lapses.iter().map(|lapse| (lapse.class, lapse.waiting_for)).collect();
     assert_eq!(told, [(ClassId(0), WaitingFor::UsableServer), (ClassId(1), WaitingFor::UsableServer)]);
-    assert!(coverage.look(ms(BARE + 400), list.iter()).is_empty(), "told once");
-    coverage.settled(&line("b-1", 1.0), Outcome::Taken);
-    coverage.look(ms(BARE + 600), list.iter());
+    assert!(coverage.evaluate(ms(BARE + 400), list.iter()).is_empty(), "told once");
+    coverage.order_finished(&line("b-1", 1.0), OrderOutcome::Taken);
+    coverage.evaluate(ms(BARE + 600), list.iter());
     assert_eq!(coverage.figures().uncovered, 0);
 }
 
@@ -357,9 +359,9 @@
 fn a_lack_of_just_the_limit_is_within_it() {
     let list = [listing("a-1", 0, None)];
     let mut coverage = coverage();
-    assert!(coverage.look(ms(BARE), list.iter()).is_empty());
-    assert!(coverage.look(ms(BARE + 99), list.iter()).is_empty(), "it looks every 100 ms");
-    assert_eq!(coverage.look(ms(BARE + 100), list.iter()).len(), 2);
+    assert!(coverage.evaluate(ms(BARE), list.iter()).is_empty());
+    assert!(coverage.evaluate(ms(BARE + 99), list.iter()).is_empty(), "it looks every 100 ms");
+    assert_eq!(coverage.evaluate(ms(BARE + 100), list.iter()).len(), 2);
 }
 
 /// While all servers are cold nobody lacks a line by the rule, and a proxy without one refuses all the same.
@@ -367,31 +369,31 @@
 fn a_proxy_without_a_line_among_cold_servers_is_bare() {
     let mut coverage = coverage_since(1_000);
     let list = [listing("a-1", 0, Some(500)), listing("b-1", 1, Some(500))];
-    coverage.look(ms(2_000), list.iter());
-    coverage.look(ms(6_000), list.iter());
+    coverage.evaluate(ms(2_000), list.iter());
+    coverage.evaluate(ms(6_000), list.iter());
     let figures = coverage.figures();
-    assert_eq!((figures.uncovered, figures.over_limit, figures.bare), (0, 0, 2));
-    let worst = &coverage.worst_bare()[&Supply::AllCold];
-    assert_eq!((worst.at, worst.lapse.lasted), (ms(6_000), ms(5_000)), "since its joining");
-    assert_eq!(coverage.worst(), None);
+    assert_eq!((figures.uncovered, figures.over_limit, figures.without_line), (0, 0, 2));
+    let worst = &coverage.longest_without_line()[&Supply::AllCold];
+    assert_eq!((worst.at, worst.gap.lasted), (ms(6_000), ms(5_000)), "since its joining");
+    assert_eq!(coverage.longest_gap(), None);
     for order in [line("b-1", 1.0), BIND] {
         coverage.ordered(&order);
-        coverage.settled(&order, Outcome::Taken);
+        coverage.order_finished(&order, OrderOutcome::Taken);
     }
-    coverage.look(ms(6_100), list.iter());
+    coverage.evaluate(ms(6_100), list.iter());
     assert_eq!(
-        coverage.figures().bare,
+        coverage.figures().without_line,
         1,
         "a line to a cold server is a line; the second class may not use it"
     );
     let gone: [Listing; 0] = [];
-    coverage.look(ms(6_200), gone.iter());
-    assert_eq!(coverage.figures().bare, 0, "there is none to go to");
-    coverage.look(ms(6_300), list.iter());
-    coverage.begin_anew(ms(6_350));
-    coverage.look(ms(6_400), list.iter());
-    assert_eq!(coverage.figures().bare, 1);
-    assert_eq!(coverage.worst_bare()[&Supply::AllCold].lapse.lasted, ms(5_100), "the longest stays");
+    coverage.evaluate(ms(6_200), gone.iter());
+    assert_eq!(coverage.figures().without_line, 0, "there is none to go to");
+    coverage.evaluate(ms(6_300), list.iter());
+    coverage.restart_gaps(ms(6_350));
+    coverage.evaluate(ms(6_400), list.iter());
+    assert_eq!(coverage.figures().without_line, 1);
+    assert_eq!(coverage.longest_without_line()[&Supply::AllCold].gap.lasted, ms(5_100), "the longest stays");
 }
 
 #[test]
@@ -400,24 +402,24 @@
     let warm = [listing("a-1", 0, None)];
     let cold = [listing("a-1", 0, Some(500))];
     let none: [Listing; 0] = [];
-    coverage.look(ms(200), cold.iter());
-    coverage.look(ms(1_300), cold.iter());
+    coverage.evaluate(ms(200), cold.iter());
+    coverage.evaluate(ms(1_300), cold.iter());
     assert!(coverage.take_warnings().is_empty(), "less than half of the limit");
-    coverage.look(ms(1_500), cold.iter());
+    coverage.evaluate(ms(1_500), cold.iter());
     let warnings = coverage.take_warnings();
     let told: Vec<_> =
         warnings.iter().map(|warning| (warning.class, warning.proxies, warning.cold)).collect();
     assert_eq!(told, [(ClassId(0), 1, 1), (ClassId(1), 1, 1)]);
     assert!(warnings.iter().all(|warning| warning.supply == Supply::AllCold && warning.ready == 1));
-    coverage.look(ms(1_700), cold.iter());
+    coverage.evaluate(ms(1_700), cold.iter());
     assert!(coverage.take_warnings().is_empty(), "told once");
-    coverage.set_shut_out(&warm[0].server, true);
-    coverage.look(ms(2_000), warm.iter());
-    coverage.set_shut_out(&warm[0].server, false);
-    coverage.look(ms(2_100), warm.iter());
-    coverage.look(ms(2_200), none.iter());
-    coverage.look(ms(2_900), none.iter());
-    let lasted = |supply| coverage.worst_bare()[&supply].lapse.lasted;
+    coverage.set_ejected(&warm[0].server, true);
+    coverage.evaluate(ms(2_000), warm.iter());
+    coverage.set_ejected(&warm[0].server, false);
+    coverage.evaluate(ms(2_100), warm.iter());
+    coverage.evaluate(ms(2_200), none.iter());
+    coverage.evaluate(ms(2_900), none.iter());
+    let lasted = |supply| coverage.longest_without_line()[&supply].gap.lasted;
     assert_eq!(lasted(Supply::AllCold), ms(1_700));
     assert_eq!(lasted(Supply::AllOut), ms(2_000));
     assert_eq!(lasted(Supply::Usable), ms(2_100));
@@ -429,10 +431,10 @@
 fn who_is_bare_while_the_relay_takes_no_calls_is_so_from_then_on() {
     let list = [listing("a-1", 0, Some(500))];
     let mut coverage = coverage_since(1_000);
-    coverage.look(ms(1_100), list.iter());
-    coverage.begin_anew(ms(9_000));
-    coverage.look(ms(9_050), list.iter());
-    assert_eq!(coverage.worst_bare()[&Supply::AllCold].lapse.lasted, ms(100));
+    coverage.evaluate(ms(1_100), list.iter());
+    coverage.restart_gaps(ms(9_000));
+    coverage.evaluate(ms(9_050), list.iter());
+    assert_eq!(coverage.longest_without_line()[&Supply::AllCold].gap.lasted, ms(100));
 }
 
 /// Readers keep a log's beginning and end: what was worst must stand in each status line, with who and when.
@@ -440,18 +442,18 @@
 fn the_longest_lack_since_the_start_is_told_again_and_again() {
     let list = [listing("a-1", 0, None)];
     let mut coverage = coverage_since(1_000);
-    coverage.look(ms(2_500), list.iter());
-    let worst = coverage.worst().cloned().unwrap();
-    assert_eq!((worst.at, worst.lapse.lasted, worst.lapse.proxy), (ms(2_500), ms(1_500), ProxyId(1)));
-    assert_eq!(worst.lapse.waiting_for, WaitingFor::Binding);
+    coverage.evaluate(ms(2_500), list.iter());
+    let worst = coverage.longest_gap().cloned().unwrap();
+    assert_eq!((worst.at, worst.gap.lasted, worst.gap.proxy), (ms(2_500), ms(1_500), ProxyId(1)));
+    assert_eq!(worst.gap.waiting_for, WaitingFor::Binding);
     for order in [line("a-1", 1.0), BIND] {
         coverage.ordered(&order);
-        coverage.settled(&order, Outcome::Taken);
+        coverage.order_finished(&order, OrderOutcome::Taken);
     }
-    coverage.look(ms(3_000), list.iter());
-    coverage.joined(ms(3_000), ProxyId(2), ZoneId(0));
-    coverage.look(ms(4_000), list.iter());
-    assert_eq!(coverage.worst(), Some(&worst), "a shorter one does not take its place");
+    coverage.evaluate(ms(3_000), list.iter());
+    coverage.proxy_joined(ms(3_000), ProxyId(2), ZoneId(0));
+    coverage.evaluate(ms(4_000), list.iter());
+    assert_eq!(coverage.longest_gap(), Some(&worst), "a shorter one does not take its place");
     assert_eq!(coverage.figures().longest, ms(1_500));
     let named = NamedWorst { worst, class: "lookup".into(), since_start: ms(2_500) };
     let status = Status { worst: Some(named), ..Status::default() };
@@ -471,10 +473,10 @@
 fn a_server_of_unknown_age_is_one_to_go_to() {
     let mut coverage = coverage_since(0);
     let mut list = [listing("a-1", 0, Some(0))];
-    coverage.look(ms(100), list.iter());
+    coverage.evaluate(ms(100), list.iter());
     assert_eq!(coverage.figures().uncovered, 0, "it is cold for certain");
     list[0].is_start_certain = false;
-    coverage.look(ms(300), list.iter());
+    coverage.evaluate(ms(300), list.iter());
     assert_eq!(coverage.figures().uncovered, 2);
 }
 
@@ -483,17 +485,17 @@
     let mut coverage = coverage();
     let list = [listing("a-1", 0, None)];
     for order in [line("a-1", 1.0), BIND] {
-        coverage.settled(&order, Outcome::Taken);
+        coverage.order_finished(&order, OrderOutcome::Taken);
     }
     let elsewhere = Order::Bind { proxy: ProxyId(1), classes: ClassSet(3), table: TableId(9) };
     for order in [line("a-1", 0.0), elsewhere] {
         coverage.ordered(&order);
-        coverage.settled(&order, Outcome::Refused);
+        coverage.order_finished(&order, OrderOutcome::Refused);
     }
-    coverage.look(ms(100), list.iter());
+    coverage.evaluate(ms(100), list.iter());
     assert_eq!(coverage.figures().uncovered, 0);
-    coverage.left(ProxyId(1));
-    coverage.joined(ms(200), ProxyId(1), ZoneId(1));
-    coverage.look(ms(300), list.iter());
+    coverage.proxy_left(ProxyId(1));
+    coverage.proxy_joined(ms(200), ProxyId(1), ZoneId(1));
+    coverage.evaluate(ms(300), list.iter());
     assert_eq!(coverage.figures().uncovered, 2, "a binding ends with the proxy's stream");
 }
--- a/crates/craneknot-node/tests/order_queue.rs
+++ b/crates/craneknot-node/tests/order_queue.rs
@@ -4,7 +4,7 @@
 
 use craneknot::interface::ProxyId;
 use craneknot_node::link::{Act, LinkId, Links};
-use craneknot_node::order_queue::{Acknowledged, EncodedOrder, OrderQueue};
+use craneknot_node::order_queue::{EncodedOrder, LastAcknowledged, OrderQueue};
 
 mod helpers;
 use helpers::peers::orders as called_orders;
@@ -45,7 +45,7 @@
 #[test]
 fn a_call_in_doubt_is_made_again_whole_on_a_new_connection() {
     let mut calls = Calls::new();
-    calls.order_queue.offer(orders(3));
+    calls.order_queue.enqueue(orders(3));
     let (first, text) = calls.turn(0).unwrap();
     assert!(text.ends_with("ops=clear%2C0%3Bclear%2C1%3Bclear%2C2"), "{text}");
     calls.order_queue.lost(ms(5));
@@ -65,7 +65,7 @@
 #[test]
 fn an_order_that_the_relay_cannot_use_is_given_up_after_a_second_look() {
     let mut calls = Calls::new();
-    calls.order_queue.offer(orders(4));
+    calls.order_queue.enqueue(orders(4));
     calls.turn(0).unwrap();
     assert!(calls.answer(1, &taken(1)).is_ok());
     assert!(calls.turn(2).unwrap().1.ends_with("ops=clear%2C1%3Bclear%2C2%3Bclear%2C3"));
@@ -78,12 +78,12 @@
 #[test]
 fn long_calls_are_split_and_orders_for_a_proxy_that_left_are_dropped() {
     let mut calls = Calls::new();
-    calls.order_queue.offer(orders(20_000));
+    calls.order_queue.enqueue(orders(20_000));
     let (_, text) = calls.turn(0).unwrap();
     let sent = text.matches("clear").count();
     assert!(sent < 20_000 && text.len() < 100_000);
-    calls.order_queue.offer([bind(1, 4), bind(2, 4)]);
-    calls.order_queue.left(ProxyId(1));
+    calls.order_queue.enqueue([bind(1, 4), bind(2, 4)]);
+    calls.order_queue.proxy_left(ProxyId(1));
     assert_eq!(calls.order_queue.waiting(), 20_001);
     assert!(calls.answer(1, &taken(sent)).is_ok());
     assert_eq!(calls.order_queue.waiting(), 20_001 - sent);
@@ -98,12 +98,12 @@
 fn what_was_in_flight_for_a_proxy_that_left_is_not_sent_again() {
     for in_doubt in [true, false] {
         let mut calls = Calls::new();
-        calls.order_queue.offer([bind(1, 4), bind(2, 4), bind(3, 4)]);
+        calls.order_queue.enqueue([bind(1, 4), bind(2, 4), bind(3, 4)]);
         calls.turn(0).unwrap();
-        calls.order_queue.left(ProxyId(1));
-        calls.order_queue.left(ProxyId(2));
+        calls.order_queue.proxy_left(ProxyId(1));
+        calls.order_queue.proxy_left(ProxyId(2));
         // It comes again: the binding of its earlier stream must not follow.
-        calls.order_queue.offer([bind(1, 5)]);
+        calls.order_queue.enqueue([bind(1, 5)]);
         let (answer, wanted) = match in_doubt {
             true => (b"<Resp".to_vec(), "ops=bind%2C3%2C4%2Clookup%3Bbind%2C1%2C5%2Clookup"),
             false => (taken(1), "ops=bind%2C3%2C4%2Clookup%3Bbind%2C1%2C5%2Clookup"),
@@ -121,8 +121,8 @@
 fn proxies_that_are_gone_do_not_hold_up_the_others() {
     const FEW: usize = 12; // calls of 50 ms: a fifth of the time in which a proxy must be off a lost server
     let mut calls = Calls::new();
-    calls.order_queue.offer((0..300).flat_map(|proxy| [bind(proxy, 4), bind(proxy, 5)]));
-    calls.order_queue.offer(orders(1));
+    calls.order_queue.enqueue((0..300).flat_map(|proxy| [bind(proxy, 4), bind(proxy, 5)]));
+    calls.order_queue.enqueue(orders(1));
     let (mut at, mut count, mut clear_taken) = (0, 0, None);
     // None of them is there. The relay stops at the first order of each.
     while let Some((_, text)) = calls.turn(at) {
@@ -135,9 +135,9 @@
     assert_eq!(count, 300, "one call each, though each has two orders");
     assert_eq!((calls.turn(at), calls.order_queue.waiting()), (None, 600));
     // News of their leaving comes, but for one.
-    (1..300).for_each(|proxy| calls.order_queue.left(ProxyId(proxy)));
+    (1..300).for_each(|proxy| calls.order_queue.proxy_left(ProxyId(proxy)));
     assert_eq!(calls.order_queue.next_at(), Some(ms(701)));
-    calls.order_queue.offer([bind(0, 6)]);
+    calls.order_queue.enqueue([bind(0, 6)]);
     let (_, text) = calls.turn(701).unwrap();
     assert!(
         text.ends_with("ops=bind%2C0%2C4%2Clookup%3Bbind%2C0%2C5%2Clookup%3Bbind%2C0%2C6%2Clookup"),
@@ -154,13 +154,13 @@
 fn proxies_that_stay_among_many_that_are_gone_keep_the_order_of_their_orders() {
     let is_there = |proxy: u16| proxy.is_multiple_of(3);
     let mut calls = Calls::new();
-    calls.order_queue.offer((0..90).flat_map(|proxy| [bind(proxy, 4), bind(proxy, 5)]));
+    calls.order_queue.enqueue((0..90).flat_map(|proxy| [bind(proxy, 4), bind(proxy, 5)]));
     let mut done: Vec<String> = Vec::new();
     let mut at = 0;
     while let Some((_, text)) = calls.turn(at) {
         at += 1;
         if at == 8 {
-            calls.order_queue.offer((0..90).map(|proxy| bind(proxy, 6)));
+            calls.order_queue.enqueue((0..90).map(|proxy| bind(proxy, 6)));
         }
         let usable = |order: &&String| is_there(order.split(',').nth(1).unwrap().parse().unwrap());
         let taken_now: Vec<String> = called_orders(&text).iter().take_while(usable).cloned().collect();
@@ -184,12 +184,12 @@
         let subject = Some(format!("share,{table},s-{server}"));
         encoded(format!("share,{table},s-{server},{weight}"), None, subject)
     };
-    calls.order_queue.offer([line(0, 0, 1)]);
+    calls.order_queue.enqueue([line(0, 0, 1)]);
     calls.turn(0).unwrap();
     for weight in 0..50_000 {
-        calls.order_queue.offer([line(weight % 7, weight % 11, weight)]);
+        calls.order_queue.enqueue([line(weight % 7, weight % 11, weight)]);
         if weight % 1_000 == 0 {
-            calls.order_queue.offer([encoded(format!("mark,{weight},0"), None, None)]);
+            calls.order_queue.enqueue([encoded(format!("mark,{weight},0"), None, None)]);
         }
         assert!(calls.order_queue.waiting() < 4_100, "memory is bounded: {}", calls.order_queue.waiting());
     }
@@ -208,10 +208,10 @@
 #[test]
 fn a_kept_connection_closed_under_a_call_is_no_failure_of_the_relay() {
     let mut calls = Calls::new();
-    calls.order_queue.offer(orders(1));
+    calls.order_queue.enqueue(orders(1));
     calls.turn(0).unwrap();
     assert!(calls.answer(1, &taken(1)).is_ok());
-    calls.order_queue.offer(orders(1));
+    calls.order_queue.enqueue(orders(1));
     let (kept, text) = calls.turn(9_000).unwrap();
     assert!(matches!(calls.acts[..], [Act::Send { .. }]));
     calls.order_queue.lost(ms(9_001));
@@ -224,7 +224,7 @@
 #[test]
 fn a_relay_that_moves_is_called_where_it_is_now() {
     let mut calls = Calls::new();
-    calls.order_queue.offer(orders(1));
+    calls.order_queue.enqueue(orders(1));
     let (old, _) = calls.turn(0).unwrap();
     let mut acts = Vec::new();
     calls.order_queue.move_to(ms(1), OTHER, &mut acts);
@@ -235,11 +235,13 @@
 
 #[test]
 fn an_order_that_is_taken_after_a_later_one_of_the_same_proxy_is_told() {
-    let (mut acknowledged, proxy) = (Acknowledged::default(), ProxyId(7));
+    let (mut acknowledged, proxy) = (LastAcknowledged::default(), ProxyId(7));
     assert!(
-        acknowledged.take(Some(proxy), 3) && acknowledged.take(None, 2) && acknowledged.take(Some(proxy), 4)
+        acknowledged.record(Some(proxy), 3)
+            && acknowledged.record(None, 2)
+            && acknowledged.record(Some(proxy), 4)
     );
-    assert!(!acknowledged.take(Some(proxy), 3), "it was overtaken");
+    assert!(!acknowledged.record(Some(proxy), 3), "it was overtaken");
     acknowledged.forget(proxy);
-    assert!(acknowledged.take(Some(proxy), 1), "it has left and come again");
+    assert!(acknowledged.record(Some(proxy), 1), "it has left and come again");
 }
--- a/crates/craneknot-node/tests/server_age.rs
+++ b/crates/craneknot-node/tests/server_age.rs
@@ -17,10 +17,10 @@
         let mut starts = ServerStarts::default();
         let long_ago = Start { latest: None, is_certain: true };
         assert_eq!(starts.observe(ms(start), &server, None), long_ago, "started long ago");
-        starts.list_taken(ms(start));
+        starts.list_applied(ms(start));
         // It starts 20 s later, and is listed 3 s after that.
         let (restarted, listed) = (start + 20_000, start + 23_000);
-        starts.list_taken(ms(restarted - 1_000));
+        starts.list_applied(ms(restarted - 1_000));
         let claimed = Some(true_time(restarted));
         starts.learn_clock(ms(listed), true_time(restarted));
         let believed = starts.observe(ms(listed), &server, claimed);
@@ -28,7 +28,7 @@
         let since = believed.latest.unwrap();
         let age = ms(listed) - since;
         assert!(age <= ms(4_000), "{error}: believed {age:?} old, 3 s after its start");
-        starts.list_taken(ms(listed));
+        starts.list_applied(ms(listed));
         // Later lists that say the same change nothing: it warms by this process's clock.
         let later = starts.observe(ms(listed + 60_000), &server, claimed);
         assert_eq!(later, believed, "{error}");
@@ -88,7 +88,7 @@
     let now = 36_000_000;
     for is_proven in [false, true] {
         let mut starts = ServerStarts::default();
-        starts.list_taken(ms(now - 1_000));
+        starts.list_applied(ms(now - 1_000));
         if is_proven {
             starts.learn_clock(ms(now - 1_000), ms(now - 4_000));
         }
--- a/crates/craneknot-node/tests/walks.rs
+++ b/crates/craneknot-node/tests/walks.rs
@@ -137,18 +137,18 @@
                     number += 1;
                     let order = format!("clear,{number}");
                     common.push(order.clone());
-                    calls.order_queue.offer([encoded(order, None, None)]);
+                    calls.order_queue.enqueue([encoded(order, None, None)]);
                 }
                 3..5 if !quiet && told.contains(&proxy) => {
                     number += 1;
                     let order = format!("bind,{proxy},{number},lookup");
                     own[usize::from(proxy)].push(order.clone());
-                    calls.order_queue.offer([encoded(order, Some(ProxyId(proxy)), None)]);
+                    calls.order_queue.enqueue([encoded(order, Some(ProxyId(proxy)), None)]);
                 }
                 // It leaves; news of that comes later, or with its return.
                 5 if !quiet => drop(calls.joined.remove(&proxy)),
                 6 if !quiet && !calls.joined.contains(&proxy) => {
-                    calls.order_queue.left(ProxyId(proxy));
+                    calls.order_queue.proxy_left(ProxyId(proxy));
                     told.remove(&proxy);
                     own[usize::from(proxy)].clear();
                     if rng.random() {
@@ -165,7 +165,7 @@
                 _ => calls.end_call(if quiet { 9 } else { rng.random_range(0..10) }),
             }
             calls.turn();
-            calls.settled += calls.order_queue.take_settled().len();
+            calls.settled += calls.order_queue.take_outcomes().len();
             let accounted = calls.settled + calls.order_queue.waiting();
             assert_eq!(accounted, number, "seed {seed}: each order has one outcome, or waits");
         }
@@ -260,7 +260,7 @@
                 closes_at = u64::MAX;
             }
             for (link, news) in heard {
-                streams.heard(ms(now), link, news, &mut out);
+                streams.receive(ms(now), link, news, &mut out);
             }
             for link in broken {
                 pipes.retain(|pipe| pipe.link != link);
@@ -341,7 +341,7 @@
 impl Parties {
     fn turn(&mut self) {
         let todo = self.coordinator.turn(ms(self.now));
-        for act in todo.acts {
+        for act in todo.link_actions {
             let (link, request, dialled) = match act {
                 Act::Dial { link, request, .. } => (link, request, true),
                 Act::Send { link, request } => (link, request, false),
