--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator without I/O: what comes from peers and links becomes the decisions' events, and their orders
-//! become calls.
+//! The coordinator without I/O. Input from clients and dialled connections becomes events for the controller,
+//! and the controller's orders become calls to the relay.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,9 +28,10 @@
 use crate::status::{NamedWorst, Status};
 use crate::takeover::TakeoverWatch;
 
-const STEP_INTERVAL: Nanos = Nanos::from_millis(5); // ms; what comes together is decided on together
+// events that arrive within this span are handled in one step
+const STEP_INTERVAL: Nanos = Nanos::from_millis(5);
 
-/// What the shell is to do.
+/// Work for the shell after a turn.
 #[derive(Debug, Default)]
 pub struct ShellActions {
     pub client_actions: Vec<ClientAction>,
@@ -42,7 +43,7 @@
     controller: Controller,
     names: GivenNames,
     proxy_count: u32,
-    /// The servers as last listed, but for those removed.
+    /// The servers of the last list, without removed ones.
     listed: BTreeMap<ServerId, (Listing, SocketAddr)>,
     links: Links,
     clients: Clients,
@@ -58,14 +59,14 @@
     events: Vec<Event>,
     last_step_at: Nanos,
     wake_at: Option<Nanos>,
-    /// Asked to end: nothing more is decided.
+    /// A shutdown was requested: the controller takes no further steps.
     shutting_down: bool,
     backlog: bool,
     actions: ShellActions,
     reports: u64,
     orders: u64,
     relay_events_malformed: u64,
-    /// By class: what happens when one of its operations runs twice.
+    /// By class: the effect of running one of its operations twice.
     repeats: Vec<Repeats>,
 }
 
@@ -109,19 +110,20 @@
         coordinator
     }
 
-    /// A new configuration counts for where discovery and the relay are; all else is as at the start.
+    /// Applies a new configuration. Only the addresses of discovery and the relay change; all other settings
+    /// stay as they were at the start.
     pub fn reconfigure(&mut self, now: Nanos, config: &Config) {
         self.event_streams.move_to(now, config.relay);
         self.order_queue.move_to(now, config.relay, &mut self.actions.link_actions);
         self.list_watch.move_to(config.discovery, &mut self.actions.link_actions);
     }
 
-    /// A client was accepted.
     pub fn client_connected(&mut self, now: Nanos, id: ClientId) {
         self.clients.came(now, id);
     }
 
-    /// How many more clients may be accepted. In a shutdown nobody joins any more, and all descriptors are theirs.
+    /// How many more clients may be accepted. During a shutdown no new streams join, so that all descriptors
+    /// are available to clients.
     pub fn accept_capacity(&self) -> usize {
         if self.shutting_down {
             usize::MAX
@@ -130,28 +132,28 @@
         }
     }
 
-    /// A client's connection has ended; what was owed on it is cleared, or counted.
+    /// A client's connection has ended. Its pending work is cleared, or counted as a violation.
     pub fn client_closed(&mut self, id: ClientId, reason: CloseReason) {
         self.clients.gone(id);
         self.pending.closed(id, reason);
     }
 
-    /// An answer was given to a client's connection; `unsent`: the system has not taken all of it.
+    /// An answer was passed to a client's connection. `unsent`: the system has not accepted all of it yet.
     pub fn client_answered(&mut self, id: ClientId, unsent: bool) {
         self.pending.request_answered(id, unsent);
     }
 
-    /// All that was given to a client's connection is written.
+    /// All output to a client's connection has been written.
     pub fn client_flushed(&mut self, id: ClientId) {
         self.pending.flushed(id);
     }
 
-    /// Whether anything is owed to a client.
+    /// Whether a client has pending work: unanswered requests, a partial line or unwritten answers.
     pub fn has_pending(&self, id: ClientId) -> bool {
         self.pending.has_pending(id)
     }
 
-    /// Bytes have come of a client.
+    /// Bytes were received from a client.
     pub fn client_input(&mut self, now: Nanos, id: ClientId, input: &mut BytesMut) {
         self.clients.heard(now, id);
         let before = self.events.len();
@@ -164,18 +166,18 @@
         }
     }
 
-    /// Whether a link's answer never ends, and is wanted as it comes.
+    /// Whether a link carries an event stream: its response never ends and is read as it arrives.
     pub fn is_event_stream(&self, link: LinkId) -> bool {
         self.event_streams.has(link)
     }
 
-    /// Bytes of a stream have come.
+    /// Bytes of an event stream were received.
     pub fn event_stream_input(&mut self, now: Nanos, link: LinkId, status: StatusCode, bytes: &Bytes) {
         if status != StatusCode::OK {
             return self.drop_event_stream(
                 now,
                 link,
-                &format!("the relay answers {status} to a call for news"),
+                &format!("the relay answered {status} to the event stream request"),
             );
         }
         let Some(decoder) = self.event_streams.decoder(link) else { return };
@@ -222,13 +224,13 @@
         }
     }
 
-    /// A whole answer has come; `keeps`: the connection may be used again.
+    /// A complete response was received. `keep_alive`: the connection may be reused.
     pub fn answered(&mut self, now: Nanos, link: LinkId, response: &Response<Bytes>, keep_alive: bool) {
         let (status, body) = (response.status(), response.body());
         if self.order_queue.has(link) {
             let retried = self.order_queue.retried;
             let answered = self.order_queue.answered(now, body, keep_alive, &mut self.actions.link_actions);
-            self.log_retry(retried, answered.as_ref().err().map_or("turned away for now", String::as_str));
+            self.log_retry(retried, answered.as_ref().err().map_or("rejected for now", String::as_str));
             if let Err(cause) = answered {
                 self.log_note(cause);
             }
@@ -239,7 +241,7 @@
             let list = if status == StatusCode::OK {
                 discovery::read(body, &mut self.names)
             } else {
-                Err(format!("discovery answers {status}"))
+                Err(format!("discovery answered {status}"))
             };
             match list {
                 Ok(roster) => {
@@ -269,11 +271,11 @@
             let report = probe::report(body, &self.names);
             self.events.push(Event::Probed { server, outcome: probes::outcome(status), took, report });
         } else if self.event_streams.has(link) {
-            self.drop_event_stream(now, link, "the relay has ended its news");
+            self.drop_event_stream(now, link, "the relay closed the event stream");
         }
     }
 
-    /// A link has ended by itself, or never came up.
+    /// A link has ended by itself, or could not be connected.
     pub fn link_lost(&mut self, now: Nanos, link: LinkId, cause: &str) {
         if self.order_queue.has(link) {
             let retried = self.order_queue.retried;
@@ -306,14 +308,14 @@
         self.events.push(Event::List { scope: ListScope::Failed, entries: [].into() });
     }
 
-    /// Takes a list in; how many servers are new or have changed.
+    /// Applies a list. Returns how many servers are new or have changed.
     fn apply_roster(&mut self, now: Nanos, roster: Roster, scope: Option<ListScope>) -> usize {
         let listed_scope = if roster.complete { ListScope::Whole } else { ListScope::Changes };
         let before = if roster.complete { std::mem::take(&mut self.listed) } else { BTreeMap::new() };
         let mut entries = Vec::with_capacity(roster.servers.len());
         let mut changed = 0;
         for (id, cause) in roster.malformed {
-            // Whose entry can't be read stands as it was: it is listed all the same.
+            // A server whose entry can't be read keeps its previous entry, because it is still listed.
             if let Some(entry) = id.as_ref().and_then(|id| before.get(id)) {
                 self.server_starts.confirm_listed(now, &entry.0.server);
                 self.listed.insert(entry.0.server.clone(), entry.clone());
@@ -354,7 +356,7 @@
         self.actions.log_events.push(LogEvent::Note(note));
     }
 
-    /// Logs that the call to the relay is made again, if it is; `before`: how many had been until now.
+    /// Logs a retry of the call to the relay, if there was one. `before`: the number of retries until now.
     fn log_retry(&mut self, before: u64, cause: &str) {
         if self.order_queue.retried > before {
             self.actions.log_events.push(LogEvent::CallRetried {
@@ -365,7 +367,7 @@
         }
     }
 
-    /// Does what is due, and gives what the shell is to do.
+    /// Runs one turn: does everything that is due, and returns the work for the shell.
     pub fn turn(&mut self, now: Nanos) -> ShellActions {
         self.handle_order_outcomes();
         if self.shutting_down {
@@ -378,7 +380,7 @@
         }
         let retried = self.order_queue.retried;
         self.order_queue.turn(now, &mut self.links, &mut self.actions.link_actions);
-        self.log_retry(retried, "no answer in time");
+        self.log_retry(retried, "no answer before the timeout");
         self.log_coverage_gaps(now);
         self.pending.set_unacknowledged_orders(self.order_queue.waiting());
         self.pending.orders_overtaken(self.order_queue.take_overtaken());
@@ -388,7 +390,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Logs who has lacked a line for longer than the settings allow.
+    /// Logs the proxies that have had no usable line for longer than the settings allow.
     fn log_coverage_gaps(&mut self, now: Nanos) {
         let listed = self.listed.values().map(|(listing, _)| listing);
         for gap in self.coverage.evaluate(now, listed) {
@@ -407,19 +409,20 @@
         self.names.classes_in(classes).collect::<Vec<_>>().join("+")
     }
 
-    /// An order was not carried out: the decisions are told, with the next step.
+    /// Reports to the controller, with its next step, that an order was not carried out.
     fn refuse(&mut self, order: Order, cause: &'static str) {
         let text = relay::order(&order, &self.names).unwrap_or_default();
         self.actions.log_events.push(LogEvent::OrderRefused { order: text, cause });
         self.events.push(Event::OrderRefused { order });
     }
 
-    /// Tells what has become of orders: to the decisions where they count on what did not happen.
+    /// Handles the outcomes of orders. A refusal is reported to the controller, which assumes that its orders
+    /// are carried out.
     fn handle_order_outcomes(&mut self) {
         for (order, outcome) in self.order_queue.take_outcomes() {
             self.coverage.order_finished(&order, outcome);
             match (outcome, order) {
-                (OrderOutcome::Refused, order) => self.refuse(order, "the relay can't use it"),
+                (OrderOutcome::Refused, order) => self.refuse(order, "the relay rejected it twice"),
                 (OrderOutcome::Taken, Order::Bind { proxy, classes, table }) => {
                     let classes = self.class_names(classes);
                     self.actions.log_events.push(LogEvent::ProxyBound { proxy, table, classes });
@@ -429,28 +432,28 @@
         }
     }
 
-    /// Asked to end: what is ordered goes out, whoever asks on an open connection is answered, and nothing new is
-    /// decided.
+    /// Begins the shutdown: orders already given are sent, requests on open connections are answered, and no
+    /// new decisions are made.
     pub fn shut_down(&mut self) {
         self.shutting_down = true;
     }
 
-    /// In a shutdown: whether clients wait to be accepted, and there is no room for them.
+    /// During a shutdown: whether clients wait to be accepted while no descriptor is free for them.
     pub fn set_backlog(&mut self, backlog: bool) {
         self.backlog = backlog;
     }
 
-    /// Whether nobody is connected and no order waits.
+    /// Whether no client is connected and no order is unacknowledged.
     pub fn is_finished(&self) -> bool {
         self.clients.is_empty() && self.pending.is_empty()
     }
 
-    /// Whether nothing is owed to any client.
+    /// Whether no client has pending work.
     pub fn is_client_work_done(&self) -> bool {
         self.pending.clients() == 0
     }
 
-    /// The process ends now; what is owed counts as violated.
+    /// The process ends now; all pending work counts as violations.
     pub fn abandon(&mut self) -> Violations {
         self.pending.abandon();
         self.pending.violations()
@@ -463,7 +466,7 @@
         let overdue = self.probes.overdue(now, &mut self.actions.link_actions);
         overdue.into_iter().for_each(|(server, took)| self.probe_failed(server, took));
         if self.list_watch.turn(now, &mut self.links, &mut self.actions.link_actions) {
-            self.list_failed("no answer in time");
+            self.list_failed("no answer before the timeout");
         }
         if self.wake_at.is_some_and(|at| at <= now) {
             self.wake_at = None;
@@ -504,8 +507,9 @@
         }
     }
 
-    /// Whether an order may go out, whatever the decisions believe: no line for a server that is not listed as ready, no
-    /// binding of a proxy that is not joined, and no further try of what must not run twice.
+    /// Whether an order may be sent, independently of the controller's state: no line for a server that is
+    /// not listed as ready, no binding of a proxy that is not joined, and no further try of operations that
+    /// must not run twice.
     pub fn permits(&self, order: &Order) -> bool {
         match order {
             Order::Line { server, weight, .. } => {
@@ -521,11 +525,11 @@
         }
     }
 
-    /// Puts an order in line for the relay; of no use without that proxy.
+    /// Queues an order for the relay. `proxy`: the order is dropped if this proxy leaves.
     fn enqueue_order(&mut self, now: Nanos, order: &Order, proxy: Option<ProxyId>) {
         if !self.permits(order) {
             self.pending.order_forbidden();
-            return self.refuse(order.clone(), "it would break a rule");
+            return self.refuse(order.clone(), "it would violate a rule");
         }
         self.orders += 1;
         self.takeovers.ordered(now, order);
@@ -535,7 +539,7 @@
         self.order_queue.enqueue(relay::order(order, &self.names).map(encoded));
     }
 
-    /// When the next turn is due though nothing comes in.
+    /// When the next turn is due if no input arrives.
     pub fn next_at(&self, now: Nanos) -> Option<Nanos> {
         if self.shutting_down {
             let make_way = self.backlog.then_some(now + STEP_INTERVAL);
@@ -554,7 +558,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// What the decisions believe of load and health.
+    /// The controller, with its view of load and health.
     pub fn controller(&self) -> &Controller {
         &self.controller
     }
--- a/crates/craneknot-node/src/coverage.rs
+++ b/crates/craneknot-node/src/coverage.rs
@@ -1,12 +1,14 @@
-//! Whether each joined proxy has a line to pick for each class, by what the relay has acknowledged: the rule on proxies
-//! left without a server, judged while the program runs and apart from what the decisions believe.
+//! Checks at run time whether each joined proxy has a usable line for each class, by the orders that the
+//! relay has acknowledged and independently of the controller's state.
 //!
-//! A proxy lacks a line from its joining until the relay has taken a binding to a table that has a line to a server which
-//! is listed ready and which the class may use; and again from the moment at which that ceases to hold. While no such
-//! server is listed that is warm, nobody lacks anything. What is on its way from the relay to the proxy is not seen here.
+//! A proxy is uncovered from its join until the relay has taken a binding to a table with a line to a server
+//! that is listed ready and allowed for the class, and again from the time when that ceases to hold. While no
+//! such server that is warm is listed, no proxy counts as uncovered. Orders in transit from the relay to the
+//! proxy are not visible here.
 //!
-//! A proxy is bare where it has no such line though a server that it may use is listed ready, cold or warm. The platform's
-//! page holds this no break while all of them are cold; the users hold it one beyond the same limit.
+//! A proxy is without a line if it has no such line although a server that it may use is listed ready, cold
+//! or warm. The platform's specification does not count this as a violation while all of these servers are
+//! cold; the users count it as one beyond the same limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,39 +16,40 @@
 
 use crate::order_queue::OrderOutcome;
 
-const EVALUATION_INTERVAL: Nanos = Nanos::from_millis(100); // ms; how exact the spans are
+const EVALUATION_INTERVAL: Nanos = Nanos::from_millis(100); // the precision of the measured durations
 
-/// What a proxy without a line waits for.
+/// What an uncovered proxy waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitingFor {
     /// No binding was ordered.
     Binding,
     /// The relay has not taken the binding yet.
     BindingTaken,
-    /// The relay could not use the binding, and it was not given again yet.
+    /// The relay refused the binding, and it was not ordered again yet.
     BindingRefused,
     /// The table is empty, and no line of it was ordered.
     Line,
     /// The table is empty, and the relay has not taken its lines yet.
     LineTaken,
-    /// All lines are to servers that drain, are gone or are closed to the class.
+    /// All lines are to servers that drain, are removed or are not allowed for the class.
     UsableServer,
 }
 
-/// What the servers are like that a proxy without a line could be sent to.
+/// The state of the servers that a proxy without a line could use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Supply {
-    /// One at least is warm, or may be, and is not shut out.
+    /// At least one is warm, or may be, and is not ejected.
     Usable,
     /// All that are listed ready are cold.
     AllCold,
-    /// All that are listed ready and warm are shut out for their health.
+    /// All that are listed ready and warm are ejected for their health.
     AllOut,
     /// None is listed ready.
     NoneListed,
 }
 
-/// Proxies that have been bare, for one class and table, for half of the time that the settings allow.
+/// Proxies that have been without a line, for one class and table, for half of the time that the settings
+/// allow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NoLineWarning {
     pub class: ClassId,
@@ -55,62 +58,62 @@
     pub proxy: ProxyId,
     pub proxies: usize,
     pub supply: Supply,
-    /// Servers open to the class that are listed ready: all of them, those that are cold and those that are shut out.
+    /// Servers allowed for the class that are listed ready: all of them, the cold ones and the ejected ones.
     pub ready: usize,
     pub cold: usize,
     pub ejected: usize,
 }
 
-/// A proxy that lacks a line for a class.
+/// A proxy that has no usable line for a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoverageGap {
     pub proxy: ProxyId,
     pub class: ClassId,
-    /// The table it is bound to, as far as is acknowledged.
+    /// The table that it is bound to, as far as is acknowledged.
     pub table: Option<TableId>,
     pub waiting_for: WaitingFor,
     pub supply: Supply,
-    /// How long it has lasted.
+    /// How long the gap has lasted.
     pub lasted: Nanos,
 }
 
-/// The longest lack since the start of the process.
+/// The longest gap since the start of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LongestGap {
-    /// When it was that long.
+    /// When the gap had reached this duration.
     pub at: Nanos,
-    /// Who, and what it waited for.
+    /// The proxy, and what it waited for.
     pub gap: CoverageGap,
 }
 
-/// What an operator wants to know of it.
+/// The totals for the status lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CoverageFigures {
-    /// Proxies and classes without a line now.
+    /// Pairs of a proxy and a class that are uncovered now.
     pub uncovered: usize,
-    /// The longest that any lacked a line, those of now included.
+    /// The longest time that any was uncovered, including those uncovered now.
     pub longest: Nanos,
-    /// How often one lacked a line for longer than the settings allow.
+    /// How often one was uncovered for longer than the settings allow.
     pub over_limit: u64,
-    /// Proxies and classes that are bare now.
+    /// Pairs of a proxy and a class that are without a line now.
     pub without_line: usize,
 }
 
-/// One class of one proxy.
+/// The state of one class of one proxy.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassState {
     table: Option<TableId>,
-    /// Bindings ordered and not settled yet.
+    /// Bindings ordered whose outcome is not known yet.
     pending_bindings: u32,
-    /// The last one that was settled had been refused.
+    /// The last binding with a known outcome was refused.
     is_refused: bool,
-    /// Since when it has had no line; nothing: it has one, or needs none.
+    /// Since when it has been uncovered; `None`: it has a line, or needs none.
     uncovered_since: Option<Nanos>,
-    /// Since when it has been bare.
+    /// Since when it has been without a line.
     no_line_since: Option<Nanos>,
-    /// Since when it has had no line and no server to go to.
+    /// Since when it has had neither a line nor a server to use.
     no_server_since: Option<Nanos>,
-    /// What there is for it while it has no line.
+    /// The state of its servers while it has no line.
     supply: Option<Supply>,
     is_over_limit: bool,
     is_warned: bool,
@@ -121,7 +124,7 @@
     classes: Vec<ClassState>,
 }
 
-/// Judges all joined proxies.
+/// Evaluates all joined proxies.
 pub struct Coverage {
     classes: Vec<ClassSettings>,
     warm_after: Nanos,
@@ -129,20 +132,20 @@
     proxies: BTreeMap<ProxyId, ProxyState>,
     /// The lines of each table, as acknowledged.
     tables: BTreeMap<TableId, BTreeSet<ServerId>>,
-    /// Lines ordered and not settled, by table.
+    /// Lines ordered whose outcome is not known yet, by table.
     pending_lines: BTreeMap<TableId, usize>,
     evaluate_at: Nanos,
     over_limit: u64,
     longest_gap: Option<LongestGap>,
-    /// The longest times without a line, by what there was meanwhile.
+    /// The longest times without a line, by the state of the servers during them.
     longest_without_line: BTreeMap<Supply, LongestGap>,
-    /// Servers that the decisions have shut out.
+    /// Servers that the controller has ejected.
     ejected: BTreeSet<ServerId>,
     warnings: Vec<NoLineWarning>,
 }
 
 impl Coverage {
-    /// Judges by these settings.
+    /// Evaluates by these settings.
     pub fn new(settings: &Settings) -> Self {
         Coverage {
             classes: settings.classes.clone(),
@@ -160,7 +163,7 @@
         }
     }
 
-    /// The decisions have shut a server out, or no longer do.
+    /// The controller has ejected a server, or has readmitted it.
     pub fn set_ejected(&mut self, server: &ServerId, is_ejected: bool) {
         if is_ejected {
             self.ejected.insert(server.clone());
@@ -169,24 +172,23 @@
         }
     }
 
-    /// Who has become bare for half of the limit since the last call.
+    /// Warns of proxies that have reached half of the limit without a line since the last call.
     pub fn take_warnings(&mut self) -> Vec<NoLineWarning> {
         std::mem::take(&mut self.warnings)
     }
 
-    /// A proxy has joined: none of its bindings stands.
+    /// A proxy has joined: none of its bindings is valid.
     pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId, zone: ZoneId) {
         let state =
             ClassState { uncovered_since: Some(now), no_line_since: Some(now), ..ClassState::default() };
         self.proxies.insert(proxy, ProxyState { zone, classes: vec![state; self.classes.len()] });
     }
 
-    /// A proxy has left.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
     }
 
-    /// The relay takes no orders from anybody for now: what lacks a line begins anew.
+    /// The relay takes no orders from anybody for now: all current gaps start again.
     pub fn restart_gaps(&mut self, now: Nanos) {
         let state = self.proxies.values_mut().flat_map(|proxy_state| &mut proxy_state.classes);
         state.for_each(|state| {
@@ -204,7 +206,7 @@
         state.filter(move |(class, _)| classes.has(ClassId(*class as u8))).map(|(_, state)| state)
     }
 
-    /// An order was given to be sent.
+    /// An order was queued for sending.
     pub fn ordered(&mut self, order: &Order) {
         match order {
             Order::Line { table, .. } => *self.pending_lines.entry(*table).or_default() += 1,
@@ -215,7 +217,7 @@
         }
     }
 
-    /// What became of an order that was given.
+    /// The outcome of an order is known.
     pub fn order_finished(&mut self, order: &Order, outcome: OrderOutcome) {
         let is_taken = outcome == OrderOutcome::Taken;
         match order {
@@ -259,7 +261,8 @@
         }
     }
 
-    /// Looks at all proxies where that is due; gives those whose lack has just become longer than the settings allow.
+    /// Evaluates all proxies when that is due. Returns the gaps that have just exceeded the limit of the
+    /// settings.
     pub fn evaluate<'a>(
         &mut self,
         now: Nanos,
@@ -269,7 +272,7 @@
             return Vec::new();
         }
         self.evaluate_at = now + EVALUATION_INTERVAL;
-        let ready_servers = ReadyServers::new(now, self.warm_after, &self.classes, &self.ejected, listed);
+        let ready = ReadyServers::new(now, self.warm_after, &self.classes, &self.ejected, listed);
         let mut newly_over_limit: Vec<(ProxyId, usize)> = Vec::new();
         let mut supplies: BTreeMap<(usize, ZoneId, Option<TableId>), Option<Supply>> = BTreeMap::new();
         let mut warnings: BTreeMap<(usize, Option<TableId>), NoLineWarning> = BTreeMap::new();
@@ -278,11 +281,11 @@
                 let lines = state.table.and_then(|table| self.tables.get(&table));
                 let supply = *supplies
                     .entry((class, proxy_state.zone, state.table))
-                    .or_insert_with(|| ready_servers.supply_without_line(class, proxy_state.zone, lines));
+                    .or_insert_with(|| ready.supply_without_line(class, proxy_state.zone, lines));
                 state.update(now, supply);
                 if state.no_line_since.is_some_and(|start| now - start > Nanos(self.limit.0 / 2)) {
                     if !std::mem::replace(&mut state.is_warned, true) {
-                        let warn = || ready_servers.warning(*proxy, class, proxy_state.zone, state);
+                        let warn = || ready.warning(*proxy, class, proxy_state.zone, state);
                         warnings.entry((class, state.table)).or_insert_with(warn).proxies += 1;
                     }
                 } else {
@@ -302,7 +305,7 @@
         newly_over_limit.into_iter().filter_map(gap).collect()
     }
 
-    /// Keeps the longest lack, and the longest time without a line for each supply.
+    /// Updates the longest gap, and the longest time without a line for each supply.
     fn update_longest(&mut self, now: Nanos) {
         let gap = self.longest_now(now, |state| state.uncovered_since);
         self.longest_gap = longer_gap(now, self.longest_gap.take(), gap);
@@ -345,7 +348,7 @@
         })
     }
 
-    /// The figures as of the last look.
+    /// The totals as of the last evaluation.
     pub fn figures(&self) -> CoverageFigures {
         let state = || self.proxies.values().flat_map(|proxy_state| &proxy_state.classes);
         CoverageFigures {
@@ -356,19 +359,19 @@
         }
     }
 
-    /// The longest lack since the start.
+    /// The longest gap since the start.
     pub fn longest_gap(&self) -> Option<&LongestGap> {
         self.longest_gap.as_ref()
     }
 
-    /// The longest times without a line since the start, by what there was meanwhile.
+    /// The longest times without a line since the start, by the state of the servers during them.
     pub fn longest_without_line(&self) -> &BTreeMap<Supply, LongestGap> {
         &self.longest_without_line
     }
 }
 
 impl ClassState {
-    /// `supply`: what there is for it, where it has no line.
+    /// `supply`: the state of its servers if it has no line, else `None`.
     fn update(&mut self, now: Nanos, supply: Option<Supply>) {
         let has_ready_server = supply.is_some_and(|supply| supply != Supply::NoneListed);
         let is_uncovered = matches!(supply, Some(Supply::Usable | Supply::AllOut));
@@ -380,7 +383,7 @@
     }
 }
 
-/// The longer of the worst until now and a lapse of this moment.
+/// The longer one of the longest gap so far and a current gap.
 fn longer_gap(now: Nanos, longest_gap: Option<LongestGap>, gap: Option<CoverageGap>) -> Option<LongestGap> {
     let longest = longest_gap.as_ref().map_or(Nanos(0), |longest_gap| longest_gap.gap.lasted);
     let gap = gap.filter(|gap| gap.lasted > longest);
@@ -409,7 +412,7 @@
         ReadyServers { classes, now, warm_after, ejected, servers }
     }
 
-    /// Whether it is warm, or may be.
+    /// Whether a server is warm, or may be.
     fn is_warm(&self, entry: &Listing) -> bool {
         let is_old = |started: Nanos| self.now - started >= self.warm_after;
         entry.started.is_none_or(is_old) || !entry.is_start_certain
@@ -426,7 +429,7 @@
         self.servers.values().filter(move |entry| self.is_allowed(class, zone, entry))
     }
 
-    /// What there is for a proxy of a zone, if none of these lines is of use to it.
+    /// The state of the servers for a proxy of a zone if it can use none of these lines, else `None`.
     fn supply_without_line(
         &self,
         class: usize,
@@ -452,7 +455,7 @@
         })
     }
 
-    /// Of no proxy yet: `proxies` is to be counted.
+    /// A warning that counts no proxy yet: the caller adds to `proxies`.
     fn warning(&self, proxy: ProxyId, class: usize, zone: ZoneId, state: &ClassState) -> NoLineWarning {
         let count = |matches: &dyn Fn(&Listing) -> bool| {
             self.allowed(class, zone).filter(|entry| matches(entry)).count()
--- a/crates/craneknot-node/src/event_streams.rs
+++ b/crates/craneknot-node/src/event_streams.rs
@@ -1,5 +1,6 @@
-//! The event streams of the relay: two are held, and what either brings first is passed on, once. So nothing waits for a
-//! stream that is late or silent, and nothing is lost with one that breaks.
+//! The event streams of the relay. Two streams are kept open, and an event is passed on once, by whichever
+//! stream brings it first. So no event waits for a late or silent stream, and none is lost when a stream
+//! breaks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,25 +13,30 @@
 use crate::link::{backoff, Act, LinkId, Links};
 use crate::presence::{Presence, StreamView};
 
-const STREAM_COUNT: usize = 2; // streams: with one, news is missed whenever it breaks
-const SILENT_AFTER: Nanos = Nanos::from_millis(2_500); // ms; a sign of life comes every second
-const QUIET_AFTER: Nanos = Nanos::from_millis(1_500); // ms; a stream this long without a sign of life may miss what happens
-const OPEN_TIMEOUT: Nanos = Nanos::from_millis(1_500); // ms; to be connected and hear the first byte
-const SNAPSHOT_SPAN: Nanos = Nanos::from_millis(500); // ms; what stands has been told by then, on a new stream
-const REPEAT_WINDOW: Nanos = Nanos::from_millis(4_000); // ms; what a stream told so long before another ended may have been more
-                                                        // than a repetition
-const OVERLAP: Nanos = Nanos::from_millis(500); // ms; before a stream's last word, news may have been on its way
-const ESTABLISHED_AFTER: Nanos = Nanos::from_millis(1_000); // ms; a stream open for so long has told what stands twice over
-const APPLIED_RETENTION: Nanos = Nanos::from_millis(4_000); // ms; acknowledgements: a stream's silence and the overlap before
-const BACKOFF_FIRST: Nanos = Nanos::from_millis(50); // ms; first wait before dialling again, doubled each time
-const BACKOFF_MAX: Nanos = Nanos::from_millis(800); // ms; the longest
-
-/// One stream, and what it has told.
+const STREAM_COUNT: usize = 2; // with one, events are missed whenever it breaks
+const SILENT_AFTER: Nanos = Nanos::from_millis(2_500); // a keep-alive arrives every second
+/// A stream without input for this long may be missing events.
+const QUIET_AFTER: Nanos = Nanos::from_millis(1_500);
+const OPEN_TIMEOUT: Nanos = Nanos::from_millis(1_500); // to connect and receive the first byte
+const SNAPSHOT_SPAN: Nanos = Nanos::from_millis(500); // a new stream has sent its snapshot by then
+/// A report this long before the end of another stream may have been more than a repetition.
+const REPEAT_WINDOW: Nanos = Nanos::from_millis(4_000);
+// events may have been delayed by this much before a stream's last input
+const OVERLAP: Nanos = Nanos::from_millis(500);
+// twice the time that a new stream needs for its snapshot
+const ESTABLISHED_AFTER: Nanos = Nanos::from_millis(1_000);
+// of acknowledgements: the silence of a stream, plus the overlap before it
+const APPLIED_RETENTION: Nanos = Nanos::from_millis(4_000);
+// wait before the first redial, doubled with each further one
+const BACKOFF_FIRST: Nanos = Nanos::from_millis(50);
+const BACKOFF_MAX: Nanos = Nanos::from_millis(800);
+
+/// One stream, and what it has reported.
 struct EventStream {
     link: LinkId,
     address: SocketAddr,
     dialled_at: Nanos,
-    /// When its first byte came, and its last.
+    /// When its first byte arrived, and its last.
     opened_at: Option<Nanos>,
     last_input_at: Nanos,
     decoder: Decoder,
@@ -42,7 +48,7 @@
         self.opened_at.is_some() && now - self.last_input_at < SILENT_AFTER
     }
 
-    /// It has told what stands, and speaks on.
+    /// It has sent its snapshot and is still alive.
     fn is_established(&self, now: Nanos) -> bool {
         self.is_alive(now) && self.opened_at.is_some_and(|opened_at| now - opened_at >= ESTABLISHED_AFTER)
     }
@@ -51,7 +57,7 @@
         now - self.last_input_at >= QUIET_AFTER
     }
 
-    /// When it has told what stands; nothing: that is over, or has not begun.
+    /// When its snapshot will be complete; `None`: it is complete, or has not begun.
     fn snapshot_due_at(&self) -> Option<Nanos> {
         self.opened_at
             .filter(|_| !self.view.is_snapshot_complete())
@@ -59,26 +65,26 @@
     }
 }
 
-/// The streams that would tell of a proxy's leaving.
+/// The streams that would report the leaving of a proxy.
 fn tracking(streams: &[EventStream], now: Nanos) -> impl Iterator<Item = &EventStream> {
     streams.iter().filter(move |stream| stream.opened_at.is_some() && !stream.is_quiet(now))
 }
 
-/// All streams, and what they have told together.
+/// All streams, and what they have reported together.
 pub struct EventStreams {
     address: SocketAddr,
     streams: Vec<EventStream>,
     presence: Presence,
-    /// The acknowledgements told of late, and when: other streams bring them too.
+    /// The acknowledgements passed on recently, with their times: the other streams bring them too.
     applied_at: BTreeMap<(ProxyId, u16), Nanos>,
-    /// When the streams that remain have had time to tell what one that has ended told last.
+    /// When the remaining streams have had time to report what an ended stream reported last.
     uncertainty_ends_at: Option<Nanos>,
     next_dial_at: Nanos,
     failures: u32,
 }
 
 impl EventStreams {
-    /// Streams of the relay at this address.
+    /// Dials streams of the relay at this address.
     pub fn new(address: SocketAddr, now: Nanos) -> Self {
         EventStreams {
             address,
@@ -96,14 +102,15 @@
         self.streams.iter().any(|stream| stream.link == link)
     }
 
-    /// The relay is elsewhere from now on. Streams from its old address serve until new ones speak.
+    /// The relay has a new address. Streams from the old address remain in use until new ones are
+    /// established.
     pub fn move_to(&mut self, now: Nanos, address: SocketAddr) {
         if self.address != address {
             (self.address, self.next_dial_at, self.failures) = (address, now, 0);
         }
     }
 
-    /// Ends and dials streams where that is due.
+    /// Closes and dials streams when that is due.
     pub fn turn(&mut self, now: Nanos, links: &mut Links, link_actions: &mut Vec<Act>, out: &mut Vec<News>) {
         self.complete_snapshots(now, out);
         self.drop_late(now, link_actions, out);
@@ -114,8 +121,8 @@
         }
     }
 
-    /// Ends streams that never opened, or fell silent. The last one heard is kept while nothing else speaks, since what
-    /// is cut off may come back.
+    /// Closes streams that never opened or have fallen silent. The one with the latest input is kept while no
+    /// other is alive, because a partitioned stream may recover.
     fn drop_late(&mut self, now: Nanos, link_actions: &mut Vec<Act>, out: &mut Vec<News>) {
         let is_any_alive = self.streams.iter().any(|stream| stream.is_alive(now));
         let opened = self.streams.iter().filter(|stream| stream.opened_at.is_some());
@@ -155,7 +162,7 @@
         self.next_dial_at = now + self.backoff_wait();
     }
 
-    /// Whether too few streams of the present address speak, or may still open.
+    /// Whether too few streams from the current address are alive or may still open.
     fn needs_dial(&self, now: Nanos) -> bool {
         let current = self.streams.iter().filter(|stream| stream.address == self.address);
         current.filter(|stream| stream.opened_at.is_none() || stream.is_alive(now)).count() < STREAM_COUNT
@@ -165,12 +172,12 @@
         backoff(self.failures, BACKOFF_FIRST, BACKOFF_MAX)
     }
 
-    /// What reads a stream's bytes.
+    /// The decoder of a stream.
     pub fn decoder(&mut self, link: LinkId) -> Option<&mut Decoder> {
         self.streams.iter_mut().find(|stream| stream.link == link).map(|stream| &mut stream.decoder)
     }
 
-    /// Bytes have come on a stream, with this news in them.
+    /// Bytes with these events were received on a stream.
     pub fn receive(&mut self, now: Nanos, link: LinkId, relay_events: Vec<News>, out: &mut Vec<News>) {
         let Some(index) = self.streams.iter().position(|stream| stream.link == link) else { return };
         let mut stream = self.streams.remove(index);
@@ -188,7 +195,7 @@
         self.applied_at.retain(|_, at| now - *at < APPLIED_RETENTION);
     }
 
-    /// Takes news of a stream that is not among the others for the moment.
+    /// Applies an event of a stream that is taken out of `streams` for the moment.
     fn apply(&mut self, now: Nanos, view: &mut StreamView, relay_event: News, out: &mut Vec<News>) {
         let is_tracked = self.is_tracked(now, relay_event.proxy());
         match relay_event {
@@ -201,7 +208,8 @@
         }
     }
 
-    /// Whether a stream that is not quiet has told all that is known of a proxy, and would tell of its leaving.
+    /// Whether a stream that is not quiet has reported all that is known of a proxy, and would report its
+    /// leaving.
     fn is_tracked(&self, now: Nanos, proxy: ProxyId) -> bool {
         tracking(&self.streams, now).any(|stream| self.presence.is_tracked(&stream.view, proxy))
     }
@@ -212,7 +220,7 @@
         let ended = self.streams.remove(index);
         self.next_dial_at = self.next_dial_at.max(now + self.backoff_wait());
         self.failures += 1;
-        // One that never opened has told nothing.
+        // A stream that never opened has reported nothing.
         if ended.opened_at.is_some() {
             let mut remaining: Vec<&mut StreamView> =
                 self.streams.iter_mut().map(|stream| &mut stream.view).collect();
@@ -222,8 +230,9 @@
         self.confirm(now, out);
     }
 
-    /// Whether a proxy came and went before a stream began is told by one that was open before: it has done so by some
-    /// time after, or it is gone or quiet, and whoever may have done so is told as joined anew.
+    /// Whether a proxy left and joined again before a stream began can be reported by a stream that was open
+    /// before. That stream has reported it some time later; or it has ended or is quiet, and the proxies
+    /// concerned are reported as joined again.
     fn confirm(&mut self, now: Nanos, out: &mut Vec<News>) {
         for index in 0..self.streams.len() {
             let mut stream = self.streams.remove(index);
@@ -242,8 +251,8 @@
         }
     }
 
-    /// Streams that have opened for long enough have told what stands; who is not named has left, unless a stream that
-    /// is not quiet would have told of it.
+    /// Streams that have been open for long enough have sent their snapshot. Proxies not named in it have
+    /// left, unless a stream that is not quiet would have reported that.
     fn complete_snapshots(&mut self, now: Nanos, out: &mut Vec<News>) {
         for index in 0..self.streams.len() {
             let mut stream = self.streams.remove(index);
@@ -256,13 +265,13 @@
         }
     }
 
-    /// After a stream has ended the others have had time to tell what it told last.
+    /// After the end of a stream the others have had time to report what it reported last.
     fn resolve_uncertain(&mut self, now: Nanos, out: &mut Vec<News>) {
         let Some(at) = self.uncertainty_ends_at.filter(|at| *at <= now) else { return };
         self.uncertainty_ends_at = None;
         for index in 0..self.streams.len() {
             let mut stream = self.streams.remove(index);
-            // One that has been silent since may have it on its way.
+            // A stream without input since then may still have the report in transit.
             if stream.last_input_at + SNAPSHOT_SPAN > at {
                 let others = &self.streams;
                 let is_tracked = |presence: &Presence, proxy| {
@@ -276,22 +285,22 @@
         }
     }
 
-    /// Streams that have opened.
+    /// Number of streams that have opened.
     pub fn open_streams(&self) -> usize {
         self.streams.iter().filter(|stream| stream.opened_at.is_some()).count()
     }
 
-    /// Proxies told as joined.
+    /// Number of proxies reported as joined.
     pub fn joined_count(&self) -> usize {
         self.presence.joined_count()
     }
 
-    /// Whether a proxy is told as joined.
+    /// Whether a proxy is reported as joined.
     pub fn is_joined(&self, proxy: ProxyId) -> bool {
         self.presence.is_joined(proxy)
     }
 
-    /// When the next stream will be quiet that others may wait for.
+    /// When the next stream that others may wait for becomes quiet.
     fn quiet_at(&self, now: Nanos) -> Option<Nanos> {
         let is_awaited = self.streams.iter().any(|stream| stream.view.assumed_since().is_some());
         let quiet =
@@ -299,7 +308,7 @@
         quiet.min().filter(|_| is_awaited)
     }
 
-    /// When the next turn is due though nothing comes in. A stream that is silent, and kept, sets no time.
+    /// When the next turn is due if no input arrives. A silent stream that is kept sets no time.
     pub fn next_at(&self, now: Nanos) -> Option<Nanos> {
         let settled = self.streams.iter().filter_map(EventStream::snapshot_due_at);
         let streams = self.streams.iter().filter_map(|stream| match stream.opened_at {
--- a/crates/craneknot-node/src/list_watch.rs
+++ b/crates/craneknot-node/src/list_watch.rs
@@ -1,5 +1,5 @@
-//! How the list of servers is followed: one call after another on one connection, each waiting for what is newer.
-//! A call that fails is told to the decisions, which ask again.
+//! Follows discovery's list of servers by long polling: calls follow one another on one connection, each
+//! waiting for a newer revision. A failed call is reported to the controller, which asks again.
 
 use std::net::SocketAddr;
 
@@ -10,43 +10,47 @@
 
 use crate::link::{Act, Callee, LinkId, Links};
 
-const LONG_POLL_WAIT: Nanos = Nanos::from_millis(5_000); // ms; a watch that has fallen silent is found out soon after
-const LONG_POLL_GRACE: Nanos = Nanos::from_millis(1_500); // ms; an answer this long after its wait is lost
-                                                          // A call that does not wait, its dial included; one given up while discovery works on it is work done twice.
-const FIRST_CALL_TIMEOUT: Nanos = Nanos::from_millis(2_500); // ms
-const SAME_WATCH_WINDOW: Nanos = Nanos::from_millis(200); // ms; a call this soon after an answer goes on with its watch
-const OLDER_LISTS_MAX: u32 = 3; // lists in a row older than the known one, until they count: a new numbering
+const LONG_POLL_WAIT: Nanos = Nanos::from_millis(5_000); // short enough that a silent watch is detected soon
+/// An answer this long after the end of its wait is considered lost.
+const LONG_POLL_GRACE: Nanos = Nanos::from_millis(1_500);
+/// For a call that does not wait, including its dial. Giving up while discovery still works on the call would make
+/// it do the same work twice.
+const FIRST_CALL_TIMEOUT: Nanos = Nanos::from_millis(2_500);
+/// A call this soon after an answer continues its watch.
+const SAME_WATCH_WINDOW: Nanos = Nanos::from_millis(200);
+const OLDER_LISTS_MAX: u32 = 3; // in a row: a list older than the known one then counts as a new numbering
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WatchState {
-    /// Not asked to follow, or failed.
+enum State {
+    /// Not requested, or failed.
     Idle,
-    /// To call as soon as may be.
+    /// The next call is to be made as soon as possible.
     Due,
-    /// A call is in flight; `kept`: on a connection that served before; `waits`: for what is newer.
+    /// A call is in flight. `reused`: on a connection that had carried a call before. `is_long_poll`: it
+    /// waits for a newer revision.
     InFlight { deadline: Nanos, reused: bool, is_long_poll: bool },
 }
 
 pub struct ListWatch {
     discovery: Callee,
-    state: WatchState,
+    state: State,
     revision: Option<u64>,
-    /// The next call is the first of a new watch: it is answered at once.
-    is_first_call: bool,
+    /// The next call is the first of a new watch, which is answered at once.
+    is_first: bool,
     answered_at: Nanos,
-    /// Lists in a row that were older than what is known.
+    /// Number of consecutive lists older than the known one.
     older_in_row: u32,
 }
 
 impl ListWatch {
-    /// `revision`: of the list that is known from before.
+    /// `revision`: that of the list remembered from before the start.
     pub fn new(address: SocketAddr, revision: Option<u64>) -> Self {
         let discovery = Callee::new(address);
         ListWatch {
             discovery,
-            state: WatchState::Idle,
+            state: State::Idle,
             revision,
-            is_first_call: true,
+            is_first: true,
             answered_at: Nanos(0),
             older_in_row: 0,
         }
@@ -56,46 +60,44 @@
         self.discovery.has(link)
     }
 
-    /// The decisions want to follow the list.
+    /// The controller requests to follow the list.
     pub fn start(&mut self) {
         match self.state {
-            WatchState::Idle => (self.state, self.is_first_call) = (WatchState::Due, true),
-            WatchState::Due | WatchState::InFlight { .. } => {}
+            State::Idle => (self.state, self.is_first) = (State::Due, true),
+            State::Due | State::InFlight { .. } => {}
         }
     }
 
     pub fn move_to(&mut self, address: SocketAddr, link_actions: &mut Vec<Act>) {
         if self.discovery.move_to(address, link_actions) {
             match self.state {
-                WatchState::Idle => {}
-                WatchState::Due | WatchState::InFlight { .. } => {
-                    (self.state, self.is_first_call) = (WatchState::Due, true)
-                }
+                State::Idle => {}
+                State::Due | State::InFlight { .. } => (self.state, self.is_first) = (State::Due, true),
             }
         }
     }
 
-    /// Calls where that is due; true: a call has failed by its time.
+    /// Makes the next call when it is due. Returns true if a call has failed by its timeout.
     pub fn turn(&mut self, now: Nanos, links: &mut Links, link_actions: &mut Vec<Act>) -> bool {
         match self.state {
-            WatchState::Idle => false,
-            WatchState::InFlight { deadline, .. } if now < deadline => false,
-            WatchState::InFlight { is_long_poll: true, .. } => {
-                // A watch that has fallen silent says nothing of discovery, and what changed meanwhile is overdue:
-                // a call on a new connection tells both.
+            State::Idle => false,
+            State::InFlight { deadline, .. } if now < deadline => false,
+            State::InFlight { is_long_poll: true, .. } => {
+                // A silent watch does not tell whether discovery is available, and changes are overdue: a
+                // call on a new connection shows both.
                 self.discovery.hang_up(link_actions);
-                (self.state, self.is_first_call) = (WatchState::Due, true);
+                (self.state, self.is_first) = (State::Due, true);
                 self.turn(now, links, link_actions)
             }
-            WatchState::InFlight { is_long_poll: false, .. } => {
+            State::InFlight { is_long_poll: false, .. } => {
                 self.discovery.hang_up(link_actions);
-                self.state = WatchState::Idle;
+                self.state = State::Idle;
                 true
             }
-            WatchState::Due => {
+            State::Due => {
                 let (path, timeout) = match self.revision {
-                    // What was missed is sent first, and a failure shows at once.
-                    Some(revision) if self.is_first_call => {
+                    // Missed changes are sent at once, and a failure shows at once.
+                    Some(revision) if self.is_first => {
                         (discovery::watch(revision, Nanos(0)), FIRST_CALL_TIMEOUT)
                     }
                     Some(revision) => {
@@ -103,18 +105,18 @@
                     }
                     None => (discovery::whole(), FIRST_CALL_TIMEOUT),
                 };
-                let is_long_poll = self.revision.is_some() && !self.is_first_call;
-                self.is_first_call = false;
+                let is_long_poll = self.revision.is_some() && !self.is_first;
+                self.is_first = false;
                 let request = request(&Method::GET, &path, &self.discovery.host(), &[], b"");
                 let reused = !self.discovery.call(request, links, link_actions);
-                self.state = WatchState::InFlight { deadline: now + timeout, reused, is_long_poll };
+                self.state = State::InFlight { deadline: now + timeout, reused, is_long_poll };
                 false
             }
         }
     }
 
-    /// A list has come; the next call is due at once, since a watch goes on only where it follows soon. An error
-    /// says why the list is not to be used: the watch has failed then.
+    /// A list was received. The next call is due at once, because a watch is continued only by a prompt call.
+    /// An error says why the list must not be used; the watch has failed then.
     pub fn answered(
         &mut self,
         now: Nanos,
@@ -125,41 +127,40 @@
         if !keep_alive {
             self.discovery.hang_up(link_actions);
         }
-        // An answer that was long on its way, or of a copy that lags behind, must not undo what came since.
+        // An answer that was delayed, or comes from a replica that lags behind, must not undo later changes.
         if let Some(known) = self.revision.filter(|known| roster.revision < *known) {
             self.older_in_row += 1;
             if self.older_in_row < OLDER_LISTS_MAX {
-                self.state = WatchState::Idle;
+                self.state = State::Idle;
                 return Err(format!("revision {} is older than the known {known}", roster.revision));
             }
         }
-        // Changes to another numbering's list tell too little.
+        // Changes relative to a list with another numbering are incomplete.
         let is_renumbered = std::mem::take(&mut self.older_in_row) >= OLDER_LISTS_MAX && !roster.complete;
-        (self.revision, self.is_first_call) = ((!is_renumbered).then_some(roster.revision), is_renumbered);
-        (self.answered_at, self.state) = (now, WatchState::Due);
+        (self.revision, self.is_first) = ((!is_renumbered).then_some(roster.revision), is_renumbered);
+        (self.answered_at, self.state) = (now, State::Due);
         Ok(())
     }
 
-    /// What came is no list: the watch has failed.
+    /// The answer is not a list: the watch has failed.
     pub fn failed(&mut self, link_actions: &mut Vec<Act>) {
         self.discovery.hang_up(link_actions);
-        self.state = WatchState::Idle;
+        self.state = State::Idle;
     }
 
-    /// The connection has ended; true: with a call in flight, which has failed.
+    /// The connection has ended. Returns true if a call was in flight and has failed.
     pub fn lost(&mut self, now: Nanos) -> bool {
         self.discovery.lost();
         match self.state {
-            WatchState::Idle | WatchState::Due => false,
-            // A kept connection may have been closed as the call went out: the call is made again, once, on a new
-            // connection, which tells whether discovery is there.
-            WatchState::InFlight { reused: true, .. } => {
-                (self.state, self.is_first_call) =
-                    (WatchState::Due, now - self.answered_at >= SAME_WATCH_WINDOW);
+            State::Idle | State::Due => false,
+            // The server may have closed the idle connection just as the call was sent. The call is made
+            // again, once, on a new connection, which shows whether discovery is available.
+            State::InFlight { reused: true, .. } => {
+                (self.state, self.is_first) = (State::Due, now - self.answered_at >= SAME_WATCH_WINDOW);
                 false
             }
-            WatchState::InFlight { reused: false, .. } => {
-                self.state = WatchState::Idle;
+            State::InFlight { reused: false, .. } => {
+                self.state = State::Idle;
                 true
             }
         }
@@ -167,9 +168,9 @@
 
     pub fn next_at(&self) -> Option<Nanos> {
         match self.state {
-            WatchState::Idle => None,
-            WatchState::Due => Some(Nanos(0)),
-            WatchState::InFlight { deadline, .. } => Some(deadline),
+            State::Idle => None,
+            State::Due => Some(Nanos(0)),
+            State::InFlight { deadline, .. } => Some(deadline),
         }
     }
 }
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -1,7 +1,8 @@
-//! Orders on their way to the relay: one call at a time, in order, made again until it is known to be carried out.
+//! The queue of orders for the relay. One call is in flight at a time; orders are sent in sequence, and a
+//! call is repeated until it is known to have been carried out.
 //!
-//! A call that is broken off, or whose answer can't be read, was carried out or was not. All orders set what they
-//! name, so that carrying one out twice leaves the same; the call is made again from its first order.
+//! A call whose connection broke, or whose answer can't be read, may or may not have been carried out. Orders
+//! are idempotent, so the call is repeated from its first order.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -13,35 +14,41 @@
 
 use crate::link::{backoff, Act, Callee, LinkId, Links};
 
-const ANSWER_TIMEOUT: Nanos = Nanos::from_millis(200); // ms; it comes within 50 or never, and we may be held up
-const DIAL_TIMEOUT: Nanos = Nanos::from_millis(300); // ms; to be connected and answered on a new connection
-const BACKOFF_FIRST: Nanos = Nanos::from_millis(20); // ms; first wait before a call is made again, doubled each time
-const BACKOFF_MAX: Nanos = Nanos::from_millis(320); // ms; the longest: proxies wait for their lines
-const THROTTLED_WAIT: Nanos = Nanos::from_millis(100); // ms; it said that it is busy
-const REFUSED_RETRY_DELAY: Nanos = Nanos::from_millis(700); // ms; news that a proxy has left comes within, mostly
-const SUSPECT_AFTER_REFUSALS: u32 = 2; // refusals in a row, each of another proxy: one or two leave in the usual coming and going
-const SUSPECT_DOUBLINGS_MAX: u32 = 12; // more proxies than there are
-const COMPACT_MIN_ORDERS: usize = 4_096; // orders in line, some two calls: a relay that is there takes them before
-const ORDER_OVERHEAD_BYTES: usize = 8; // bytes that one order's signs grow by when escaped, at most, and its end
-
-/// An order as the relay reads it, and the proxy without which it is of no use.
+// the relay answers within 50 ms or never; the rest allows for delays on our side
+const ANSWER_TIMEOUT: Nanos = Nanos::from_millis(200);
+const DIAL_TIMEOUT: Nanos = Nanos::from_millis(300); // to connect and receive the answer
+/// Wait before the first retry, doubled with each further one.
+const BACKOFF_FIRST: Nanos = Nanos::from_millis(20);
+const BACKOFF_MAX: Nanos = Nanos::from_millis(320); // longest wait: proxies are waiting for their lines
+const THROTTLED_WAIT: Nanos = Nanos::from_millis(100); // after the relay has answered that it is throttling
+/// Most events for a proxy that has left arrive within this time.
+const REFUSED_RETRY_DELAY: Nanos = Nanos::from_millis(700);
+// in a row, each for another proxy: one or two leave in normal operation
+const SUSPECT_AFTER_REFUSALS: u32 = 2;
+const SUSPECT_DOUBLINGS_MAX: u32 = 12; // 2 << 12 is more than the number of proxies
+/// About two calls: a relay in reach takes orders before they reach this number.
+const COMPACT_MIN_ORDERS: usize = 4_096;
+// at most: the growth of an order's special characters when escaped, and its separator
+const ORDER_OVERHEAD_BYTES: usize = 8;
+
+/// An order in the relay's encoding, and the proxy that it depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EncodedOrder {
     pub order: Order,
     pub text: String,
     pub proxy: Option<ProxyId>,
-    /// What it sets: a later order of the same subject leaves nothing of it.
+    /// What the order sets: a later order with the same subject overwrites it.
     pub subject: Option<String>,
 }
 
-/// What became of an order. Each that was offered has one outcome, unless the process ends before.
+/// The outcome of an order. Each enqueued order has exactly one, unless the process ends first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The relay has carried it out.
     Taken,
-    /// The relay can't use it, looked at twice.
+    /// The relay has refused it twice.
     Refused,
-    /// A later order of the same subject took its place.
+    /// A later order with the same subject replaced it.
     Superseded,
     /// Its proxy has left.
     Cancelled,
@@ -49,27 +56,28 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallState {
-    /// Nothing is in flight; a call may be made from then on.
+    /// No call is in flight; the next one may be made from `call_from`.
     Idle { call_from: Nanos },
-    /// The first `orders` of the queue have been sent; `kept`: on a connection that served before.
+    /// The first `orders` of the queue have been sent. `reused`: on a connection that had carried a call
+    /// before.
     InFlight { deadline: Nanos, orders: usize, reused: bool },
 }
 
-/// An order in line.
+/// An order in the queue.
 struct Queued {
     order: EncodedOrder,
-    /// Its place among all that were ever offered.
+    /// Its sequence number among all enqueued orders.
     number: u64,
-    /// Its proxy left while it was in flight: it is not sent again.
+    /// Its proxy left while the order was in flight: it is not sent again.
     is_cancelled: bool,
-    /// The relay could not use it once.
+    /// The relay has refused it once.
     was_refused: bool,
-    /// Its proxy may have left, as many before it had: it goes out behind all others.
+    /// Its proxy may have left, because many before it had: the order is sent after all others.
     is_suspect: bool,
 }
 
-/// The orders of a proxy that the relay does not know: it may have left, news of which is on its way, or the
-/// relay's count was malformed. They wait, in order, and hold up nobody else's.
+/// The orders for a proxy that the relay does not know: the proxy may have left and the event for that is
+/// delayed, or the relay's count was malformed. They wait in sequence and don't delay the orders of others.
 struct Deferred {
     retry_at: Nanos,
     orders: VecDeque<Queued>,
@@ -79,34 +87,36 @@
     relay: Callee,
     queue: VecDeque<Queued>,
     deferred: BTreeMap<ProxyId, Deferred>,
-    /// Proxies whose orders go out behind all others.
+    /// Proxies whose orders are sent after all others.
     suspects: BTreeSet<ProxyId>,
-    /// Calls in a row that ended with an order for a proxy that the relay does not know.
+    /// Consecutive calls that ended with an order for a proxy that the relay does not know.
     refusals_in_row: u32,
-    /// The queue's length at which it is folded next.
+    /// The length at which the queue is compacted next.
     compact_at: usize,
     state: CallState,
-    /// Calls in a row that came to nothing.
+    /// Consecutive failed calls.
     failures: u32,
-    /// The last answer said that the relay takes no calls for now.
+    /// The last answer said that the relay accepts no calls for now.
     is_throttled: bool,
-    /// Orders given up on, since the relay can't use them; calls made again.
+    /// `rejected`: orders dropped because the relay refused them twice. `retried`: repeated calls.
     pub rejected: u64,
     pub retried: u64,
-    /// Orders offered, ever.
+    /// Number of orders enqueued since the start.
     enqueued: u64,
     last_acknowledged: LastAcknowledged,
     overtaken: u64,
-    /// What has become of orders since that was last asked for.
+    /// The outcomes since the last call of `take_outcomes`.
     outcomes: Vec<(Order, OrderOutcome)>,
 }
 
-/// The last order known to be taken, by proxy (nothing: of those for all).
+/// The sequence number of the last acknowledged order for each proxy; `None` stands for orders that concern
+/// all proxies.
 #[derive(Debug, Default)]
 pub struct LastAcknowledged(BTreeMap<Option<ProxyId>, u64>);
 
 impl LastAcknowledged {
-    /// An order was taken; `number` is its place among all that were offered. False: a later one had been taken before.
+    /// Records that the order with this sequence number was acknowledged. Returns false if a later one had
+    /// been acknowledged before.
     pub fn record(&mut self, proxy: Option<ProxyId>, number: u64) -> bool {
         let last = self.0.entry(proxy).or_default();
         let in_order = number >= *last;
@@ -114,7 +124,7 @@
         in_order
     }
 
-    /// A proxy has left: when it comes again, its orders begin anew.
+    /// Forgets a proxy that has left: if it joins again, its sequence starts again.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.0.remove(&Some(proxy));
     }
@@ -162,8 +172,8 @@
         }
     }
 
-    /// While the relay is out of reach orders pile up. What goes out later is what stands, not its history: of the
-    /// orders of one subject the last is kept, in its place, so that a line is set before the one it replaces goes.
+    /// Bounds the queue while the relay is out of reach. Of the orders with one subject only the last is
+    /// kept, at its position, so that a new line is still set before the line that it replaces is removed.
     fn compact(&mut self) {
         let first = self.in_flight();
         let mut seen: HashSet<String> = HashSet::new();
@@ -179,22 +189,22 @@
         self.outcomes.extend(orders.into_iter().map(|queued| (queued.order.order, outcome)));
     }
 
-    /// What has become of orders since the last call.
+    /// The outcomes of orders since the last call.
     pub fn take_outcomes(&mut self) -> Vec<(Order, OrderOutcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Calls in a row that came to nothing.
+    /// Consecutive failed calls.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether the relay takes no calls for now, by its last answer.
+    /// Whether the relay's last answer said that it accepts no calls for now.
     pub fn is_throttled(&self) -> bool {
         self.is_throttled
     }
 
-    /// Orders not known to be taken.
+    /// Number of orders not known to have been carried out.
     pub fn waiting(&self) -> usize {
         self.queue.len() + self.deferred.values().map(|deferred| deferred.orders.len()).sum::<usize>()
     }
@@ -203,8 +213,8 @@
         self.relay.has(link)
     }
 
-    /// A proxy has left: orders for it alone are of no use. Those in flight stand until their call has ended,
-    /// since its answer counts them.
+    /// A proxy has left: orders that depend on it are dropped. Orders in flight stay until their call has
+    /// ended, because its answer counts them.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
         let deferred = self.deferred.remove(&proxy);
         self.record_outcome(
@@ -220,7 +230,7 @@
         self.drop_cancelled(sent);
     }
 
-    /// Takes out what is of no use any more, but for the first `sent` orders.
+    /// Removes cancelled orders after the first `sent` ones.
     fn drop_cancelled(&mut self, sent: usize) {
         let (cancelled, remaining): (Vec<Queued>, Vec<Queued>) =
             self.queue.drain(sent..).partition(|queued| queued.is_cancelled);
@@ -228,20 +238,20 @@
         self.record_outcome(cancelled, OrderOutcome::Cancelled);
     }
 
-    /// The call in flight has ended.
+    /// Ends the call in flight; the next one may be made from `call_from`.
     fn end_call(&mut self, call_from: Nanos) {
         self.state = CallState::Idle { call_from };
         self.drop_cancelled(0);
     }
 
-    /// The relay is elsewhere from now on.
+    /// The relay has a new address.
     pub fn move_to(&mut self, now: Nanos, address: SocketAddr, link_actions: &mut Vec<Act>) {
         if self.relay.move_to(address, link_actions) {
             self.end_call(now);
         }
     }
 
-    /// Makes the next call where one is due, and gives up on one that has waited too long.
+    /// Makes the next call when it is due, and times out a call in flight.
     pub fn turn(&mut self, now: Nanos, links: &mut Links, link_actions: &mut Vec<Act>) {
         if let CallState::InFlight { deadline, .. } = self.state {
             if now < deadline {
@@ -290,7 +300,8 @@
         self.relay.lost();
         match self.state {
             CallState::Idle { .. } => {}
-            // A kept connection may have been closed as the call went out, which says nothing of the relay.
+            // The relay may have closed the idle connection just as the call was sent, which is no failure of
+            // the relay.
             CallState::InFlight { reused: true, .. } => {
                 self.retried += 1;
                 self.end_call(now);
@@ -299,7 +310,8 @@
         }
     }
 
-    /// An answer has come; `keeps`: the connection may be used again. What is wrong, if anything is.
+    /// An answer was received. `keep_alive`: the connection may be reused. Returns an error that describes
+    /// what is wrong with the answer or with a refused order.
     pub fn answered(
         &mut self,
         now: Nanos,
@@ -312,7 +324,7 @@
         }
         let CallState::InFlight { orders, .. } = self.state else {
             self.relay.hang_up(link_actions);
-            return Err("the relay answered what was not asked".into());
+            return Err("the relay sent an answer without a request".into());
         };
         let answer = relay::answer(body, orders);
         self.is_throttled = matches!(answer, Ok(Answer::Refused(Refusal::Throttled)));
@@ -321,11 +333,11 @@
                 self.failures = 0;
                 self.acknowledge(taken);
                 self.refusals_in_row = if taken < orders { self.refusals_in_row } else { 0 };
-                // The relay can't use the next one, unless it is void by now.
+                // The relay refuses the next order, unless that was cancelled in the meantime.
                 let is_refused = taken < orders && self.queue.front().is_some_and(|next| !next.is_cancelled);
                 let given_up = if is_refused { self.order_refused(now) } else { None };
                 self.end_call(now);
-                given_up.map_or(Ok(()), |order| Err(format!("the relay can't use {}", order.text)))
+                given_up.map_or(Ok(()), |order| Err(format!("the relay rejected {} twice", order.text)))
             }
             Ok(Answer::Refused(Refusal::Throttled)) => {
                 self.end_call(now + THROTTLED_WAIT);
@@ -337,7 +349,7 @@
             }
             Ok(Answer::Refused(Refusal::Invalid)) => {
                 self.fail(now);
-                Err("the relay calls a call invalid".into())
+                Err("the relay rejected a call as invalid".into())
             }
             Err(cause) => {
                 self.relay.hang_up(link_actions);
@@ -347,8 +359,8 @@
         }
     }
 
-    /// The first orders of the queue were taken. That none of a proxy's, or of those for all, overtook another is
-    /// checked here, where it is known what the relay did.
+    /// The relay has taken the first `count` orders of the queue. Here, where the relay's actions are known,
+    /// it is checked that no order of one proxy, or of those that concern all, overtook another.
     fn acknowledge(&mut self, count: usize) {
         let taken: Vec<Queued> = self.queue.drain(..count).collect();
         for queued in taken {
@@ -357,20 +369,21 @@
             }
             let in_order = self.last_acknowledged.record(queued.order.proxy, queued.number);
             self.overtaken += u64::from(!in_order);
-            // It may have been carried out for the proxy's stream before.
+            // It may have been carried out for the proxy's previous stream.
             let outcome = if queued.is_cancelled { OrderOutcome::Cancelled } else { OrderOutcome::Taken };
             self.record_outcome([queued], outcome);
         }
     }
 
-    /// Orders taken out of the order in which they were given, since the last call.
+    /// Number of orders taken out of sequence since the last call.
     pub fn take_overtaken(&mut self) -> u64 {
         std::mem::take(&mut self.overtaken)
     }
 
-    /// The first order of the queue was not taken. A count malformed on its way must not lose an order, so
-    /// that it is tried once more, then given up and returned. One for a proxy waits for that with all of that
-    /// proxy's: where hundreds leave at once, the others' orders must not wait for each of them.
+    /// The first order of the queue was not taken. It is sent once more, because the count may have been
+    /// malformed in transit and an order must not be lost; after a second refusal it is dropped and returned.
+    /// All orders of its proxy wait for the second attempt: when hundreds of proxies leave at once, the
+    /// orders of the others must not be delayed by each of them.
     fn order_refused(&mut self, now: Nanos) -> Option<EncodedOrder> {
         let first = self.queue.front_mut()?;
         if first.was_refused {
@@ -388,7 +401,7 @@
         self.queue = others;
         self.deferred.insert(proxy, Deferred { retry_at: now + REFUSED_RETRY_DELAY, orders: own_orders });
         self.refusals_in_row += 1;
-        // It stays behind the others until the relay takes an order for it.
+        // Its orders stay after all others until the relay takes one of them.
         if self.refusals_in_row > SUSPECT_AFTER_REFUSALS {
             self.suspects.insert(proxy);
         }
@@ -396,8 +409,9 @@
         None
     }
 
-    /// Where one proxy after the other has left, each would cost a call: more and more of those that follow are put
-    /// behind all others, twice as many with each refusal, so that these are held up by a few calls only.
+    /// When many proxies leave in a row, each of them would cost a call. With each refusal twice as many of
+    /// the following proxies become suspects, whose orders are sent after all others, so that the others are
+    /// delayed by a few calls only.
     fn extend_suspects(&mut self) {
         let Some(doublings) = self.refusals_in_row.checked_sub(SUSPECT_AFTER_REFUSALS) else { return };
         let suspects_max = 2usize << doublings.min(SUSPECT_DOUBLINGS_MAX);
@@ -415,13 +429,13 @@
         self.suspects.extend(next);
     }
 
-    /// The relay knows this proxy.
+    /// The relay knows this proxy: its orders keep their position again.
     fn clear_suspicion(&mut self, proxy: Option<ProxyId>) {
         let own_orders = self.queue.iter_mut().filter(|queued| queued.order.proxy == proxy);
         own_orders.for_each(|queued| queued.is_suspect = false);
     }
 
-    /// Puts suspects behind all others, in their order; nothing is in flight.
+    /// Moves the orders of suspects to the end of the queue, in sequence. No call is in flight.
     fn move_suspects_back(&mut self) {
         if self.suspects.is_empty() {
             return;
@@ -432,7 +446,7 @@
         self.queue.extend(suspects);
     }
 
-    /// Whether nothing waits or is in flight.
+    /// Whether no order is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.waiting() == 0
     }
--- a/crates/craneknot-node/src/pending.rs
+++ b/crates/craneknot-node/src/pending.rs
@@ -1,57 +1,57 @@
-//! The one ledger of what is owed: requests that were read and not answered, lines that were read in part, answers that
-//! are not written yet, and orders that the relay has not acknowledged.
+//! Tracks all pending work: requests read and not answered, partially read lines, answers not written yet,
+//! and orders that the relay has not acknowledged.
 //!
-//! Each is entered when it begins and cleared when it is done. Whoever closes a connection or ends the process (a
-//! shutdown, an eviction, an idle close, a hand-over to a newer connection) asks here first. What is closed all the same
-//! while it is owed counts as a violation, which the status line tells.
+//! Work is recorded when it begins and cleared when it is done. Code that closes a connection or ends the
+//! process (shutdown, eviction, idle timeout, replacement by a newer connection) checks here first. Closing
+//! despite pending work counts as a violation, which the status line reports.
 
 use std::collections::BTreeMap;
 
 use crate::clients::ClientId;
 
-/// What is owed to one client.
+/// The pending work of one client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct PendingClient {
-    /// Requests read whole and not answered yet.
+    /// Requests read completely and not answered yet.
     requests: u32,
-    /// The beginning of a line was read, its end not yet.
+    /// The last line was read in part only.
     partial: bool,
-    /// Answers given to the connection, of which the system has not taken all yet.
+    /// Answers passed to the connection that the system has not accepted completely yet.
     unsent: bool,
 }
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer has ended or broken it: nobody is there to be answered.
+    /// The peer has closed or broken it: nobody is left to be answered.
     ByPeer,
-    /// The client was told that it is turned away, which is its final answer.
+    /// The client was sent a rejection, which is its final answer.
     Rejected,
-    /// Closed by us without a word.
+    /// Closed by us without an answer.
     Dropped,
 }
 
-/// How often what was owed was not done.
+/// How often pending work was abandoned or a rule on orders was violated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
     /// Connections closed by us with a request read and not answered.
     pub closed_unanswered: u64,
-    /// Orders that the process ended without having them acknowledged.
+    /// Orders not acknowledged when the process ended.
     pub orders_dropped: u64,
-    /// Orders refused on their way out, since they would have broken a rule.
+    /// Orders held back before sending because they would have violated a rule.
     pub orders_forbidden: u64,
-    /// Orders sent out of the order in which they were given.
+    /// Orders sent out of sequence.
     pub orders_overtaken: u64,
 }
 
 impl Violations {
-    /// All of them.
+    /// The sum of all kinds.
     pub fn total(&self) -> u64 {
         self.closed_unanswered + self.orders_dropped + self.orders_forbidden + self.orders_overtaken
     }
 }
 
-/// The ledger. Clients that owe and are owed nothing have no entry.
+/// All pending work. Clients without any have no entry.
 #[derive(Debug, Default)]
 pub struct PendingWork {
     clients: BTreeMap<ClientId, PendingClient>,
@@ -68,12 +68,13 @@
         }
     }
 
-    /// A request was read whole.
+    /// A request was read completely.
     pub fn request_read(&mut self, id: ClientId) {
         self.update(id, |client| client.requests += 1);
     }
 
-    /// The answer to the oldest request was given to the connection; `unsent`: the system has not taken all of it.
+    /// The answer to the oldest request was passed to the connection. `unsent`: the system has not accepted
+    /// all of it yet.
     pub fn request_answered(&mut self, id: ClientId, unsent: bool) {
         self.update(id, |client| {
             client.requests = client.requests.saturating_sub(1);
@@ -81,22 +82,22 @@
         });
     }
 
-    /// All that was given to the connection is written.
+    /// All output to the connection has been written.
     pub fn flushed(&mut self, id: ClientId) {
         self.update(id, |client| client.unsent = false);
     }
 
-    /// Whether the last line read is not whole yet.
+    /// Sets whether the last line was read in part only.
     pub fn set_partial(&mut self, id: ClientId, partial: bool) {
         self.update(id, |client| client.partial = partial);
     }
 
-    /// Orders that are not acknowledged, as of now.
+    /// Sets the number of orders not acknowledged at this time.
     pub fn set_unacknowledged_orders(&mut self, orders: usize) {
         self.unacknowledged_orders = orders;
     }
 
-    /// A connection ends: nothing is owed on it any more.
+    /// A connection ends and leaves no pending work.
     pub fn closed(&mut self, id: ClientId, reason: CloseReason) {
         let pending = self.clients.remove(&id);
         if reason == CloseReason::Dropped && pending.is_some() {
@@ -104,43 +105,43 @@
         }
     }
 
-    /// The process ends: what is owed now will not be done.
+    /// The process ends: the work pending now will not be done.
     pub fn abandon(&mut self) {
         self.violations.closed_unanswered += std::mem::take(&mut self.clients).len() as u64;
         self.violations.orders_dropped += std::mem::take(&mut self.unacknowledged_orders) as u64;
     }
 
-    /// An order was refused on its way out.
+    /// An order was held back before sending.
     pub fn order_forbidden(&mut self) {
         self.violations.orders_forbidden += 1;
     }
 
-    /// An order was sent out of its turn.
+    /// Orders were sent out of sequence.
     pub fn orders_overtaken(&mut self, count: u64) {
         self.violations.orders_overtaken += count;
     }
 
-    /// Whether anything is owed to a client.
+    /// Whether a client has pending work.
     pub fn has_pending(&self, id: ClientId) -> bool {
         self.clients.contains_key(&id)
     }
 
-    /// Clients that something is owed to.
+    /// Number of clients with pending work.
     pub fn clients(&self) -> usize {
         self.clients.len()
     }
 
-    /// Orders not acknowledged.
+    /// Number of orders not acknowledged.
     pub fn unacknowledged_orders(&self) -> usize {
         self.unacknowledged_orders
     }
 
-    /// Whether nothing is owed to anybody.
+    /// Whether no work is pending.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty() && self.unacknowledged_orders == 0
     }
 
-    /// What was owed and not done.
+    /// The violations so far.
     pub fn violations(&self) -> Violations {
         self.violations
     }
--- a/crates/craneknot-node/src/presence.rs
+++ b/crates/craneknot-node/src/presence.rs
@@ -1,71 +1,73 @@
-//! Which proxies are joined, where several event streams tell of their joining and leaving, each with a delay of its own.
+//! Which proxies are joined, according to several event streams that report joins and leaves, each with its
+//! own delay.
 //!
-//! A proxy's joinings and leavings are counted: an odd count means joined. Each stream has an account of how far it has
-//! told a proxy's count, and whichever stream is ahead is believed at once. What another one tells later is known by
-//! its count, and not told twice.
+//! The joins and leaves of a proxy are counted together; an odd count means joined. For each stream it is
+//! known up to which count it has reported a proxy. The stream that is ahead is believed at once; what
+//! another stream reports later is recognised by its count and not passed on again.
 //!
-//! A stream begins with who stands, not with how often they came. It is taken to tell the joining that was known when it
-//! was dialled, which is marked as assumed: if the stream that could have told of another ends too early, the proxy is
-//! told as joined anew, since a binding ends with a proxy's stream.
+//! A stream begins with a snapshot of the joined proxies, which does not tell how often they have joined. A
+//! join in it is assumed to be the one that was known when the stream was dialled. If the stream that could
+//! have reported another join ends too early, the proxy is reported as joined again, because its bindings end
+//! with its stream.
 
 use std::collections::BTreeMap;
 
 use craneknot::interface::{Nanos, ProxyId};
 use craneknot_platform::news::News;
 
-/// How often a proxy has come and gone.
+/// The number of joins and leaves of a proxy.
 type ChangeCount = u64;
 
 fn is_joined(count: ChangeCount) -> bool {
     count % 2 == 1
 }
 
-/// What a stream has told of a proxy.
+/// What a stream has reported of a proxy.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     count: ChangeCount,
-    /// How it joined last.
+    /// Its last join.
     joining: Option<News>,
-    /// When it was named as joined, and taken for a joining that another stream had told.
+    /// When the stream reported a join that was assumed to be one that another stream had reported.
     assumed_at: Option<Nanos>,
-    /// It was named by the stream's beginning, which tells no count.
+    /// False for a proxy known from the snapshot at the stream's beginning only, which carries no count.
     is_count_known: bool,
-    /// The stream that told more of it has ended: what this one tells next is news, or late.
+    /// A stream that had reported more of the proxy has ended: the next report of this one is new, or late.
     is_uncertain: bool,
-    /// When it last told a joining or leaving that was taken for one told before.
+    /// When the stream last reported a join or leave that was taken for a repetition.
     repeated_at: Option<Nanos>,
 }
 
-/// What one stream has told.
+/// What one stream has reported.
 #[derive(Clone, Debug)]
 pub struct StreamView {
     /// The counts that were known when the stream was dialled.
     counts_at_dial: BTreeMap<ProxyId, ChangeCount>,
     entries: BTreeMap<ProxyId, Entry>,
-    /// It has told who stands: who is not named has left.
+    /// The snapshot has been received: proxies not named in it have left.
     is_snapshot_complete: bool,
-    /// Since when there are joinings that are assumed to be those that others told.
+    /// The time of the oldest join that is assumed to be one that another stream reported.
     assumed_since: Option<Nanos>,
 }
 
 impl StreamView {
-    /// Whether something in it is in doubt.
+    /// Whether the report on any proxy is uncertain.
     pub fn is_uncertain(&self) -> bool {
         self.entries.values().any(|entry| entry.is_uncertain)
     }
 
-    /// Whether it has told who stands.
+    /// Whether the snapshot has been received.
     pub fn is_snapshot_complete(&self) -> bool {
         self.is_snapshot_complete
     }
 
-    /// Since when there are joinings that are assumed to be those that others told.
+    /// The time of the oldest join that is assumed to be one that another stream reported.
     pub fn assumed_since(&self) -> Option<Nanos> {
         self.assumed_since
     }
 
-    /// Another stream has told all that happened up to a moment: where its count is higher, a proxy came and went before
-    /// this stream began.
+    /// Another stream has reported everything up to a time: where its count is higher, a proxy left and
+    /// joined again before this stream began.
     pub fn confirm(&mut self, complete_until: Nanos, other: &StreamView) {
         for (proxy, entry) in &mut self.entries {
             if entry.assumed_at.take_if(|at| *at <= complete_until).is_none() {
@@ -90,19 +92,19 @@
     }
 }
 
-/// The proxies that are told as joined.
+/// The proxies reported as joined.
 #[derive(Debug, Default)]
 pub struct Presence {
     counts: BTreeMap<ProxyId, ChangeCount>,
 }
 
 impl Presence {
-    /// Whether a proxy is told as joined.
+    /// Whether a proxy is reported as joined.
     pub fn is_joined(&self, proxy: ProxyId) -> bool {
         is_joined(self.count(proxy))
     }
 
-    /// Proxies told as joined.
+    /// Number of proxies reported as joined.
     pub fn joined_count(&self) -> usize {
         self.counts.values().filter(|count| is_joined(**count)).count()
     }
@@ -111,7 +113,7 @@
         self.counts.get(&proxy).copied().unwrap_or(0)
     }
 
-    /// The account of a stream that is dialled now.
+    /// The initial view of a stream that is dialled now.
     pub fn new_view(&self) -> StreamView {
         StreamView {
             counts_at_dial: self.counts.clone(),
@@ -121,12 +123,13 @@
         }
     }
 
-    /// Whether a stream has told all that is known of a proxy, so that it would tell of its leaving.
+    /// Whether a stream has reported all that is known of a proxy, so that it would report its leaving.
     pub fn is_tracked(&self, view: &StreamView, proxy: ProxyId) -> bool {
         view.count(proxy) == self.count(proxy)
     }
 
-    /// A stream tells that a proxy has joined; `is_followed`: another stream would tell if it had left before.
+    /// A stream reports that a proxy has joined. `is_tracked`: another stream would have reported an earlier
+    /// leave.
     pub fn apply_joined(
         &mut self,
         now: Nanos,
@@ -141,7 +144,7 @@
         let entry = view.entries.entry(proxy).or_default();
         entry.joining = Some(joining.clone());
         entry.is_count_known |= !is_first;
-        // Who joins while it counts as joined has left in between.
+        // A proxy that joins while it counts as joined must have left in between.
         entry.count =
             if is_first { next_joined_count(count_at_dial) } else { next_joined_count(entry.count + 1) };
         entry.is_uncertain |= is_first;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// A stream tells that a proxy has left; `is_followed`: as above.
+    /// A stream reports that a proxy has left. `is_tracked`: as for `apply_joined`.
     pub fn apply_left(
         &mut self,
         now: Nanos,
@@ -171,7 +174,7 @@
         entry.assumed_at = None;
     }
 
-    /// Tells what a stream has told; false: it is known.
+    /// Passes on what a stream has reported. Returns false if it was known.
     fn merge(&mut self, proxy: ProxyId, entry: &mut Entry, is_tracked: bool, out: &mut Vec<News>) -> bool {
         let length_before = out.len();
         if std::mem::take(&mut entry.is_uncertain) && !is_tracked {
@@ -182,7 +185,7 @@
         out.len() > length_before
     }
 
-    /// Tells what is new, if the count goes beyond what is known.
+    /// Passes on what is new, if the count exceeds the known one.
     fn advance_to(
         &mut self,
         proxy: ProxyId,
@@ -202,8 +205,8 @@
         out.extend(joining.filter(|_| is_joined(count)).cloned());
     }
 
-    /// A stream has told who stands: those it has not named have left, unless one of the others follows them; its
-    /// beginning may come in pieces.
+    /// A stream's snapshot is complete: proxies not named in it have left, unless another stream tracks them,
+    /// since the snapshot may arrive in pieces.
     pub fn complete_snapshot(&mut self, view: &mut StreamView, others: &[&StreamView], out: &mut Vec<News>) {
         view.is_snapshot_complete = true;
         let known: Vec<ProxyId> = self.counts.keys().copied().collect();
@@ -223,7 +226,8 @@
         }
     }
 
-    /// No other stream can tell whether those that a stream has named came and went before: they are told as joined anew.
+    /// No other stream can tell whether the proxies named by a stream left and joined again before: they are
+    /// reported as joined again.
     pub fn rejoin_assumed(&mut self, view: &mut StreamView, out: &mut Vec<News>) {
         view.assumed_since = None;
         for (proxy, entry) in &mut view.entries {
@@ -233,8 +237,9 @@
         }
     }
 
-    /// Believes a stream that may have missed some of a proxy's comings and goings. What others told counts as told, so
-    /// that a stream that is late with it does not seem to be ahead.
+    /// Accepts the state reported by a stream that may have missed some joins and leaves of a proxy. The
+    /// reports of other streams are counted in, so that a stream that reports them late does not seem to be
+    /// ahead.
     fn adopt(&mut self, proxy: ProxyId, entry: &mut Entry, out: &mut Vec<News>) {
         let known = self.count(proxy).max(entry.count);
         let is_changed = is_joined(known) != is_joined(entry.count);
@@ -248,13 +253,14 @@
         }
     }
 
-    /// A stream has ended: what none of those that remain has told yet is in doubt, and so is what one of them has told
-    /// since a moment and was taken for a repetition, which nobody can tell any more.
+    /// A stream has ended. What it reported and no remaining stream has reported yet becomes uncertain. So
+    /// does what a remaining stream has reported since a time and was taken for a repetition, because no
+    /// stream can confirm that any more.
     pub fn mark_uncertain(&self, remaining: &mut [&mut StreamView], since: Nanos) {
         for view in remaining.iter_mut().filter(|view| view.is_snapshot_complete) {
             for (proxy, entry) in &mut view.entries {
                 let is_repeated = entry.repeated_at.take().is_some_and(|at| at >= since);
-                // A leaving that was left to the stream which followed the proxy.
+                // A leave that was not passed on because another stream tracked the proxy.
                 let is_ahead = entry.count > self.count(*proxy);
                 entry.is_uncertain |= is_repeated || is_ahead;
             }
@@ -269,7 +275,7 @@
         }
     }
 
-    /// What is still in doubt, though a stream has had the time to tell it, is as that stream says.
+    /// A stream has had time to report what is still uncertain: its state is accepted.
     pub fn resolve_uncertain(
         &mut self,
         view: &mut StreamView,
@@ -284,7 +290,7 @@
     }
 }
 
-/// The first count from this one on that means joined.
+/// The lowest count from this one on that means joined.
 fn next_joined_count(count: ChangeCount) -> ChangeCount {
     count + u64::from(!is_joined(count))
 }
--- a/crates/craneknot-node/src/server_age.rs
+++ b/crates/craneknot-node/src/server_age.rs
@@ -1,35 +1,38 @@
-//! When a server started, by this process's own clock. Discovery tells it as a wall-clock time, and a wall clock may be
-//! wrong by an hour either way. So a start is an upper bound, beside which stands whether it is known: decisions that
-//! need a server to be warm take the bound, decisions that need it to be cold ask whether the bound is known.
+//! When a server started, by this process's own clock. Discovery reports a wall-clock time, and a wall clock
+//! may be wrong by an hour in either direction. So a start is kept as an upper bound, together with whether
+//! it is exact: decisions that need a warm server use the bound, decisions that need a cold one ask whether
+//! the bound is exact.
 //!
-//! - What is first seen, or seen to change, while this process runs is no older than the time since the list before.
-//! - Nothing starts in the future: a wall clock that says so is behind, by that much or more.
-//! - A start that looks recent shows that the wall clock is not ahead. Without one a server may have started an hour
-//!   later than it seems; but between two starts lies the same span by any clock, so that each is at least as old as the
-//!   newest one is later than it.
+//! - A server first seen, or seen to change, while this process runs has not been up for longer than the time
+//!   since the previous list.
+//! - Nothing starts in the future: a wall clock that says so is behind, by at least that much.
+//! - A start that looks recent shows that the wall clock is not ahead. Without one a server may have started
+//!   an hour later than it seems. But the time between two starts is the same by any clock, so that each
+//!   server is at least as old as the newest start is later than its own.
 
 use std::collections::BTreeMap;
 
 use craneknot::interface::{Nanos, ServerId};
 
-const DISCOVERY_LAG_MAX: Nanos = Nanos::from_millis(15_000); // ms; a start is listed well before that: the platform
-                                                             // says 6 s
-const CLOCK_ERROR_MAX: Nanos = Nanos::from_millis(3_600_000); // ms; how far a wall clock may be ahead: an hour
-const REMOVED_RETENTION: Nanos = Nanos::from_millis(600_000); // ms; a server that was removed for so long is a new one
+/// A start is listed well before that: the platform states 6 s.
+const DISCOVERY_LAG_MAX: Nanos = Nanos::from_millis(15_000);
+const CLOCK_ERROR_MAX: Nanos = Nanos::from_millis(3_600_000); // how far a wall clock may be ahead: an hour
+/// A server that was removed for this long counts as a new one.
+const REMOVED_RETENTION: Nanos = Nanos::from_millis(600_000);
 
-/// When a server started, as far as can be told.
+/// When a server started, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// At the latest, by this process's clock; nothing: long ago.
+    /// The latest possible time, by this process's clock; `None`: long ago.
     pub latest: Option<Nanos>,
-    /// Whether that is when it started; else it may have been at any time before.
+    /// Whether `latest` is the actual start; otherwise the server may have started at any earlier time.
     pub is_certain: bool,
 }
 
 struct Observed {
-    /// As discovery tells it.
+    /// As discovery reports it.
     claimed: Option<Nanos>,
-    /// As believed here.
+    /// As estimated here.
     start: Start,
     seen_at: Nanos,
 }
@@ -38,26 +41,26 @@
 #[derive(Default)]
 pub struct ServerStarts {
     observed: BTreeMap<ServerId, Observed>,
-    /// When the last list came from discovery; nothing: none came yet.
+    /// When the last list arrived from discovery; `None`: none arrived yet.
     last_list_at: Option<Nanos>,
-    /// How far the wall clock that this process began with is behind, at the least.
+    /// The least by which the wall clock that this process began with is behind.
     clock_behind: Nanos,
-    /// A start looked recent: the wall clock is not ahead.
+    /// A start looked recent, which shows that the wall clock is not ahead.
     is_clock_not_ahead: bool,
-    /// The newest start that any list told.
+    /// The newest start in any list.
     newest_claimed: Nanos,
 }
 
 impl ServerStarts {
-    /// Learns of this process's wall clock from a start that a list tells; to be called for all of a list before any of
-    /// its servers is observed.
+    /// Learns about this process's wall clock from a start in a list. To be called for all entries of a list
+    /// before any of its servers is observed.
     pub fn learn_clock(&mut self, now: Nanos, claimed: Nanos) {
         self.clock_behind = self.clock_behind.max(claimed - now);
         self.is_clock_not_ahead |= claimed <= now && now - claimed <= DISCOVERY_LAG_MAX;
         self.newest_claimed = self.newest_claimed.max(claimed);
     }
 
-    /// When a listed server started, as far as can be believed. `claimed`: as discovery tells it, nothing: long ago.
+    /// Estimates when a listed server started. `claimed`: the start that discovery reports; `None`: long ago.
     pub fn observe(&mut self, now: Nanos, server: &ServerId, claimed: Option<Nanos>) -> Start {
         let known = self.observed.get(server);
         let start = match known.filter(|known| known.claimed == claimed) {
@@ -70,11 +73,11 @@
         start
     }
 
-    /// `is_restart`: it was listed with another start before.
+    /// `is_restart`: the server was listed with another start before.
     fn estimate(&self, now: Nanos, claimed: Nanos, is_restart: bool) -> Start {
         let claimed = claimed.min(now + self.clock_behind) - self.clock_behind;
-        // A start that the list before did not show, though it was long before that: the wall clock is ahead, or the
-        // server was not listed for a while.
+        // The previous list did not show this start although it lies long before that list: the wall clock is
+        // ahead, or the server was not listed for a while.
         let before = self.last_list_at.filter(|before| now - claimed > (now - *before) + DISCOVERY_LAG_MAX);
         match before {
             Some(before) if is_restart || !self.is_clock_not_ahead => {
@@ -89,7 +92,7 @@
         }
     }
 
-    /// How far the wall clock may be ahead: no further than makes the newest start lie in the future.
+    /// How far the wall clock may be ahead at most: not so far that the newest start would lie in the future.
     fn clock_ahead_max(&self, now: Nanos) -> Nanos {
         if self.is_clock_not_ahead || self.clock_behind > Nanos(0) {
             return Nanos(0);
@@ -97,13 +100,13 @@
         CLOCK_ERROR_MAX.min(now - self.newest_claimed)
     }
 
-    /// A list from discovery has been taken in whole.
+    /// A list from discovery has been applied completely.
     pub fn list_applied(&mut self, now: Nanos) {
         self.last_list_at = Some(now);
         self.observed.retain(|_, observed| now - observed.seen_at < REMOVED_RETENTION);
     }
 
-    /// A server is still listed though it was not named.
+    /// A server is still listed although the last list did not name it.
     pub fn confirm_listed(&mut self, now: Nanos, server: &ServerId) {
         if let Some(observed) = self.observed.get_mut(server) {
             observed.seen_at = now;
--- a/crates/craneknot-node/src/takeover.rs
+++ b/crates/craneknot-node/src/takeover.rs
@@ -1,20 +1,21 @@
-//! What happened in the seconds after many proxies came at once, for the log: a coordinator that has just started, or
-//! gets the proxies of one that was lost, decides before it has heard anything of them.
+//! Summarises for the log the seconds after many proxies joined at once. A coordinator that has just started,
+//! or takes over the proxies of a lost one, decides before it has received any report on them.
 
 use std::collections::BTreeSet;
 
 use craneknot::interface::{Nanos, Order, ProxyId};
 
-const PROXIES_MIN: usize = 8; // proxies that join within a moment of each other: fewer is the usual coming and going
-const JOIN_INTERVAL_MAX: Nanos = Nanos::from_millis(500); // ms; between two joinings that belong together
-const OBSERVATION_SPAN: Nanos = Nanos::from_millis(10_000); // ms; by then all is bound, acknowledged and reported on
+const PROXIES_MIN: usize = 8; // proxies that join within a short time; fewer occur in normal operation
+const JOIN_INTERVAL_MAX: Nanos = Nanos::from_millis(500); // between two joins of the same takeover
+/// By then all proxies are bound and have acknowledged, and reports have arrived.
+const OBSERVATION_SPAN: Nanos = Nanos::from_millis(10_000);
 
-/// One takeover, told when it is over. Times are spans since the first proxy joined.
+/// One takeover, logged when it is over. Times are measured from the first join.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Takeover {
-    /// Proxies that joined.
+    /// Number of proxies that joined.
     pub proxies: usize,
-    /// Proxies joined here in all, at the end.
+    /// Number of proxies joined to this coordinator at the end.
     pub joined: usize,
     /// Until the first and the last of them was bound.
     pub first_bind: Option<Nanos>,
@@ -22,11 +23,11 @@
     /// Until the first and the last acknowledgement of a mark.
     pub first_applied: Option<Nanos>,
     pub last_applied: Option<Nanos>,
-    /// Until the first report of any kind; nothing: none came.
+    /// Until the first report of any kind; `None`: none arrived.
     pub first_report: Option<Nanos>,
-    /// Of those that joined and were never bound.
+    /// Number of those that joined and were never bound.
     pub unbound: usize,
-    /// The lowest level ordered meanwhile.
+    /// The lowest level ordered in the meantime.
     pub lowest_level: Option<f64>,
 }
 
@@ -38,17 +39,16 @@
     takeover: Takeover,
 }
 
-/// Watches for takeovers.
+/// Detects takeovers.
 #[derive(Default)]
 pub struct TakeoverWatch(Option<Current>);
 
 impl TakeoverWatch {
-    /// A proxy has joined.
     pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId) {
-        let is_ended_early = |current: &Current| {
+        let is_over = |current: &Current| {
             current.takeover.proxies < PROXIES_MIN && now - current.last_join_at > JOIN_INTERVAL_MAX
         };
-        if self.0.as_ref().is_none_or(is_ended_early) {
+        if self.0.as_ref().is_none_or(is_over) {
             self.0 = Some(Current { started_at: now, ..Current::default() });
         }
         let Some(current) = &mut self.0 else { return };
@@ -56,7 +56,6 @@
         current.takeover.proxies += usize::from(current.unbound.insert(proxy));
     }
 
-    /// A proxy has left.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
         if let Some(current) = &mut self.0 {
             current.unbound.remove(&proxy);
@@ -80,7 +79,7 @@
         }
     }
 
-    /// A proxy has applied what it was sent.
+    /// A proxy has applied its orders up to a mark.
     pub fn applied(&mut self, now: Nanos) {
         let Some(current) = &mut self.0 else { return };
         let since = now - current.started_at;
@@ -88,13 +87,14 @@
         current.takeover.last_applied = Some(since);
     }
 
-    /// A report has come.
+    /// A report has arrived.
     pub fn reported(&mut self, now: Nanos) {
         let Some(current) = &mut self.0 else { return };
         current.takeover.first_report.get_or_insert(now - current.started_at);
     }
 
-    /// The takeover that is over by now, if any; `joined`: proxies joined here in all.
+    /// Returns the takeover that has ended by now, if any. `joined`: number of proxies joined to this
+    /// coordinator.
     pub fn finished(&mut self, now: Nanos, joined: usize) -> Option<Takeover> {
         let current = self.0.take_if(|current| now - current.started_at >= OBSERVATION_SPAN)?;
         let unbound = current.unbound.len();
--- a/crates/craneknot-node/tests/observability.rs
+++ b/crates/craneknot-node/tests/observability.rs
@@ -107,7 +107,7 @@
         LogEvent::ServerListed { server: server(), readiness: Readiness::Draining, is_start_certain: false },
         LogEvent::WatchFailed { cause: long.clone() },
         LogEvent::CallRetried { cause: long.clone(), failures: 10_000, orders_waiting: 1_000_000 },
-        LogEvent::OrderRefused { order: long.clone(), cause: "it would break a rule" },
+        LogEvent::OrderRefused { order: long.clone(), cause: "the relay rejected it twice" },
         LogEvent::StreamEnded { cause: long.clone(), streams: 4 },
         LogEvent::ClientRejected { client: ClientId(u64::MAX), cause: long.clone() },
         LogEvent::ClientClosed { client: ClientId(u64::MAX), cause: long.clone() },
