--- a/crates/craneknot-node/tests/connection_races.rs
+++ b/crates/craneknot-node/tests/connection_races.rs
@@ -1,4 +1,4 @@
-//! Two events that cross, each forced by a peer on loopback that the test scripts.
+//! Races between two events on a connection, each forced by a scripted peer on loopback.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -14,25 +14,25 @@
 use helpers::configuration;
 use helpers::peers::{accept, listener, news, orders, patient, request, reset, response, taken};
 
-const ALIVE: &[u8] = b"{\"type\":\"hb\"}\n";
-const ALIVE_OK: &[u8] = b"{\"type\":\"hb_ok\"}\n";
+const HEARTBEAT: &[u8] = b"{\"type\":\"hb\"}\n";
+const HEARTBEAT_OK: &[u8] = b"{\"type\":\"hb_ok\"}\n";
 
-struct Parties {
+struct Peers {
     shell: Shell,
     relay: TcpListener,
     discovery: TcpListener,
 }
 
-fn parties(name: &str, ends: &[i32]) -> Parties {
+fn start_peers(name: &str, end_signals: &[i32]) -> Peers {
     let (relay, discovery) = (listener(), listener());
     let mut value = configuration(6);
     value["distributor"]["address"] = relay.local_addr().unwrap().to_string().into();
     value["discovery"] = discovery.local_addr().unwrap().to_string().into();
     let file = std::env::temp_dir().join(format!("craneknot-crossing-{name}-{}.json", std::process::id()));
     std::fs::write(&file, value.to_string()).unwrap();
-    let shell = Shell::new(&file, Arc::new(SteadyClock::new()), ends).unwrap();
+    let shell = Shell::new(&file, Arc::new(SteadyClock::new()), end_signals).unwrap();
     std::fs::remove_file(&file).unwrap();
-    Parties { shell, relay, discovery }
+    Peers { shell, relay, discovery }
 }
 
 /// Runs in a thread of its own, which ends with the test program.
@@ -42,82 +42,92 @@
     address
 }
 
-/// Answers every call for news; the calls that carry orders are the test's.
-fn relay_with_news(relay: TcpListener, proxies: u16) -> Receiver<(TcpStream, String)> {
-    let (tell, calls) = channel();
+/// Serves event streams, and passes the calls that carry orders to the test.
+fn relay_with_event_stream(relay: TcpListener, proxies: u16) -> Receiver<(TcpStream, String)> {
+    let (sender, calls) = channel();
     std::thread::spawn(move || loop {
         let mut stream = accept(&relay);
-        let tell = tell.clone();
+        let sender = sender.clone();
         std::thread::spawn(move || match request(&mut stream) {
             Some((path, _)) if path == "/api/events" => {
                 news(&mut stream, proxies);
-                // A sign of life would come each second; the test is shorter than a silence.
+                // A keep-alive would arrive each second; the test is shorter than the silence timeout.
                 let _ = stream.read(&mut [0]);
             }
-            Some((_, body)) => drop(tell.send((stream, body))),
+            Some((_, body)) => drop(sender.send((stream, body))),
             None => {}
         });
     });
     calls
 }
 
-/// Ruled out by this test for whoever has not joined: the end is told after the answer has been sent.
+/// Guards against losing the answer to a client that has not joined: the end of its connection is reported
+/// only after the answer has been sent.
 #[test]
-fn a_peer_that_asks_and_shuts_its_sending_side_in_one_go_is_answered() {
-    let address = run(parties("half-close", &[]).shell);
-    // One message less than what is read at once of a guest, exactly as much, and several.
-    for said in [ALIVE.to_vec(), [vec![b' '; 4096 - ALIVE.len()], ALIVE.to_vec()].concat(), ALIVE.repeat(5)] {
+fn a_request_followed_by_a_half_close_is_answered() {
+    let address = run(start_peers("half-close", &[]).shell);
+    // Input one message shorter than the read buffer of an unidentified client, exactly as long, and of
+    // several messages.
+    for input in [
+        HEARTBEAT.to_vec(),
+        [vec![b' '; 4096 - HEARTBEAT.len()], HEARTBEAT.to_vec()].concat(),
+        HEARTBEAT.repeat(5),
+    ] {
         let mut stream = patient(TcpStream::connect(address).unwrap());
-        stream.write_all(&said).unwrap();
+        stream.write_all(&input).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).unwrap();
-        let asked = said.iter().filter(|byte| **byte == b'\n').count();
-        assert_eq!(answer, ALIVE_OK.repeat(asked), "{} bytes", said.len());
+        let requested = input.iter().filter(|byte| **byte == b'\n').count();
+        assert_eq!(answer, HEARTBEAT_OK.repeat(requested), "{} bytes", input.len());
     }
 }
 
-/// Confirmed by this test: strangers that came in one lot with it pushed it out before it was read.
+/// Guards against evicting a client before its request is read, because of idle clients accepted in the same
+/// batch.
 #[test]
-fn a_peer_that_asks_as_hundreds_come_at_once_is_answered() {
-    let shell = parties("lot", &[]).shell;
+fn a_request_is_answered_while_hundreds_of_peers_connect() {
+    let shell = start_peers("lot", &[]).shell;
     let address = shell.address();
-    // All of them wait in the system's queue when it first looks: 256 descriptors, a quarter of them for guests.
-    let silent = |count: usize| (0..count).map(|_| TcpStream::connect(address).unwrap()).collect::<Vec<_>>();
+    // All of them are in the accept queue at the first poll: 256 descriptors, a quarter of them for
+    // unidentified clients.
+    let connect_silent =
+        |count: usize| (0..count).map(|_| TcpStream::connect(address).unwrap()).collect::<Vec<_>>();
     let mut peers = Vec::new();
-    let mut strangers = silent(100);
+    let mut silent_peers = connect_silent(100);
     for _ in 0..3 {
         let mut peer = patient(TcpStream::connect(address).unwrap());
-        peer.write_all(ALIVE).unwrap();
+        peer.write_all(HEARTBEAT).unwrap();
         peers.push(peer);
-        strangers.extend(silent(150));
+        silent_peers.extend(connect_silent(150));
     }
     run(shell);
     for peer in &mut peers {
-        let mut answer = vec![0; ALIVE_OK.len()];
+        let mut answer = vec![0; HEARTBEAT_OK.len()];
         peer.read_exact(&mut answer).unwrap();
-        assert_eq!(answer, ALIVE_OK);
+        assert_eq!(answer, HEARTBEAT_OK);
     }
-    drop(strangers);
+    drop(silent_peers);
 }
 
 #[test]
-fn a_request_in_single_bytes_is_answered_like_a_whole_one() {
-    let address = run(parties("bytes", &[]).shell);
+fn a_request_in_single_bytes_is_answered() {
+    let address = run(start_peers("bytes", &[]).shell);
     let mut stream = patient(TcpStream::connect(address).unwrap());
     stream.set_nodelay(true).unwrap();
-    for byte in ALIVE {
+    for byte in HEARTBEAT {
         stream.write_all(&[*byte]).unwrap();
     }
-    let mut answer = vec![0; ALIVE_OK.len()];
+    let mut answer = vec![0; HEARTBEAT_OK.len()];
     stream.read_exact(&mut answer).unwrap();
-    assert_eq!(answer, ALIVE_OK);
+    assert_eq!(answer, HEARTBEAT_OK);
 }
 
-/// Confirmed by this test: the end of the connection was not passed to the reader, and the list was lost.
+/// Guards against losing a list whose end is marked by the end of its connection: the reader was not notified
+/// of that end.
 #[test]
-fn an_answer_that_ends_with_its_connection_is_taken() {
-    let Parties { shell, discovery, .. } = parties("until-end", &[]);
+fn an_answer_that_ends_with_its_connection_is_accepted() {
+    let Peers { shell, discovery, .. } = start_peers("until-end", &[]);
     run(shell);
     let mut stream = accept(&discovery);
     assert_eq!(request(&mut stream).unwrap().0, "/discovery/hosts?index=41&wait=0");
@@ -140,53 +150,57 @@
     sorted
 }
 
-/// An answer cut off at any byte is none: the call is made again, from its first order, and none is lost.
+/// An answer cut off at any byte is invalid: the call is repeated from its first order, and no order is lost.
 #[test]
 fn a_relay_that_resets_at_any_byte_of_its_answer_loses_no_order() {
-    let Parties { shell, relay, .. } = parties("resets", &[]);
-    let calls = relay_with_news(relay, 140);
+    let Peers { shell, relay, .. } = start_peers("resets", &[]);
+    let calls = relay_with_event_stream(relay, 140);
     run(shell);
     let (mut stream, mut body) = calls.recv().unwrap();
     let answer = taken(1);
     for cut in 0..answer.len() {
-        let asked = orders(&body);
+        let requested = orders(&body);
         stream.write_all(&answer.as_bytes()[..cut]).unwrap();
         reset(stream);
-        let (mut again, repeated) = calls.recv().unwrap();
+        let (mut retried_stream, repeated) = calls.recv().unwrap();
         let repeated = orders(&repeated);
-        assert_eq!(repeated[..asked.len()], asked[..], "cut at {cut}");
-        again.write_all(answer.as_bytes()).unwrap();
-        let (_, next) = request(&mut again).unwrap();
-        // A relay that takes one order says that it can't use the next: a proxy's wait aside then, with all of its, and
-        // those of the proxies that follow may go out behind all others.
-        let aside = proxy(&repeated[1]);
-        let left = repeated[1..].iter().filter(|order| aside.is_none() || proxy(order) != aside);
-        let left: Vec<String> = left.cloned().collect();
+        assert_eq!(repeated[..requested.len()], requested[..], "cut at {cut}");
+        retried_stream.write_all(answer.as_bytes()).unwrap();
+        let (_, next) = request(&mut retried_stream).unwrap();
+        // A relay that takes one order refuses the next one. If that is for a proxy, all orders of this proxy
+        // are deferred, and those of the following proxies may be sent after all others.
+        let deferred_proxy = proxy(&repeated[1]);
+        let remaining =
+            repeated[1..].iter().filter(|order| deferred_proxy.is_none() || proxy(order) != deferred_proxy);
+        let remaining: Vec<String> = remaining.cloned().collect();
         let next_orders = orders(&next);
-        // Orders for all, and of each proxy, each in their order, and none is missing.
-        assert_eq!(by_proxy(&next_orders[..left.len()]), by_proxy(&left), "cut at {cut}");
+        // The orders for all, and those of each proxy, are in sequence, and none is missing.
+        assert_eq!(by_proxy(&next_orders[..remaining.len()]), by_proxy(&remaining), "cut at {cut}");
         let place = |all: &[String], order| all.iter().position(|other| other == order);
-        let mut common = left.iter().filter(|order| proxy(order).is_none());
-        assert!(common.all(|order| place(&next_orders, order) <= place(&left, order)), "cut at {cut}");
-        (stream, body) = (again, next);
+        let mut orders_for_all = remaining.iter().filter(|order| proxy(order).is_none());
+        assert!(
+            orders_for_all.all(|order| place(&next_orders, order) <= place(&remaining, order)),
+            "cut at {cut}"
+        );
+        (stream, body) = (retried_stream, next);
     }
 }
 
-/// A call cut off at a byte was carried out or was not: it is made again as it was.
+/// A call cut off at any byte may or may not have been carried out: it is repeated unchanged.
 #[test]
-fn a_relay_that_resets_within_a_call_gets_it_again_whole() {
-    let Parties { shell, relay, .. } = parties("cut-calls", &[]);
-    let (tell, calls) = channel();
+fn a_call_reset_by_the_relay_is_repeated_completely() {
+    let Peers { shell, relay, .. } = start_peers("cut-calls", &[]);
+    let (sender, calls) = channel();
     std::thread::spawn(move || loop {
         let mut stream = accept(&relay);
-        let tell = tell.clone();
+        let sender = sender.clone();
         std::thread::spawn(move || {
             let mut start = [0; 4];
             if stream.read_exact(&mut start).is_ok() && &start == b"GET " {
                 news(&mut stream, 140);
                 let _ = stream.read_to_end(&mut Vec::new());
             } else {
-                let _ = tell.send(stream);
+                let _ = sender.send(stream);
             }
         });
     });
@@ -202,11 +216,11 @@
     assert!(orders.len() > 200 && orders[0].starts_with("share,"), "{} orders, {}", orders.len(), orders[0]);
 }
 
-/// Bytes that come one by one are the message that they make: answers, lists and news.
+/// Answers, lists and events that arrive in single bytes are read correctly.
 #[test]
-fn parties_that_speak_byte_by_byte_are_understood() {
-    let Parties { shell, relay, discovery } = parties("slow-speech", &[]);
-    let calls = relay_with_news(relay, 3);
+fn answers_in_single_bytes_are_understood() {
+    let Peers { shell, relay, discovery } = start_peers("slow-speech", &[]);
+    let calls = relay_with_event_stream(relay, 3);
     run(shell);
     let slowly = |stream: &mut TcpStream, text: &str| {
         stream.set_nodelay(true).unwrap();
@@ -217,29 +231,30 @@
     slowly(&mut list, &response("{\"revision\":52,\"complete\":false,\"members\":[]}"));
     assert!(request(&mut list).unwrap().0.contains("?index=52&wait=5000"));
     let (mut stream, body) = calls.recv().unwrap();
-    let asked = orders(&body);
+    let requested = orders(&body);
     slowly(&mut stream, &taken(1));
     let (_, next) = request(&mut stream).unwrap();
-    assert_eq!(orders(&next)[0], asked[1]);
+    assert_eq!(orders(&next)[0], requested[1]);
 }
 
-/// A relay that stops in the middle of its answer is waited for no longer than for one that says nothing.
+/// A relay that stalls within its answer times out like one that does not answer.
 #[test]
-fn a_relay_that_stops_within_its_answer_is_called_again_on_a_new_connection() {
-    let Parties { shell, relay, .. } = parties("stops", &[]);
-    let calls = relay_with_news(relay, 3);
+fn a_call_with_a_stalled_answer_is_repeated_on_a_new_connection() {
+    let Peers { shell, relay, .. } = start_peers("stops", &[]);
+    let calls = relay_with_event_stream(relay, 3);
     run(shell);
     let (mut stream, body) = calls.recv().unwrap();
     stream.write_all(&taken(1).as_bytes()[..40]).unwrap();
-    let (_, again) = calls.recv().unwrap();
-    assert_eq!(orders(&again)[..orders(&body).len()], orders(&body));
-    assert!(request(&mut stream).is_none(), "the old connection is gone");
+    let (_, retried_stream) = calls.recv().unwrap();
+    assert_eq!(orders(&retried_stream)[..orders(&body).len()], orders(&body));
+    assert!(request(&mut stream).is_none(), "the old connection is closed");
 }
 
-/// A list cut off at any byte is no list, and what is known stands: the next call asks from the same revision.
+/// A list cut off at any byte is invalid and the known one remains: the next call asks from the same
+/// revision.
 #[test]
-fn discovery_that_ends_within_its_answer_is_asked_again_from_where_it_was() {
-    let Parties { shell, discovery, .. } = parties("list-cuts", &[]);
+fn a_list_reset_within_its_answer_is_requested_again_from_the_same_revision() {
+    let Peers { shell, discovery, .. } = start_peers("list-cuts", &[]);
     run(shell);
     let answer = response("{\"revision\":52,\"complete\":false,\"members\":[]}");
     for cut in [0, answer.len() / 2, answer.len() - 1] {
@@ -255,12 +270,12 @@
     assert!(request(&mut stream).unwrap().0.contains("?index=52&wait=5000"));
 }
 
-/// An answer whose connection is closed in order, not reset, at any byte: it ends, and is asked for again. Found by the
-/// soak: closed within its head it ended the program.
+/// An answer whose connection is closed regularly, not reset, at any byte is requested again. Guards against
+/// a panic on a close within the head of an answer.
 #[test]
-fn parties_that_close_within_an_answer_are_asked_again() {
-    let Parties { shell, relay, discovery } = parties("closes", &[]);
-    let calls = relay_with_news(relay, 3);
+fn calls_closed_within_their_answer_are_repeated() {
+    let Peers { shell, relay, discovery } = start_peers("closes", &[]);
+    let calls = relay_with_event_stream(relay, 3);
     run(shell);
     let answer = response("{\"revision\":52,\"complete\":false,\"members\":[]}");
     for cut in [0, 1, 20, answer.len() - 1] {
@@ -272,16 +287,16 @@
     for cut in [0, 1, 20, taken(1).len() - 1] {
         stream.write_all(&taken(1).as_bytes()[..cut]).unwrap();
         drop(stream);
-        let (again, repeated) = calls.recv().unwrap();
+        let (retried_stream, repeated) = calls.recv().unwrap();
         assert_eq!(orders(&repeated)[0], orders(&body)[0], "cut at {cut}");
-        (stream, body) = (again, repeated);
+        (stream, body) = (retried_stream, repeated);
     }
 }
 
-/// A signal is heeded as soon as anybody can reach the coordinator.
+/// Signals are handled as soon as the coordinator can be reached.
 #[test]
-fn a_signal_before_the_first_round_asks_for_the_end() {
-    let Parties { mut shell, .. } = parties("early", &[Signal::USR1.as_raw()]);
+fn a_signal_before_the_first_round_ends_the_shell() {
+    let Peers { mut shell, .. } = start_peers("early", &[Signal::USR1.as_raw()]);
     kill_process(getpid(), Signal::USR1).unwrap();
     assert!(matches!(shell.run(), Ended::Asked));
 }
--- a/crates/craneknot-node/tests/event_streams.rs
+++ b/crates/craneknot-node/tests/event_streams.rs
@@ -1,4 +1,4 @@
-//! What several event streams tell together of who joins, leaves and acknowledges.
+//! What several event streams report together of joins, leaves and acknowledgements.
 
 use craneknot::interface::{ProxyId, ZoneId};
 use craneknot_node::event_streams::EventStreams;
@@ -16,22 +16,24 @@
     News::Left { proxy: ProxyId(proxy) }
 }
 
-struct Relay {
+struct Harness {
     streams: EventStreams,
     links: Links,
     out: Vec<News>,
 }
 
-impl Relay {
-    /// Two streams that have told the same.
+impl Harness {
+    /// Two streams that have reported the same proxies.
     fn with_two(proxies: &[u16]) -> (Self, [LinkId; 2]) {
-        let mut relay =
-            Relay { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
-        let dialled = [relay.turn(0), relay.turn(100)];
+        let mut harness =
+            Harness { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
+        let dialled = [harness.turn(0), harness.turn(100)];
         let links = dialled.map(|acts| called(&acts).0);
-        links.iter().for_each(|link| relay.hear(120, *link, proxies.iter().map(|id| joined(*id)).collect()));
-        assert_eq!(relay.told(), proxies.iter().map(|id| joined(*id)).collect::<Vec<_>>());
-        (relay, links)
+        links
+            .iter()
+            .for_each(|link| harness.receive(120, *link, proxies.iter().map(|id| joined(*id)).collect()));
+        assert_eq!(harness.take_reported(), proxies.iter().map(|id| joined(*id)).collect::<Vec<_>>());
+        (harness, links)
     }
 
     fn turn(&mut self, at: u64) -> Vec<Act> {
@@ -40,229 +42,236 @@
         acts
     }
 
-    fn hear(&mut self, at: u64, link: LinkId, news: Vec<News>) {
+    fn receive(&mut self, at: u64, link: LinkId, news: Vec<News>) {
         self.streams.receive(ms(at), link, news, &mut self.out);
     }
 
-    fn told(&mut self) -> Vec<News> {
+    fn take_reported(&mut self) -> Vec<News> {
         std::mem::take(&mut self.out)
     }
 }
 
 #[test]
-fn what_either_stream_of_news_brings_first_is_told_once() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1, 2, 3]);
-    relay.turn(900);
-    relay.hear(1_000, second, vec![left(1)]);
-    assert_eq!(relay.told(), [left(1)], "at once, whichever stream brings it");
-    relay.hear(1_010, first, vec![left(1)]);
-    assert_eq!(relay.told(), [], "and not again");
-    relay.hear(4_000, first, vec![]);
-    relay.hear(4_000, second, vec![]);
-    // The last news reaches the second one alone: 2 left and came again, so its bindings are gone.
-    relay.hear(4_100, second, vec![left(2), joined(2)]);
-    assert_eq!(relay.told(), [left(2), joined(2)], "nobody joins who counts as joined");
-    relay.streams.lost(ms(4_200), first, &mut relay.out);
-    assert_eq!(relay.told(), []);
-    relay.hear(4_300, second, vec![left(3)]);
-    assert_eq!(relay.told(), [left(3)]);
-    assert!(matches!(relay.turn(6_000)[..], [Act::Dial { .. }]), "and another one is dialled");
+fn an_event_is_reported_once_by_whichever_stream_brings_it_first() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1, 2, 3]);
+    harness.turn(900);
+    harness.receive(1_000, second, vec![left(1)]);
+    assert_eq!(harness.take_reported(), [left(1)], "at once, from either stream");
+    harness.receive(1_010, first, vec![left(1)]);
+    assert_eq!(harness.take_reported(), [], "and not again");
+    harness.receive(4_000, first, vec![]);
+    harness.receive(4_000, second, vec![]);
+    // The last events reach the second stream only: 2 has left and joined again, so its bindings have ended.
+    harness.receive(4_100, second, vec![left(2), joined(2)]);
+    assert_eq!(harness.take_reported(), [left(2), joined(2)], "a join of a joined proxy implies a leave");
+    harness.streams.lost(ms(4_200), first, &mut harness.out);
+    assert_eq!(harness.take_reported(), []);
+    harness.receive(4_300, second, vec![left(3)]);
+    assert_eq!(harness.take_reported(), [left(3)]);
+    assert!(matches!(harness.turn(6_000)[..], [Act::Dial { .. }]), "another stream is dialled");
 }
 
-/// A stream that lags says that a proxy stands which has come again since.
+/// A lagging stream still reports a proxy as joined that has left and joined again.
 #[test]
-fn who_comes_again_within_the_lag_of_a_stream_that_breaks_is_told_as_joined_anew() {
+fn a_rejoin_within_the_lag_of_a_broken_stream_is_reported_once() {
     for lag in [100, 600, 2_000, 10_000] {
-        let (mut relay, [first, second]) = Relay::with_two(&[1, 2]);
+        let (mut harness, [first, second]) = Harness::with_two(&[1, 2]);
         for at in (1_000..=3_000).step_by(500) {
-            [first, second].iter().for_each(|link| relay.hear(at, *link, vec![]));
-            relay.turn(at);
+            [first, second].iter().for_each(|link| harness.receive(at, *link, vec![]));
+            harness.turn(at);
         }
-        relay.hear(3_000, second, vec![left(1), joined(1)]);
-        assert_eq!(relay.told(), [left(1), joined(1)], "lag {lag}");
+        harness.receive(3_000, second, vec![left(1), joined(1)]);
+        assert_eq!(harness.take_reported(), [left(1), joined(1)], "lag {lag}");
         for at in (3_500..3_000 + lag).step_by(500) {
-            [first, second].iter().for_each(|link| relay.hear(at, *link, vec![]));
-            relay.turn(at);
+            [first, second].iter().for_each(|link| harness.receive(at, *link, vec![]));
+            harness.turn(at);
         }
-        relay.streams.lost(ms(3_000 + lag), first, &mut relay.out);
-        relay.turn(4_000 + lag);
-        assert_eq!(relay.told(), [], "lag {lag}: it is known already");
-        relay.hear(4_100 + lag, second, vec![left(1)]);
-        assert_eq!(relay.told(), [left(1)], "lag {lag}");
+        harness.streams.lost(ms(3_000 + lag), first, &mut harness.out);
+        harness.turn(4_000 + lag);
+        assert_eq!(harness.take_reported(), [], "lag {lag}: it is known already");
+        harness.receive(4_100 + lag, second, vec![left(1)]);
+        assert_eq!(harness.take_reported(), [left(1)], "lag {lag}");
     }
 }
 
-/// What one stream has told and the other has not, once it had time to, is not believed when the first has gone.
+/// Events that an ended stream reported and the remaining one does not report in time are reverted.
 #[test]
-fn news_that_only_an_ended_stream_told_is_corrected_by_the_one_that_stays() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1, 2]);
+fn events_from_an_ended_stream_alone_are_corrected_by_the_remaining_one() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1, 2]);
     for at in (1_000..=3_000).step_by(500) {
-        [first, second].iter().for_each(|link| relay.hear(at, *link, vec![]));
-        relay.turn(at);
+        [first, second].iter().for_each(|link| harness.receive(at, *link, vec![]));
+        harness.turn(at);
     }
-    relay.hear(3_000, first, vec![left(1), left(2), joined(2), joined(3)]);
-    assert_eq!(relay.told(), [left(1), left(2), joined(2), joined(3)]);
-    relay.streams.lost(ms(3_010), first, &mut relay.out);
-    relay.hear(3_100, second, vec![left(1)]);
-    relay.turn(3_400);
-    assert_eq!(relay.told(), [], "what it is late with may still come");
-    assert!(relay.streams.next_at(ms(3_400)).is_some_and(|next| next <= ms(3_510)));
-    relay.turn(3_510);
-    assert_eq!(relay.told(), [left(2), joined(2), left(3)], "it stands here in doubt; it is not here");
-    relay.hear(3_600, second, vec![left(2)]);
-    assert_eq!(relay.told(), [left(2)]);
+    harness.receive(3_000, first, vec![left(1), left(2), joined(2), joined(3)]);
+    assert_eq!(harness.take_reported(), [left(1), left(2), joined(2), joined(3)]);
+    harness.streams.lost(ms(3_010), first, &mut harness.out);
+    harness.receive(3_100, second, vec![left(1)]);
+    harness.turn(3_400);
+    assert_eq!(harness.take_reported(), [], "its late events may still arrive");
+    assert!(harness.streams.next_at(ms(3_400)).is_some_and(|next| next <= ms(3_510)));
+    harness.turn(3_510);
+    assert_eq!(
+        harness.take_reported(),
+        [left(2), joined(2), left(3)],
+        "2 is joined here, but uncertain; 3 is not joined here"
+    );
+    harness.receive(3_600, second, vec![left(2)]);
+    assert_eq!(harness.take_reported(), [left(2)]);
 }
 
-/// What stands comes in pieces, for longer than a stream's usual beginning.
+/// The snapshot arrives in pieces, over a longer time than usual.
 #[test]
-fn a_stream_that_begins_in_pieces_makes_nobody_leave_whom_another_follows() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1, 2, 3]);
-    relay.turn(900);
-    relay.streams.lost(ms(1_000), second, &mut relay.out);
-    let third = called(&relay.turn(1_100)).0;
-    relay.hear(1_200, third, vec![joined(1)]);
-    relay.hear(1_750, first, vec![]);
-    relay.turn(1_760);
-    assert_eq!(relay.told(), [], "2 and 3 are not named yet");
-    // One of them has left indeed, and the stream that followed it ends before it has told that.
-    relay.hear(1_800, third, vec![joined(2)]);
-    relay.told();
-    relay.streams.lost(ms(1_900), first, &mut relay.out);
-    relay.hear(2_300, third, vec![]);
-    relay.turn(2_410);
-    assert_eq!(relay.told(), [left(3)]);
+fn a_snapshot_in_pieces_removes_no_proxy_tracked_by_another_stream() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1, 2, 3]);
+    harness.turn(900);
+    harness.streams.lost(ms(1_000), second, &mut harness.out);
+    let third = called(&harness.turn(1_100)).0;
+    harness.receive(1_200, third, vec![joined(1)]);
+    harness.receive(1_750, first, vec![]);
+    harness.turn(1_760);
+    assert_eq!(harness.take_reported(), [], "2 and 3 are not named yet");
+    // One of them has left indeed, and the stream that tracked it ends before it has reported that.
+    harness.receive(1_800, third, vec![joined(2)]);
+    harness.take_reported();
+    harness.streams.lost(ms(1_900), first, &mut harness.out);
+    harness.receive(2_300, third, vec![]);
+    harness.turn(2_410);
+    assert_eq!(harness.take_reported(), [left(3)]);
 }
 
-/// While the relay refuses new connections, what was in doubt is settled all the same.
+/// Uncertainty after the end of a stream is resolved even while the relay refuses new connections.
 #[test]
-fn doubts_end_while_every_new_stream_is_refused() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1, 2]);
+fn uncertainty_is_resolved_while_every_new_stream_is_refused() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1, 2]);
     for at in (1_000..=3_000).step_by(500) {
-        [first, second].iter().for_each(|link| relay.hear(at, *link, vec![]));
-        relay.turn(at);
+        [first, second].iter().for_each(|link| harness.receive(at, *link, vec![]));
+        harness.turn(at);
     }
-    relay.hear(3_000, first, vec![left(2), joined(2)]);
-    relay.told();
-    relay.streams.lost(ms(3_010), first, &mut relay.out);
+    harness.receive(3_000, first, vec![left(2), joined(2)]);
+    harness.take_reported();
+    harness.streams.lost(ms(3_010), first, &mut harness.out);
     for at in (3_050..4_200).step_by(50) {
-        for act in relay.turn(at) {
+        for act in harness.turn(at) {
             let Act::Dial { link, .. } = act else { continue };
-            relay.streams.lost(ms(at), link, &mut relay.out);
+            harness.streams.lost(ms(at), link, &mut harness.out);
         }
         if at % 1_000 == 0 {
-            relay.hear(at, second, vec![]);
+            harness.receive(at, second, vec![]);
         }
     }
-    assert_eq!(relay.told(), [left(2), joined(2)]);
+    assert_eq!(harness.take_reported(), [left(2), joined(2)]);
 }
 
 #[test]
-fn after_a_gap_who_stands_has_joined_anew_and_who_does_not_has_left() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1, 2, 3]);
-    relay.turn(900);
-    [first, second].iter().for_each(|link| relay.streams.lost(ms(5_000), *link, &mut relay.out));
-    assert_eq!(relay.told(), [], "nothing is known to have changed");
-    let third = called(&relay.turn(7_000)).0;
-    relay.hear(7_100, third, vec![joined(1)]);
-    relay.hear(7_200, third, vec![joined(3)]);
-    assert_eq!(relay.told(), [left(1), joined(1), left(3), joined(3)]);
-    relay.turn(7_700);
-    assert_eq!(relay.told(), [left(2)]);
+fn after_a_gap_named_proxies_have_rejoined_and_others_have_left() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1, 2, 3]);
+    harness.turn(900);
+    [first, second].iter().for_each(|link| harness.streams.lost(ms(5_000), *link, &mut harness.out));
+    assert_eq!(harness.take_reported(), [], "no change is known");
+    let third = called(&harness.turn(7_000)).0;
+    harness.receive(7_100, third, vec![joined(1)]);
+    harness.receive(7_200, third, vec![joined(3)]);
+    assert_eq!(harness.take_reported(), [left(1), joined(1), left(3), joined(3)]);
+    harness.turn(7_700);
+    assert_eq!(harness.take_reported(), [left(2)]);
 }
 
 #[test]
-fn a_silent_leader_gives_way_to_a_stream_that_speaks() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1]);
-    relay.turn(900);
-    relay.hear(1_000, first, vec![]);
+fn a_silent_stream_is_replaced_while_another_is_alive() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1]);
+    harness.turn(900);
+    harness.receive(1_000, first, vec![]);
     for at in [1_000, 2_000, 3_000, 4_000] {
-        relay.hear(at, second, vec![]);
+        harness.receive(at, second, vec![]);
     }
-    assert!(relay.turn(4_000).contains(&Act::Drop { link: first }));
-    relay.hear(4_100, second, vec![left(1)]);
-    assert_eq!(relay.told(), [left(1)]);
+    assert!(harness.turn(4_000).contains(&Act::Drop { link: first }));
+    harness.receive(4_100, second, vec![left(1)]);
+    assert_eq!(harness.take_reported(), [left(1)]);
 }
 
-/// Who joins while one stream is silent is told at once by the other, and must be off lost servers in time.
+/// A join during the silence of one stream is reported at once by the other: the proxy must leave lost
+/// servers in time.
 #[test]
-fn who_joins_while_one_stream_is_quiet_is_told_by_the_stream_that_speaks() {
-    let (mut relay, [first, second]) = Relay::with_two(&[1]);
-    relay.turn(900);
-    [first, second].iter().for_each(|link| relay.hear(1_000, *link, vec![]));
-    relay.hear(1_050, second, vec![joined(2)]);
-    assert_eq!(relay.told(), [joined(2)], "at once");
-    relay.hear(2_000, second, vec![]);
-    relay.turn(2_400);
-    assert_eq!(relay.told(), []);
-    assert!(relay.streams.has(first), "it may speak on");
-    relay.hear(2_600, first, vec![joined(2)]);
-    assert_eq!(relay.told(), [], "and has nothing new to tell");
-    // Where both are quiet neither has more than the other.
-    relay.turn(4_200);
-    assert_eq!(relay.told(), []);
+fn a_join_during_the_silence_of_one_stream_is_reported_by_the_other() {
+    let (mut harness, [first, second]) = Harness::with_two(&[1]);
+    harness.turn(900);
+    [first, second].iter().for_each(|link| harness.receive(1_000, *link, vec![]));
+    harness.receive(1_050, second, vec![joined(2)]);
+    assert_eq!(harness.take_reported(), [joined(2)], "at once");
+    harness.receive(2_000, second, vec![]);
+    harness.turn(2_400);
+    assert_eq!(harness.take_reported(), []);
+    assert!(harness.streams.has(first), "it may recover");
+    harness.receive(2_600, first, vec![joined(2)]);
+    assert_eq!(harness.take_reported(), [], "the repetition is not reported");
+    // While both are quiet, neither has more to report than the other.
+    harness.turn(4_200);
+    assert_eq!(harness.take_reported(), []);
 }
 
-/// Found on reading again: a silent leader that is kept set a time in the past, and the loop did not rest until it spoke.
+/// Guards against a busy loop: a silent stream that is kept set its next turn in the past until it received
+/// input.
 #[test]
-fn while_the_relay_is_silent_the_next_look_is_never_in_the_past() {
-    let (mut relay, _) = Relay::with_two(&[1]);
+fn while_the_relay_is_silent_the_next_turn_is_never_in_the_past() {
+    let (mut harness, _) = Harness::with_two(&[1]);
     for at in (900..20_000).step_by(10) {
-        relay.turn(at);
-        let next = relay.streams.next_at(ms(at));
+        harness.turn(at);
+        let next = harness.streams.next_at(ms(at));
         assert!(next.is_some_and(|next| next > ms(at)), "at {at} ms: {next:?}");
     }
 }
 
-/// Confirmed on reading: an acknowledgement that only the second stream brought was dropped, and its mark waited for.
+/// Guards against dropping an acknowledgement that only the second stream brought, whose mark was then waited
+/// for.
 #[test]
-fn an_acknowledgement_that_two_streams_bring_is_told_once() {
-    let done = |mark| News::Applied { proxy: ProxyId(1), mark };
-    let (mut relay, [first, second]) = Relay::with_two(&[1]);
-    relay.turn(900);
-    [first, second].iter().for_each(|link| relay.hear(1_000, *link, vec![done(7)]));
-    assert_eq!(relay.told(), [done(7)]);
-    relay.hear(1_010, second, vec![done(8)]);
-    assert_eq!(relay.told(), [done(8)], "whichever stream brings it");
-    relay.hear(1_015, first, vec![done(8)]);
-    relay.streams.lost(ms(1_020), first, &mut relay.out);
-    assert_eq!(relay.told(), [], "both are told already");
+fn an_acknowledgement_from_two_streams_is_reported_once() {
+    let applied = |mark| News::Applied { proxy: ProxyId(1), mark };
+    let (mut harness, [first, second]) = Harness::with_two(&[1]);
+    harness.turn(900);
+    [first, second].iter().for_each(|link| harness.receive(1_000, *link, vec![applied(7)]));
+    assert_eq!(harness.take_reported(), [applied(7)]);
+    harness.receive(1_010, second, vec![applied(8)]);
+    assert_eq!(harness.take_reported(), [applied(8)], "from either stream");
+    harness.receive(1_015, first, vec![applied(8)]);
+    harness.streams.lost(ms(1_020), first, &mut harness.out);
+    assert_eq!(harness.take_reported(), [], "both were reported already");
 }
 
-/// Confirmed on reading: a leader lost before it had told what stands left a time in the past, and the loop did not rest.
+/// Guards against a busy loop: a stream lost before its snapshot was complete left a next turn in the past.
 #[test]
-fn with_no_stream_left_the_next_look_is_never_in_the_past() {
-    let mut relay =
-        Relay { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
-    let first = called(&relay.turn(0)).0;
-    relay.hear(10, first, vec![joined(1)]);
-    relay.streams.lost(ms(20), first, &mut relay.out);
+fn with_no_stream_left_the_next_turn_is_never_in_the_past() {
+    let mut harness =
+        Harness { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
+    let first = called(&harness.turn(0)).0;
+    harness.receive(10, first, vec![joined(1)]);
+    harness.streams.lost(ms(20), first, &mut harness.out);
     for at in (20..5_000).step_by(10) {
-        let acts = relay.turn(at);
-        let next = relay.streams.next_at(ms(at));
+        let acts = harness.turn(at);
+        let next = harness.streams.next_at(ms(at));
         assert!(next.is_some_and(|next| next > ms(at)), "at {at} ms: {next:?}, {acts:?}");
     }
 }
 
-/// Confirmed on reading: after a reload the new address' first stream led while all it had told was new, so that
-/// every proxy was told as joined anew and bound anew.
+/// Guards against reporting every proxy as joined again, and binding it again, after a reload: the first
+/// stream from the new address was followed although all that it had reported was its snapshot.
 #[test]
-fn a_reload_tells_nobody_as_joined_anew() {
-    let (mut relay, old) = Relay::with_two(&[1, 2, 3]);
+fn a_reload_reports_no_proxy_as_joined_again() {
+    let (mut harness, old) = Harness::with_two(&[1, 2, 3]);
     let everybody = || vec![joined(1), joined(2), joined(3)];
-    relay.turn(900);
-    relay.hear(9_900, old[0], vec![]);
-    relay.hear(9_900, old[1], vec![]);
-    relay.streams.move_to(ms(10_000), OTHER);
-    let new = [relay.turn(10_000), relay.turn(10_100)].map(|acts| called(&acts).0);
-    new.iter().for_each(|link| relay.hear(10_120, *link, everybody()));
-    relay.turn(10_150);
-    relay.hear(10_900, old[0], vec![]);
+    harness.turn(900);
+    harness.receive(9_900, old[0], vec![]);
+    harness.receive(9_900, old[1], vec![]);
+    harness.streams.move_to(ms(10_000), OTHER);
+    let new = [harness.turn(10_000), harness.turn(10_100)].map(|acts| called(&acts).0);
+    new.iter().for_each(|link| harness.receive(10_120, *link, everybody()));
+    harness.turn(10_150);
+    harness.receive(10_900, old[0], vec![]);
     for at in [11_130, 11_200] {
-        new.iter().for_each(|link| relay.hear(at, *link, vec![]));
-        relay.turn(at);
+        new.iter().for_each(|link| harness.receive(at, *link, vec![]));
+        harness.turn(at);
     }
-    assert!(old.iter().all(|link| !relay.streams.has(*link)), "the new ones have taken over");
-    assert_eq!(relay.told(), []);
-    relay.hear(11_300, new[0], vec![left(2)]);
-    assert_eq!(relay.told(), [left(2)]);
+    assert!(old.iter().all(|link| !harness.streams.has(*link)), "the new streams have replaced the old ones");
+    assert_eq!(harness.take_reported(), []);
+    harness.receive(11_300, new[0], vec![left(2)]);
+    assert_eq!(harness.take_reported(), [left(2)]);
 }
--- a/crates/craneknot-node/tests/server_age.rs
+++ b/crates/craneknot-node/tests/server_age.rs
@@ -1,4 +1,4 @@
-//! How old a server is, by clocks that may be wrong.
+//! Estimates of a server's age with clocks that may be wrong.
 
 use craneknot::interface::ServerId;
 use craneknot_node::server_age::{ServerStarts, Start};
@@ -6,13 +6,14 @@
 mod helpers;
 use helpers::ms;
 
-/// A wall clock that is wrong by an hour makes no server old that has just started, and none young for long.
+/// With a wall clock wrong by an hour, no server that has just started counts as old, and none counts as
+/// young for long.
 #[test]
-fn a_server_is_no_older_than_the_time_since_it_was_seen_otherwise() {
+fn a_restarted_server_is_no_older_than_its_last_sighting_before() {
     let (hour, server) = (3_600_000, ServerId("s-1".into()));
     let start = 10 * hour;
     for error in [-(hour as i64), 0, hour as i64] {
-        // This process's clock, and the moment as the machine that lists the server has it.
+        // `true_time`: this process's clock reading as the time of the machine that lists the server.
         let true_time = |now: u64| ms((now as i64 - error) as u64);
         let mut starts = ServerStarts::default();
         let long_ago = Start { latest: None, is_certain: true };
@@ -23,22 +24,22 @@
         starts.list_applied(ms(restarted - 1_000));
         let claimed = Some(true_time(restarted));
         starts.learn_clock(ms(listed), true_time(restarted));
-        let believed = starts.observe(ms(listed), &server, claimed);
-        assert!(believed.is_certain, "{error}: it was seen to restart");
-        let since = believed.latest.unwrap();
-        let age = ms(listed) - since;
-        assert!(age <= ms(4_000), "{error}: believed {age:?} old, 3 s after its start");
+        let estimated = starts.observe(ms(listed), &server, claimed);
+        assert!(estimated.is_certain, "{error}: it was seen to restart");
+        let started = estimated.latest.unwrap();
+        let age = ms(listed) - started;
+        assert!(age <= ms(4_000), "{error}: estimated to be {age:?} old, 3 s after its start");
         starts.list_applied(ms(listed));
-        // Later lists that say the same change nothing: it warms by this process's clock.
+        // Later lists with the same start change nothing: the server warms by this process's clock.
         let later = starts.observe(ms(listed + 60_000), &server, claimed);
-        assert_eq!(later, believed, "{error}");
-        assert!(ms(listed + 60_000) - since >= ms(60_000), "{error}: it is warm a minute later");
+        assert_eq!(later, estimated, "{error}");
+        assert!(ms(listed + 60_000) - started >= ms(60_000), "{error}: it is warm a minute later");
     }
 }
 
-/// Between two starts that discovery tells lies the same span by any wall clock.
+/// The time between two starts that discovery reports is the same by any wall clock.
 #[test]
-fn a_wall_clock_that_is_behind_tells_ages_from_the_newest_start() {
+fn with_a_clock_behind_ages_are_measured_from_the_newest_start() {
     let (hour, mut starts) = (3_600_000, ServerStarts::default());
     let (now, true_time) = (10 * hour, 11 * hour);
     let claims = [("old", true_time - 90_000), ("new", true_time - 2_000)];
@@ -49,10 +50,10 @@
     assert_eq!(observed[1], Start { latest: Some(ms(now)), is_certain: false });
 }
 
-/// A wall clock that is ahead makes each server look old: none is taken for warm by that, unless it is older than the
-/// newest one by far, or than any error of the clock.
+/// A wall clock that is ahead makes each server look old. That makes none count as warm unless it is far
+/// older than the newest one, or older than any error of the clock.
 #[test]
-fn a_wall_clock_that_is_ahead_makes_no_server_warm_that_has_just_started() {
+fn with_a_clock_ahead_no_server_that_has_just_started_is_warm() {
     let (hour, mut starts) = (3_600_000, ServerStarts::default());
     let (now, true_time) = (11 * hour, 10 * hour);
     let claims =
@@ -69,9 +70,10 @@
     );
 }
 
-/// A fleet that was not touched for a while, and a right clock: by the newest start alone each is at least that much older.
+/// A fleet without changes for a while, and a correct clock: by the newest start alone, each server is at
+/// least as much older.
 #[test]
-fn without_a_recent_start_ages_are_told_from_the_newest_one() {
+fn without_a_recent_start_ages_are_measured_from_the_newest_one() {
     let (now, mut starts) = (36_000_000, ServerStarts::default());
     let claims = [("newest", now - 600_000), ("older", now - 660_000)];
     claims.iter().for_each(|(_, claimed)| starts.learn_clock(ms(now), ms(*claimed)));
@@ -81,10 +83,10 @@
     assert_eq!(observed[1], Start { latest: Some(ms(now - 60_000)), is_certain: false });
 }
 
-/// A server that was not listed for a while, as in a cut, is as old as it was, where the wall clock is known to be right;
-/// else its age is not known.
+/// A server that was not listed for a while, as during a partition, keeps its age if the wall clock is known
+/// to be right; otherwise its age is not known.
 #[test]
-fn a_server_that_returns_to_the_list_is_as_old_as_it_was_if_the_clock_is_proven() {
+fn a_relisted_server_keeps_its_age_if_the_clock_is_known_not_to_be_ahead() {
     let now = 36_000_000;
     for is_proven in [false, true] {
         let mut starts = ServerStarts::default();
