--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -39,6 +39,7 @@
     pub log_events: Vec<LogEvent>,
 }
 
+/// A coordinator without sockets: it connects the controller with clients, discovery, the relay and probes.
 pub struct Coordinator {
     controller: Controller,
     names: GivenNames,
@@ -71,6 +72,7 @@
 }
 
 impl Coordinator {
+    /// Starts with this configuration, which may include the last known list of servers.
     pub fn new(config: Config, now: Nanos) -> Self {
         let descriptors = Descriptors::divide(config.sockets);
         let revision = config.known.as_ref().map(|known| known.revision);
@@ -118,6 +120,7 @@
         self.list_watch.move_to(config.discovery, &mut self.actions.link_actions);
     }
 
+    /// A client was accepted.
     pub fn client_connected(&mut self, now: Nanos, id: ClientId) {
         self.clients.came(now, id);
     }
@@ -563,6 +566,7 @@
         &self.controller
     }
 
+    /// The figures for the status lines.
     pub fn status(&self) -> Status {
         let (collectors, unidentified) = self.clients.counts();
         Status {
--- a/crates/craneknot-node/src/coverage.rs
+++ b/crates/craneknot-node/src/coverage.rs
@@ -184,6 +184,7 @@
         self.proxies.insert(proxy, ProxyState { zone, classes: vec![state; self.classes.len()] });
     }
 
+    /// A proxy has left.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
     }
@@ -322,10 +323,11 @@
     }
 
     fn longest_now(&self, now: Nanos, start: impl Fn(&ClassState) -> Option<Nanos>) -> Option<CoverageGap> {
-        let state = self.proxies.iter().flat_map(|(proxy, proxy_state)| {
+        let states = self.proxies.iter().flat_map(|(proxy, proxy_state)| {
             proxy_state.classes.iter().enumerate().map(move |(class, state)| (*proxy, class, state))
         });
-        let uncovered_classes = state.filter_map(|(proxy, class, state)| Some((start(state)?, proxy, class)));
+        let uncovered_classes =
+            states.filter_map(|(proxy, class, state)| Some((start(state)?, proxy, class)));
         let (_, proxy, class) = uncovered_classes.min()?;
         self.gap(now, proxy, class, start)
     }
@@ -350,12 +352,12 @@
 
     /// The totals as of the last evaluation.
     pub fn figures(&self) -> CoverageFigures {
-        let state = || self.proxies.values().flat_map(|proxy_state| &proxy_state.classes);
+        let states = || self.proxies.values().flat_map(|proxy_state| &proxy_state.classes);
         CoverageFigures {
-            uncovered: state().filter(|state| state.uncovered_since.is_some()).count(),
+            uncovered: states().filter(|state| state.uncovered_since.is_some()).count(),
             longest: self.longest_gap.as_ref().map_or(Nanos(0), |longest_gap| longest_gap.gap.lasted),
             over_limit: self.over_limit,
-            without_line: state().filter(|state| state.no_line_since.is_some()).count(),
+            without_line: states().filter(|state| state.no_line_since.is_some()).count(),
         }
     }
 
@@ -436,10 +438,10 @@
         zone: ZoneId,
         lines: Option<&BTreeSet<ServerId>>,
     ) -> Option<Supply> {
-        let has = |server: &ServerId| {
+        let is_usable = |server: &ServerId| {
             self.servers.get(server).is_some_and(|entry| self.is_allowed(class, zone, entry))
         };
-        if lines.is_some_and(|lines| lines.iter().any(has)) {
+        if lines.is_some_and(|lines| lines.iter().any(is_usable)) {
             return None;
         }
         let mut warm = self.allowed(class, zone).filter(|entry| self.is_warm(entry)).peekable();
--- a/crates/craneknot-node/src/list_watch.rs
+++ b/crates/craneknot-node/src/list_watch.rs
@@ -31,6 +31,7 @@
     InFlight { deadline: Nanos, reused: bool, is_long_poll: bool },
 }
 
+/// The watch of the list, and the state of its call in flight.
 pub struct ListWatch {
     discovery: Callee,
     state: State,
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Whether a link is the connection to discovery.
     pub fn has(&self, link: LinkId) -> bool {
         self.discovery.has(link)
     }
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Discovery has a new address.
     pub fn move_to(&mut self, address: SocketAddr, link_actions: &mut Vec<Act>) {
         if self.discovery.move_to(address, link_actions) {
             match self.state {
@@ -166,6 +169,7 @@
         }
     }
 
+    /// When the next turn is due if no input arrives.
     pub fn next_at(&self) -> Option<Nanos> {
         match self.state {
             State::Idle => None,
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -83,6 +83,7 @@
     orders: VecDeque<Queued>,
 }
 
+/// The queue, and the state of the call in flight.
 pub struct OrderQueue {
     relay: Callee,
     queue: VecDeque<Queued>,
@@ -131,6 +132,7 @@
 }
 
 impl OrderQueue {
+    /// An empty queue for the relay at this address.
     pub fn new(address: SocketAddr, now: Nanos) -> Self {
         OrderQueue {
             relay: Callee::new(address),
@@ -151,6 +153,7 @@
         }
     }
 
+    /// Adds orders, which are sent in this sequence.
     pub fn enqueue(&mut self, orders: impl IntoIterator<Item = EncodedOrder>) {
         for order in orders {
             self.enqueued += 1;
@@ -209,6 +212,7 @@
         self.queue.len() + self.deferred.values().map(|deferred| deferred.orders.len()).sum::<usize>()
     }
 
+    /// Whether a link is the connection to the relay.
     pub fn has(&self, link: LinkId) -> bool {
         self.relay.has(link)
     }
@@ -451,6 +455,7 @@
         self.waiting() == 0
     }
 
+    /// When the next turn is due if no input arrives.
     pub fn next_at(&self) -> Option<Nanos> {
         let deferred = self.deferred.values().map(|deferred| deferred.retry_at);
         match self.state {
--- a/crates/craneknot-node/src/presence.rs
+++ b/crates/craneknot-node/src/presence.rs
@@ -27,7 +27,7 @@
 struct Entry {
     count: ChangeCount,
     /// Its last join.
-    joining: Option<News>,
+    join_event: Option<News>,
     /// When the stream reported a join that was assumed to be one that another stream had reported.
     assumed_at: Option<Nanos>,
     /// False for a proxy known from the snapshot at the stream's beginning only, which carries no count.
@@ -134,15 +134,15 @@
         &mut self,
         now: Nanos,
         view: &mut StreamView,
-        joining: &News,
+        join_event: &News,
         is_tracked: bool,
         out: &mut Vec<News>,
     ) {
-        let proxy = joining.proxy();
+        let proxy = join_event.proxy();
         let is_first = !view.is_snapshot_complete && !view.entries.contains_key(&proxy);
         let count_at_dial = view.count_at_dial(proxy);
         let entry = view.entries.entry(proxy).or_default();
-        entry.joining = Some(joining.clone());
+        entry.join_event = Some(join_event.clone());
         entry.is_count_known |= !is_first;
         // A proxy that joins while it counts as joined must have left in between.
         entry.count =
@@ -180,7 +180,7 @@
         if std::mem::take(&mut entry.is_uncertain) && !is_tracked {
             self.adopt(proxy, entry, out);
         } else {
-            self.advance_to(proxy, entry.count, entry.joining.as_ref(), out);
+            self.advance_to(proxy, entry.count, entry.join_event.as_ref(), out);
         }
         out.len() > length_before
     }
@@ -190,7 +190,7 @@
         &mut self,
         proxy: ProxyId,
         count: ChangeCount,
-        joining: Option<&News>,
+        join_event: Option<&News>,
         out: &mut Vec<News>,
     ) {
         let known = self.counts.entry(proxy).or_default();
@@ -202,7 +202,7 @@
         if was_joined {
             out.push(News::Left { proxy });
         }
-        out.extend(joining.filter(|_| is_joined(count)).cloned());
+        out.extend(join_event.filter(|_| is_joined(count)).cloned());
     }
 
     /// A stream's snapshot is complete: proxies not named in it have left, unless another stream tracks them,
@@ -246,16 +246,16 @@
         entry.count = known + u64::from(is_changed);
         entry.is_count_known = true;
         if self.count(proxy) < entry.count {
-            self.advance_to(proxy, entry.count, entry.joining.as_ref(), out);
+            self.advance_to(proxy, entry.count, entry.join_event.as_ref(), out);
         } else if is_joined(entry.count) {
             out.push(News::Left { proxy });
-            out.extend(entry.joining.clone());
+            out.extend(entry.join_event.clone());
         }
     }
 
     /// A stream has ended. What it reported and no remaining stream has reported yet becomes uncertain. So
-    /// does what a remaining stream has reported since a time and was taken for a repetition, because no
-    /// stream can confirm that any more.
+    /// does what a remaining stream has reported since `since` and was taken for a repetition, because no stream
+    /// can confirm that any more.
     pub fn mark_uncertain(&self, remaining: &mut [&mut StreamView], since: Nanos) {
         for view in remaining.iter_mut().filter(|view| view.is_snapshot_complete) {
             for (proxy, entry) in &mut view.entries {
--- a/crates/craneknot-node/src/takeover.rs
+++ b/crates/craneknot-node/src/takeover.rs
@@ -44,6 +44,7 @@
 pub struct TakeoverWatch(Option<Current>);
 
 impl TakeoverWatch {
+    /// A proxy has joined.
     pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId) {
         let is_over = |current: &Current| {
             current.takeover.proxies < PROXIES_MIN && now - current.last_join_at > JOIN_INTERVAL_MAX
@@ -56,6 +57,7 @@
         current.takeover.proxies += usize::from(current.unbound.insert(proxy));
     }
 
+    /// A proxy has left.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
         if let Some(current) = &mut self.0 {
             current.unbound.remove(&proxy);
