--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -28,14 +28,17 @@
 use crate::status::{NamedWorst, Status};
 use crate::takeover::TakeoverWatch;
 
-// events that arrive within this span are handled in one step
+/// Events that arrive within this span are handled in one step.
 const STEP_INTERVAL: Nanos = Nanos::from_millis(5);
 
 /// Work for the shell after a turn.
 #[derive(Debug, Default)]
 pub struct ShellActions {
+    /// For the connections of clients.
     pub client_actions: Vec<ClientAction>,
+    /// For dialled connections.
     pub link_actions: Vec<Act>,
+    /// To be logged.
     pub log_events: Vec<LogEvent>,
 }
 
@@ -125,8 +128,8 @@
         self.clients.came(now, id);
     }
 
-    /// How many more clients may be accepted. During a shutdown no new streams join, so that all descriptors
-    /// are available to clients.
+    /// How many more clients may be accepted. During a shutdown no more clients join, so that all descriptors may
+    /// be used.
     pub fn accept_capacity(&self) -> usize {
         if self.shutting_down {
             usize::MAX
--- a/crates/craneknot-node/src/coverage.rs
+++ b/crates/craneknot-node/src/coverage.rs
@@ -459,9 +459,8 @@
 
     /// A warning that counts no proxy yet: the caller adds to `proxies`.
     fn warning(&self, proxy: ProxyId, class: usize, zone: ZoneId, state: &ClassState) -> NoLineWarning {
-        let count = |matches: &dyn Fn(&Listing) -> bool| {
-            self.allowed(class, zone).filter(|entry| matches(entry)).count()
-        };
+        let count =
+            |test: &dyn Fn(&Listing) -> bool| self.allowed(class, zone).filter(|entry| test(entry)).count();
         NoLineWarning {
             class: ClassId(class as u8),
             table: state.table,
--- a/crates/craneknot-node/src/list_watch.rs
+++ b/crates/craneknot-node/src/list_watch.rs
@@ -10,12 +10,12 @@
 
 use crate::link::{Act, Callee, LinkId, Links};
 
-const LONG_POLL_WAIT: Nanos = Nanos::from_millis(5_000); // short enough that a silent watch is detected soon
+const POLL_WAIT: Nanos = Nanos::from_millis(5_000); // short enough that a silent watch is detected soon
 /// An answer this long after the end of its wait is considered lost.
-const LONG_POLL_GRACE: Nanos = Nanos::from_millis(1_500);
+const POLL_GRACE: Nanos = Nanos::from_millis(1_500);
 /// For a call that does not wait, including its dial. Giving up while discovery still works on the call would make
 /// it do the same work twice.
-const FIRST_CALL_TIMEOUT: Nanos = Nanos::from_millis(2_500);
+const CALL_TIMEOUT: Nanos = Nanos::from_millis(2_500);
 /// A call this soon after an answer continues its watch.
 const SAME_WATCH_WINDOW: Nanos = Nanos::from_millis(200);
 const OLDER_LISTS_MAX: u32 = 3; // in a row: a list older than the known one then counts as a new numbering
@@ -100,13 +100,9 @@
             State::Due => {
                 let (path, timeout) = match self.revision {
                     // Missed changes are sent at once, and a failure shows at once.
-                    Some(revision) if self.is_first => {
-                        (discovery::watch(revision, Nanos(0)), FIRST_CALL_TIMEOUT)
-                    }
-                    Some(revision) => {
-                        (discovery::watch(revision, LONG_POLL_WAIT), LONG_POLL_WAIT + LONG_POLL_GRACE)
-                    }
-                    None => (discovery::whole(), FIRST_CALL_TIMEOUT),
+                    Some(revision) if self.is_first => (discovery::watch(revision, Nanos(0)), CALL_TIMEOUT),
+                    Some(revision) => (discovery::watch(revision, POLL_WAIT), POLL_WAIT + POLL_GRACE),
+                    None => (discovery::whole(), CALL_TIMEOUT),
                 };
                 let is_long_poll = self.revision.is_some() && !self.is_first;
                 self.is_first = false;
