--- a/crates/craneknot-node/src/list_watch.rs
+++ b/crates/craneknot-node/src/list_watch.rs
@@ -13,8 +13,8 @@
 const POLL_WAIT: Nanos = Nanos::from_millis(5_000); // short enough that a silent watch is detected soon
 /// An answer this long after the end of its wait is considered lost.
 const POLL_GRACE: Nanos = Nanos::from_millis(1_500);
-/// For a call that does not wait, including its dial. Giving up while discovery still works on the call would make
-/// it do the same work twice.
+/// For a call that does not wait, including its dial. Giving up while discovery still works on the call would
+/// make it do the same work twice.
 const CALL_TIMEOUT: Nanos = Nanos::from_millis(2_500);
 /// A call this soon after an answer continues its watch.
 const SAME_WATCH_WINDOW: Nanos = Nanos::from_millis(200);
