--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -128,8 +128,8 @@
         self.clients.came(now, id);
     }
 
-    /// How many more clients may be accepted. During a shutdown no more clients join, so that all descriptors may
-    /// be used.
+    /// How many more clients may be accepted. During a shutdown no more clients join, so that all descriptors
+    /// may be used.
     pub fn accept_capacity(&self) -> usize {
         if self.shutting_down {
             usize::MAX
--- a/crates/craneknot-node/src/presence.rs
+++ b/crates/craneknot-node/src/presence.rs
@@ -254,8 +254,8 @@
     }
 
     /// A stream has ended. What it reported and no remaining stream has reported yet becomes uncertain. So
-    /// does what a remaining stream has reported since `since` and was taken for a repetition, because no stream
-    /// can confirm that any more.
+    /// does what a remaining stream has reported since `since` and was taken for a repetition, because no
+    /// stream can confirm that any more.
     pub fn mark_uncertain(&self, remaining: &mut [&mut StreamView], since: Nanos) {
         for view in remaining.iter_mut().filter(|view| view.is_snapshot_complete) {
             for (proxy, entry) in &mut view.entries {
