--- a/crates/craneknot-node/tests/connection_races.rs
+++ b/crates/craneknot-node/tests/connection_races.rs
@@ -66,8 +66,8 @@
 #[test]
 fn a_request_followed_by_a_half_close_is_answered() {
     let address = run(start_peers("half-close", &[]).shell);
-    // Input one message shorter than the read buffer of an unidentified client, exactly as long, and of
-    // several messages.
+    // One message that is shorter than a single read from an unidentified client, one that is exactly as long,
+    // and several messages.
     for input in [
         HEARTBEAT.to_vec(),
         [vec![b' '; 4096 - HEARTBEAT.len()], HEARTBEAT.to_vec()].concat(),
@@ -245,8 +245,8 @@
     run(shell);
     let (mut stream, body) = calls.recv().unwrap();
     stream.write_all(&taken(1).as_bytes()[..40]).unwrap();
-    let (_, retried_stream) = calls.recv().unwrap();
-    assert_eq!(orders(&retried_stream)[..orders(&body).len()], orders(&body));
+    let (_, repeated) = calls.recv().unwrap();
+    assert_eq!(orders(&repeated)[..orders(&body).len()], orders(&body));
     assert!(request(&mut stream).is_none(), "the old connection is closed");
 }
 
@@ -271,7 +271,7 @@
 }
 
 /// An answer whose connection is closed regularly, not reset, at any byte is requested again. Guards against
-/// a panic on a close within the head of an answer.
+/// the program ending on a close within the head of an answer.
 #[test]
 fn calls_closed_within_their_answer_are_repeated() {
     let Peers { shell, relay, discovery } = start_peers("closes", &[]);
--- a/crates/craneknot-node/tests/event_streams.rs
+++ b/crates/craneknot-node/tests/event_streams.rs
@@ -28,7 +28,7 @@
         let mut harness =
             Harness { streams: EventStreams::new(ADDRESS, ms(0)), links: Links::default(), out: Vec::new() };
         let dialled = [harness.turn(0), harness.turn(100)];
-        let links = dialled.map(|acts| called(&acts).0);
+        let links = dialled.map(|link_actions| called(&link_actions).0);
         links
             .iter()
             .for_each(|link| harness.receive(120, *link, proxies.iter().map(|id| joined(*id)).collect()));
@@ -37,13 +37,13 @@
     }
 
     fn turn(&mut self, at: u64) -> Vec<Act> {
-        let mut acts = Vec::new();
-        self.streams.turn(ms(at), &mut self.links, &mut acts, &mut self.out);
-        acts
+        let mut link_actions = Vec::new();
+        self.streams.turn(ms(at), &mut self.links, &mut link_actions, &mut self.out);
+        link_actions
     }
 
-    fn receive(&mut self, at: u64, link: LinkId, news: Vec<News>) {
-        self.streams.receive(ms(at), link, news, &mut self.out);
+    fn receive(&mut self, at: u64, link: LinkId, events: Vec<News>) {
+        self.streams.receive(ms(at), link, events, &mut self.out);
     }
 
     fn take_reported(&mut self) -> Vec<News> {
@@ -246,9 +246,9 @@
     harness.receive(10, first, vec![joined(1)]);
     harness.streams.lost(ms(20), first, &mut harness.out);
     for at in (20..5_000).step_by(10) {
-        let acts = harness.turn(at);
+        let link_actions = harness.turn(at);
         let next = harness.streams.next_at(ms(at));
-        assert!(next.is_some_and(|next| next > ms(at)), "at {at} ms: {next:?}, {acts:?}");
+        assert!(next.is_some_and(|next| next > ms(at)), "at {at} ms: {next:?}, {link_actions:?}");
     }
 }
 
@@ -262,7 +262,7 @@
     harness.receive(9_900, old[0], vec![]);
     harness.receive(9_900, old[1], vec![]);
     harness.streams.move_to(ms(10_000), OTHER);
-    let new = [harness.turn(10_000), harness.turn(10_100)].map(|acts| called(&acts).0);
+    let new = [harness.turn(10_000), harness.turn(10_100)].map(|link_actions| called(&link_actions).0);
     new.iter().for_each(|link| harness.receive(10_120, *link, everybody()));
     harness.turn(10_150);
     harness.receive(10_900, old[0], vec![]);
--- a/crates/craneknot-node/tests/order_queue.rs
+++ b/crates/craneknot-node/tests/order_queue.rs
@@ -124,7 +124,7 @@
 /// hundreds that left at once, the orders of the others were delayed by seconds.
 #[test]
 fn orders_for_unknown_proxies_do_not_delay_the_others() {
-    /// of 50 ms each: a fifth of the time in which a proxy must leave a lost server
+    /// Of 50 ms each: a fifth of the time in which a proxy must leave a lost server.
     const CALLS_MAX: usize = 12;
     let mut harness = Harness::new();
     harness.order_queue.enqueue((0..300).flat_map(|proxy| [bind(proxy, 4), bind(proxy, 5)]));
@@ -223,11 +223,11 @@
     harness.turn(0).unwrap();
     assert!(harness.answer(1, &taken(1)).is_ok());
     harness.order_queue.enqueue(orders(1));
-    let (kept, text) = harness.turn(9_000).unwrap();
+    let (reused, text) = harness.turn(9_000).unwrap();
     assert!(matches!(harness.link_actions[..], [Act::Send { .. }]));
     harness.order_queue.lost(ms(9_001));
     let (new, retried_text) = harness.turn(9_001).expect("at once, on a new connection");
-    assert!(new != kept && retried_text == text && matches!(harness.link_actions[..], [Act::Dial { .. }]));
+    assert!(new != reused && retried_text == text && matches!(harness.link_actions[..], [Act::Dial { .. }]));
     harness.order_queue.lost(ms(9_002));
     assert_eq!(harness.turn(9_002), None, "a new connection that ends is a failure, followed by a wait");
 }
--- a/crates/craneknot-node/tests/takeover_scenarios.rs
+++ b/crates/craneknot-node/tests/takeover_scenarios.rs
@@ -105,11 +105,11 @@
     /// Checks that none of these rules was violated.
     fn check(&self, seed: u64, rules: &[Break]) {
         let judge = &self.platform.judge;
-        let broken: Vec<_> =
+        let violations: Vec<_> =
             judge.broken.values().filter(|violation| rules.contains(&violation.kind)).collect();
-        let (count, first) = (broken.len(), broken.iter().take(4).collect::<Vec<_>>());
+        let (count, first) = (violations.len(), violations.iter().take(4).collect::<Vec<_>>());
         assert!(
-            broken.is_empty(),
+            violations.is_empty(),
             "seed {seed}: {count} violations, {first:?}; the longest: {:?}",
             judge.longest
         );
