--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -193,7 +193,7 @@
             .filter(|(other, client)| **other != id && client.role == Role::Collector(zone));
         let others: Vec<(Nanos, ClientId)> =
             others.map(|(other, client)| (client.last_input, *other)).collect();
-        let silent = others.iter().filter(|(_, other)| !pending.owes(*other)).min();
+        let silent = others.iter().filter(|(_, other)| !pending.has_pending(*other)).min();
         if let Some((_, silent)) = silent.filter(|_| others.len() >= MAX_COLLECTORS_PER_ZONE) {
             self.end_connection(*silent, "too many collectors for its zone".into(), actions);
         }
--- a/crates/craneknot-node/src/log_event.rs
+++ b/crates/craneknot-node/src/log_event.rs
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 use crate::clients::ClientId;
-use crate::coverage::{BareWarning, Lapse};
+use crate::coverage::{CoverageGap, NoLineWarning};
 use crate::takeover::Takeover;
 
 const MAX_LINES_PER_KIND: u32 = 40; // between two status lines: enough to see how a burst began
@@ -22,7 +22,7 @@
     Note(String),
     /// A proxy has had no usable line for longer than the settings allow.
     Lapse {
-        lapse: Lapse,
+        lapse: CoverageGap,
         class: String,
         calls_failed: u32,
         orders_waiting: usize,
@@ -30,7 +30,7 @@
     /// Proxies have had no usable line for half of the time that the settings allow, though servers are
     /// listed.
     NoLineWarning {
-        warning: BareWarning,
+        warning: NoLineWarning,
         class: String,
     },
     /// Many proxies joined at once some seconds ago.
@@ -153,7 +153,7 @@
             LogEvent::NoLineWarning { warning, class } => warn!(
                 class = sanitize_name(class), supply = ?warning.supply, proxies = warning.proxies,
                 proxy = warning.proxy.0, table = warning.table.map(|table| table.0), ready = warning.ready,
-                cold = warning.cold, shut_out = warning.shut_out, "{kind}"
+                cold = warning.cold, shut_out = warning.ejected, "{kind}"
             ),
             LogEvent::Takeover(takeover) => write_takeover(takeover, kind),
             LogEvent::ProxyJoined { proxy, zone } => info!(proxy = proxy.0, zone = zone.0, "{kind}"),
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -1,7 +1,8 @@
-//! Orders on their way to the relay: one call at a time, in order, made again until it is known to be carried out.
+//! The queue of orders for the relay. One call is in flight at a time; orders are sent in sequence, and a
+//! call is repeated until it is known to have been carried out.
 //!
-//! A call that is broken off, or whose answer can't be read, was carried out or was not. All orders set what they
-//! name, so that carrying one out twice leaves the same; the call is made again from its first order.
+//! A call whose connection broke, or whose answer can't be read, may or may not have been carried out. Orders
+//! are idempotent, so the call is repeated from its first order.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -13,252 +14,269 @@
 
 use crate::link::{backoff, LinkAction, LinkId, LinkIds, PeerConnection};
 
-const ANSWER_MOST: Nanos = Nanos::from_millis(200); // ms; it comes within 50 or never, and we may be held up
-const DIAL_MOST: Nanos = Nanos::from_millis(300); // ms; to be connected and answered on a new connection
-const BACKOFF: Nanos = Nanos::from_millis(20); // ms; first wait before a call is made again, doubled each time
-const BACKOFF_MOST: Nanos = Nanos::from_millis(320); // ms; the longest: proxies wait for their lines
-const THROTTLED: Nanos = Nanos::from_millis(100); // ms; it said that it is busy
-const SECOND_LOOK: Nanos = Nanos::from_millis(700); // ms; news that a proxy has left comes within, mostly
-const SUSPECT_FROM: u32 = 2; // refusals in a row, each of another proxy: one or two leave in the usual coming and going
-const SUSPECT_DOUBLINGS: u32 = 12; // more proxies than there are
-const FOLD_FROM: usize = 4_096; // orders in line, some two calls: a relay that is there takes them before
-const ORDER_COST: usize = 8; // bytes that one order's signs grow by when escaped, at most, and its end
-
-/// An order as the relay reads it, and the proxy without which it is of no use.
+// the relay answers within 50 ms or never; the rest allows for delays on our side
+const ANSWER_TIMEOUT: Nanos = Nanos::from_millis(200);
+const DIAL_TIMEOUT: Nanos = Nanos::from_millis(300); // to connect and receive the answer
+/// Wait before the first retry, doubled with each further one.
+const BACKOFF_FIRST: Nanos = Nanos::from_millis(20);
+const BACKOFF_MAX: Nanos = Nanos::from_millis(320); // longest wait: proxies are waiting for their lines
+const THROTTLED_WAIT: Nanos = Nanos::from_millis(100); // after the relay has answered that it is throttling
+/// Most events for a proxy that has left arrive within this time.
+const REFUSED_RETRY_DELAY: Nanos = Nanos::from_millis(700);
+// in a row, each for another proxy: one or two leave in normal operation
+const SUSPECT_AFTER_REFUSALS: u32 = 2;
+const SUSPECT_DOUBLINGS_MAX: u32 = 12; // 2 << 12 is more than the number of proxies
+/// About two calls: a relay in reach takes orders before they reach this number.
+const COMPACT_MIN_ORDERS: usize = 4_096;
+// at most: the growth of an order's special characters when escaped, and its separator
+const ORDER_OVERHEAD_BYTES: usize = 8;
+
+/// An order in the relay's encoding, and the proxy that it depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EncodedOrder {
     pub order: Order,
     pub text: String,
     pub proxy: Option<ProxyId>,
-    /// What it sets: a later order of the same subject leaves nothing of it.
+    /// What the order sets: a later order with the same subject overwrites it.
     pub subject: Option<String>,
 }
 
-/// What became of an order. Each that was offered has one outcome, unless the process ends before.
+/// The outcome of an order. Each enqueued order has exactly one, unless the process ends first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum OrderOutcome {
     /// The relay has carried it out.
     Taken,
-    /// The relay can't use it, looked at twice.
+    /// The relay has refused it twice.
     Refused,
-    /// A later order of the same subject took its place.
+    /// A later order with the same subject replaced it.
     Superseded,
     /// Its proxy has left.
-    Void,
+    Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    /// Nothing is in flight; a call may be made from then on.
-    Resting { from: Nanos },
-    /// The first `orders` of the queue have been sent; `kept`: on a connection that served before.
-    Asked { until: Nanos, orders: usize, kept: bool },
+enum CallState {
+    /// No call is in flight; the next one may be made from `call_from`.
+    Idle { call_from: Nanos },
+    /// The first `orders` of the queue have been sent. `reused`: on a connection that had carried a call
+    /// before.
+    InFlight { deadline: Nanos, orders: usize, reused: bool },
 }
 
-/// An order in line.
+/// An order in the queue.
 struct Queued {
     order: EncodedOrder,
-    /// Its place among all that were ever offered.
+    /// Its sequence number among all enqueued orders.
     number: u64,
-    /// Its proxy left while it was in flight: it is not sent again.
-    void: bool,
-    /// The relay could not use it once.
-    second: bool,
-    /// Its proxy may have left, as many before it had: it goes out behind all others.
-    suspect: bool,
+    /// Its proxy left while the order was in flight: it is not sent again.
+    is_cancelled: bool,
+    /// The relay has refused it once.
+    was_refused: bool,
+    /// Its proxy may have left, because many before it had: the order is sent after all others.
+    is_suspect: bool,
 }
 
-/// The orders of a proxy that the relay does not know: it may have left, news of which is on its way, or the
-/// relay's count was malformed. They wait, in order, and hold up nobody else's.
-struct Held {
-    until: Nanos,
+/// The orders for a proxy that the relay does not know: the proxy may have left and the event for that is
+/// delayed, or the relay's count was malformed. They wait in sequence and don't delay the orders of others.
+struct Deferred {
+    retry_at: Nanos,
     orders: VecDeque<Queued>,
 }
 
+/// The queue, and the state of the call in flight.
 pub struct OrderQueue {
     relay: PeerConnection,
     queue: VecDeque<Queued>,
-    held: BTreeMap<ProxyId, Held>,
-    /// Proxies whose orders go out behind all others.
+    deferred: BTreeMap<ProxyId, Deferred>,
+    /// Proxies whose orders are sent after all others.
     suspects: BTreeSet<ProxyId>,
-    /// Calls in a row that ended with an order for a proxy that the relay does not know.
-    refused_in_row: u32,
-    /// The queue's length at which it is folded next.
-    fold_at: usize,
-    state: State,
-    /// Calls in a row that came to nothing.
+    /// Consecutive calls that ended with an order for a proxy that the relay does not know.
+    refusals_in_row: u32,
+    /// The length at which the queue is compacted next.
+    compact_at: usize,
+    state: CallState,
+    /// Consecutive failed calls.
     failures: u32,
-    /// The last answer said that the relay takes no calls for now.
+    /// The last answer said that the relay accepts no calls for now.
     is_throttled: bool,
-    /// Orders given up on, since the relay can't use them; calls made again.
+    /// `rejected`: orders dropped because the relay refused them twice. `retried`: repeated calls.
     pub rejected: u64,
     pub retried: u64,
-    /// Orders offered, ever.
-    offered: u64,
-    acknowledged: Acknowledged,
+    /// Number of orders enqueued since the start.
+    enqueued: u64,
+    last_acknowledged: LastAcknowledged,
     overtaken: u64,
-    /// What has become of orders since that was last asked for.
-    settled: Vec<(Order, Outcome)>,
+    /// The outcomes since the last call of `take_outcomes`.
+    outcomes: Vec<(Order, OrderOutcome)>,
 }
 
-/// The last order known to be taken, by proxy (nothing: of those for all).
+/// The sequence number of the last acknowledged order for each proxy; `None` stands for orders that concern
+/// all proxies.
 #[derive(Debug, Default)]
-pub struct Acknowledged(BTreeMap<Option<ProxyId>, u64>);
+pub struct LastAcknowledged(BTreeMap<Option<ProxyId>, u64>);
 
-impl Acknowledged {
-    /// An order was taken; `number` is its place among all that were offered. False: a later one had been taken before.
-    pub fn take(&mut self, proxy: Option<ProxyId>, number: u64) -> bool {
+impl LastAcknowledged {
+    /// Records that the order with this sequence number was acknowledged. Returns false if a later one had
+    /// been acknowledged before.
+    pub fn record(&mut self, proxy: Option<ProxyId>, number: u64) -> bool {
         let last = self.0.entry(proxy).or_default();
-        let in_turn = number >= *last;
+        let in_order = number >= *last;
         *last = number;
-        in_turn
+        in_order
     }
 
-    /// A proxy has left: when it comes again, its orders begin anew.
+    /// Forgets a proxy that has left: if it joins again, its sequence starts again.
     pub fn forget(&mut self, proxy: ProxyId) {
         self.0.remove(&Some(proxy));
     }
 }
 
 impl OrderQueue {
+    /// An empty queue for the relay at this address.
     pub fn new(address: SocketAddr, now: Nanos) -> Self {
         OrderQueue {
             relay: PeerConnection::new(address),
             queue: VecDeque::new(),
-            held: BTreeMap::new(),
+            deferred: BTreeMap::new(),
             suspects: BTreeSet::new(),
-            refused_in_row: 0,
-            fold_at: FOLD_FROM,
-            state: State::Resting { from: now },
+            refusals_in_row: 0,
+            compact_at: COMPACT_MIN_ORDERS,
+            state: CallState::Idle { call_from: now },
             failures: 0,
             is_throttled: false,
             rejected: 0,
             retried: 0,
-            offered: 0,
-            acknowledged: Acknowledged::default(),
+            enqueued: 0,
+            last_acknowledged: LastAcknowledged::default(),
             overtaken: 0,
-            settled: Vec::new(),
+            outcomes: Vec::new(),
         }
     }
 
-    pub fn offer(&mut self, orders: impl IntoIterator<Item = EncodedOrder>) {
+    /// Adds orders, which are sent in this sequence.
+    pub fn enqueue(&mut self, orders: impl IntoIterator<Item = EncodedOrder>) {
         for order in orders {
-            self.offered += 1;
-            let held = order.proxy.and_then(|proxy| self.held.get_mut(&proxy));
-            let suspect = order.proxy.is_some_and(|proxy| self.suspects.contains(&proxy));
-            let queued = Queued { order, number: self.offered, void: false, second: false, suspect };
-            held.map_or(&mut self.queue, |held| &mut held.orders).push_back(queued);
+            self.enqueued += 1;
+            let deferred = order.proxy.and_then(|proxy| self.deferred.get_mut(&proxy));
+            let is_suspect = order.proxy.is_some_and(|proxy| self.suspects.contains(&proxy));
+            let queued =
+                Queued { order, number: self.enqueued, is_cancelled: false, was_refused: false, is_suspect };
+            deferred.map_or(&mut self.queue, |deferred| &mut deferred.orders).push_back(queued);
         }
-        if self.queue.len() >= self.fold_at {
-            self.fold();
+        if self.queue.len() >= self.compact_at {
+            self.compact();
         }
     }
 
     fn in_flight(&self) -> usize {
         match self.state {
-            State::Resting { .. } => 0,
-            State::Asked { orders, .. } => orders,
+            CallState::Idle { .. } => 0,
+            CallState::InFlight { orders, .. } => orders,
         }
     }
 
-    /// While the relay is out of reach orders pile up. What goes out later is what stands, not its history: of the
-    /// orders of one subject the last is kept, in its place, so that a line is set before the one it replaces goes.
-    fn fold(&mut self) {
+    /// Bounds the queue while the relay is out of reach. Of the orders with one subject only the last is
+    /// kept, at its position, so that a new line is still set before the line that it replaces is removed.
+    fn compact(&mut self) {
         let first = self.in_flight();
         let mut seen: HashSet<String> = HashSet::new();
         let later = self.queue.drain(first..).rev();
-        let (kept, superseded): (Vec<Queued>, Vec<Queued>) =
+        let (latest, superseded): (Vec<Queued>, Vec<Queued>) =
             later.partition(|queued| queued.order.subject.clone().is_none_or(|subject| seen.insert(subject)));
-        self.queue.extend(kept.into_iter().rev());
-        self.settle(superseded, Outcome::Superseded);
-        self.fold_at = FOLD_FROM.max(2 * self.queue.len());
+        self.queue.extend(latest.into_iter().rev());
+        self.record_outcome(superseded, OrderOutcome::Superseded);
+        self.compact_at = COMPACT_MIN_ORDERS.max(2 * self.queue.len());
     }
 
-    fn settle(&mut self, orders: impl IntoIterator<Item = Queued>, outcome: Outcome) {
-        self.settled.extend(orders.into_iter().map(|queued| (queued.order.order, outcome)));
+    fn record_outcome(&mut self, orders: impl IntoIterator<Item = Queued>, outcome: OrderOutcome) {
+        self.outcomes.extend(orders.into_iter().map(|queued| (queued.order.order, outcome)));
     }
 
-    /// What has become of orders since the last call.
-    pub fn take_settled(&mut self) -> Vec<(Order, Outcome)> {
-        std::mem::take(&mut self.settled)
+    /// The outcomes of orders since the last call.
+    pub fn take_outcomes(&mut self) -> Vec<(Order, OrderOutcome)> {
+        std::mem::take(&mut self.outcomes)
     }
 
-    /// Calls in a row that came to nothing.
+    /// Consecutive failed calls.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether the relay takes no calls for now, by its last answer.
+    /// Whether the relay's last answer said that it accepts no calls for now.
     pub fn is_throttled(&self) -> bool {
         self.is_throttled
     }
 
-    /// Orders not known to be taken.
+    /// Number of orders not known to have been carried out.
     pub fn waiting(&self) -> usize {
-        self.queue.len() + self.held.values().map(|held| held.orders.len()).sum::<usize>()
+        self.queue.len() + self.deferred.values().map(|deferred| deferred.orders.len()).sum::<usize>()
     }
 
+    /// Whether a link is the connection to the relay.
     pub fn has(&self, link: LinkId) -> bool {
         self.relay.has(link)
     }
 
-    /// A proxy has left: orders for it alone are of no use. Those in flight stand until their call has ended,
-    /// since its answer counts them.
-    pub fn left(&mut self, proxy: ProxyId) {
-        let held = self.held.remove(&proxy);
-        self.settle(held.into_iter().flat_map(|held| held.orders), Outcome::Void);
-        self.acknowledged.forget(proxy);
+    /// A proxy has left: orders that depend on it are dropped. Orders in flight stay until their call has
+    /// ended, because its answer counts them.
+    pub fn proxy_left(&mut self, proxy: ProxyId) {
+        let deferred = self.deferred.remove(&proxy);
+        self.record_outcome(
+            deferred.into_iter().flat_map(|deferred| deferred.orders),
+            OrderOutcome::Cancelled,
+        );
+        self.last_acknowledged.forget(proxy);
         self.suspects.remove(&proxy);
         let sent = self.in_flight();
         for queued in self.queue.iter_mut().filter(|queued| queued.order.proxy == Some(proxy)) {
-            queued.void = true;
+            queued.is_cancelled = true;
         }
-        self.drop_void(sent);
+        self.drop_cancelled(sent);
     }
 
-    /// Takes out what is of no use any more, but for the first `sent` orders.
-    fn drop_void(&mut self, sent: usize) {
-        let (void, kept): (Vec<Queued>, Vec<Queued>) =
-            self.queue.drain(sent..).partition(|queued| queued.void);
-        self.queue.extend(kept);
-        self.settle(void, Outcome::Void);
+    /// Removes cancelled orders after the first `sent` ones.
+    fn drop_cancelled(&mut self, sent: usize) {
+        let (cancelled, remaining): (Vec<Queued>, Vec<Queued>) =
+            self.queue.drain(sent..).partition(|queued| queued.is_cancelled);
+        self.queue.extend(remaining);
+        self.record_outcome(cancelled, OrderOutcome::Cancelled);
     }
 
-    /// The call in flight has ended.
-    fn rest(&mut self, from: Nanos) {
-        self.state = State::Resting { from };
-        self.drop_void(0);
+    /// Ends the call in flight; the next one may be made from `call_from`.
+    fn end_call(&mut self, call_from: Nanos) {
+        self.state = CallState::Idle { call_from };
+        self.drop_cancelled(0);
     }
 
-    /// The relay is elsewhere from now on.
-    pub fn move_to(&mut self, now: Nanos, address: SocketAddr, acts: &mut Vec<LinkAction>) {
-        if self.relay.move_to(address, acts) {
-            self.rest(now);
+    /// The relay has a new address.
+    pub fn move_to(&mut self, now: Nanos, address: SocketAddr, link_actions: &mut Vec<LinkAction>) {
+        if self.relay.move_to(address, link_actions) {
+            self.end_call(now);
         }
     }
 
-    /// Makes the next call where one is due, and gives up on one that has waited too long.
-    pub fn turn(&mut self, now: Nanos, links: &mut LinkIds, acts: &mut Vec<LinkAction>) {
-        if let State::Asked { until, .. } = self.state {
-            if now < until {
+    /// Makes the next call when it is due, and times out a call in flight.
+    pub fn turn(&mut self, now: Nanos, links: &mut LinkIds, link_actions: &mut Vec<LinkAction>) {
+        if let CallState::InFlight { deadline, .. } = self.state {
+            if now < deadline {
                 return;
             }
-            self.relay.close(acts);
+            self.relay.close(link_actions);
             self.fail(now);
         }
-        let State::Resting { from } = self.state else { return };
-        for (proxy, mut held) in self.held.extract_if(.., |_, held| held.until <= now) {
+        let CallState::Idle { call_from } = self.state else { return };
+        for (proxy, mut deferred) in self.deferred.extract_if(.., |_, deferred| deferred.retry_at <= now) {
             let is_suspect = self.suspects.contains(&proxy);
-            held.orders.iter_mut().for_each(|queued| queued.suspect = is_suspect);
-            self.queue.extend(held.orders);
+            deferred.orders.iter_mut().for_each(|queued| queued.is_suspect = is_suspect);
+            self.queue.extend(deferred.orders);
         }
-        if from > now || self.queue.is_empty() {
+        if call_from > now || self.queue.is_empty() {
             return;
         }
         self.move_suspects_back();
         let (mut orders, mut bytes) = (0, 0);
         for queued in &self.queue {
-            bytes += queued.order.text.len() + ORDER_COST;
+            bytes += queued.order.text.len() + ORDER_OVERHEAD_BYTES;
             if bytes > relay::MAX_CALL_BYTES && orders > 0 {
                 break;
             }
@@ -266,49 +284,51 @@
         }
         let texts: Vec<&str> =
             self.queue.iter().take(orders).map(|queued| queued.order.text.as_str()).collect();
-        let (host, form) = (self.relay.host(), relay::call_body(&texts));
+        let (host, body) = (self.relay.host(), relay::call_body(&texts));
         let headers = [(header::CONTENT_TYPE, relay::CONTENT_TYPE)];
-        let request = request(&Method::POST, relay::PATH, &host, &headers, form.as_bytes());
-        let kept = !self.relay.call(request, links, acts);
-        let until = now + if kept { ANSWER_MOST } else { DIAL_MOST };
-        self.state = State::Asked { until, orders, kept };
+        let request = request(&Method::POST, relay::PATH, &host, &headers, body.as_bytes());
+        let reused = !self.relay.call(request, links, link_actions);
+        let deadline = now + if reused { ANSWER_TIMEOUT } else { DIAL_TIMEOUT };
+        self.state = CallState::InFlight { deadline, orders, reused };
     }
 
     fn fail(&mut self, now: Nanos) {
-        let wait = backoff(self.failures, BACKOFF, BACKOFF_MOST);
+        let wait = backoff(self.failures, BACKOFF_FIRST, BACKOFF_MAX);
         self.failures += 1;
         self.retried += 1;
-        self.rest(now + wait);
+        self.end_call(now + wait);
     }
 
     /// The connection has ended.
     pub fn lost(&mut self, now: Nanos) {
         self.relay.lost();
         match self.state {
-            State::Resting { .. } => {}
-            // A kept connection may have been closed as the call went out, which says nothing of the relay.
-            State::Asked { kept: true, .. } => {
+            CallState::Idle { .. } => {}
+            // The relay may have closed the idle connection just as the call was sent, which is no failure of
+            // the relay.
+            CallState::InFlight { reused: true, .. } => {
                 self.retried += 1;
-                self.rest(now);
+                self.end_call(now);
             }
-            State::Asked { kept: false, .. } => self.fail(now),
+            CallState::InFlight { reused: false, .. } => self.fail(now),
         }
     }
 
-    /// An answer has come; `keeps`: the connection may be used again. What is wrong, if anything is.
+    /// An answer was received. `keep_alive`: the connection may be reused. Returns an error that describes
+    /// what is wrong with the answer or with a refused order.
     pub fn answered(
         &mut self,
         now: Nanos,
         body: &[u8],
-        keeps: bool,
-        acts: &mut Vec<LinkAction>,
+        keep_alive: bool,
+        link_actions: &mut Vec<LinkAction>,
     ) -> Result<(), String> {
-        if !keeps {
-            self.relay.close(acts);
+        if !keep_alive {
+            self.relay.close(link_actions);
         }
-        let State::Asked { orders, .. } = self.state else {
-            self.relay.close(acts);
-            return Err("the relay answered what was not asked".into());
+        let CallState::InFlight { orders, .. } = self.state else {
+            self.relay.close(link_actions);
+            return Err("the relay sent an answer without a request".into());
         };
         let answer = relay::parse_answer(body, orders);
         self.is_throttled = matches!(answer, Ok(Answer::Rejected(Rejection::Throttled)));
@@ -316,15 +336,15 @@
             Ok(Answer::Accepted(taken)) => {
                 self.failures = 0;
                 self.acknowledge(taken);
-                self.refused_in_row = if taken < orders { self.refused_in_row } else { 0 };
-                // The relay can't use the next one, unless it is void by now.
-                let refused = taken < orders && self.queue.front().is_some_and(|next| !next.void);
-                let given_up = if refused { self.refused(now) } else { None };
-                self.rest(now);
-                given_up.map_or(Ok(()), |order| Err(format!("the relay can't use {}", order.text)))
+                self.refusals_in_row = if taken < orders { self.refusals_in_row } else { 0 };
+                // The relay refuses the next order, unless that was cancelled in the meantime.
+                let is_refused = taken < orders && self.queue.front().is_some_and(|next| !next.is_cancelled);
+                let given_up = if is_refused { self.order_refused(now) } else { None };
+                self.end_call(now);
+                given_up.map_or(Ok(()), |order| Err(format!("the relay rejected {} twice", order.text)))
             }
             Ok(Answer::Rejected(Rejection::Throttled)) => {
-                self.rest(now + THROTTLED);
+                self.end_call(now + THROTTLED_WAIT);
                 Ok(())
             }
             Ok(Answer::Rejected(Rejection::Transient)) => {
@@ -333,114 +353,117 @@
             }
             Ok(Answer::Rejected(Rejection::Invalid)) => {
                 self.fail(now);
-                Err("the relay calls a call invalid".into())
+                Err("the relay rejected a call as invalid".into())
             }
             Err(cause) => {
-                self.relay.close(acts);
+                self.relay.close(link_actions);
                 self.fail(now);
                 Err(cause)
             }
         }
     }
 
-    /// The first orders of the queue were taken. That none of a proxy's, or of those for all, overtook another is
-    /// checked here, where it is known what the relay did.
+    /// The relay has taken the first `count` orders of the queue. Here, where the relay's actions are known,
+    /// it is checked that no order of one proxy, or of those that concern all, overtook another.
     fn acknowledge(&mut self, count: usize) {
         let taken: Vec<Queued> = self.queue.drain(..count).collect();
         for queued in taken {
             if queued.order.proxy.is_some_and(|proxy| self.suspects.remove(&proxy)) {
-                self.trust(queued.order.proxy);
+                self.clear_suspicion(queued.order.proxy);
             }
-            let in_turn = self.acknowledged.take(queued.order.proxy, queued.number);
-            self.overtaken += u64::from(!in_turn);
-            // It may have been carried out for the proxy's stream before.
-            let outcome = if queued.void { Outcome::Void } else { Outcome::Taken };
-            self.settle([queued], outcome);
+            let in_order = self.last_acknowledged.record(queued.order.proxy, queued.number);
+            self.overtaken += u64::from(!in_order);
+            // It may have been carried out for the proxy's previous stream.
+            let outcome = if queued.is_cancelled { OrderOutcome::Cancelled } else { OrderOutcome::Taken };
+            self.record_outcome([queued], outcome);
         }
     }
 
-    /// Orders taken out of the order in which they were given, since the last call.
+    /// Number of orders taken out of sequence since the last call.
     pub fn take_overtaken(&mut self) -> u64 {
         std::mem::take(&mut self.overtaken)
     }
 
-    /// The first order of the queue was not taken. A count malformed on its way must not lose an order, so
-    /// that it is tried once more, then given up and returned. One for a proxy waits for that with all of that
-    /// proxy's: where hundreds leave at once, the others' orders must not wait for each of them.
-    fn refused(&mut self, now: Nanos) -> Option<EncodedOrder> {
+    /// The first order of the queue was not taken. It is sent once more, because the count may have been
+    /// malformed in transit and an order must not be lost; after a second refusal it is dropped and returned.
+    /// All orders of its proxy wait for the second attempt: when hundreds of proxies leave at once, the
+    /// orders of the others must not be delayed by each of them.
+    fn order_refused(&mut self, now: Nanos) -> Option<EncodedOrder> {
         let first = self.queue.front_mut()?;
-        if first.second {
+        if first.was_refused {
             self.rejected += 1;
             let given_up = self.queue.pop_front()?;
             let order = given_up.order.clone();
-            self.settle([given_up], Outcome::Refused);
+            self.record_outcome([given_up], OrderOutcome::Refused);
             return Some(order);
         }
-        first.second = true;
+        first.was_refused = true;
         let proxy = first.order.proxy?;
-        let (own, others) = std::mem::take(&mut self.queue)
+        let (own_orders, others) = std::mem::take(&mut self.queue)
             .into_iter()
             .partition(|queued: &Queued| queued.order.proxy == Some(proxy));
         self.queue = others;
-        self.held.insert(proxy, Held { until: now + SECOND_LOOK, orders: own });
-        self.refused_in_row += 1;
-        // It stays behind the others until the relay takes an order for it.
-        if self.refused_in_row > SUSPECT_FROM {
+        self.deferred.insert(proxy, Deferred { retry_at: now + REFUSED_RETRY_DELAY, orders: own_orders });
+        self.refusals_in_row += 1;
+        // Its orders stay after all others until the relay takes one of them.
+        if self.refusals_in_row > SUSPECT_AFTER_REFUSALS {
             self.suspects.insert(proxy);
         }
-        self.suspect_more();
+        self.extend_suspects();
         None
     }
 
-    /// Where one proxy after the other has left, each would cost a call: more and more of those that follow are put
-    /// behind all others, twice as many with each refusal, so that these are held up by a few calls only.
-    fn suspect_more(&mut self) {
-        let Some(doublings) = self.refused_in_row.checked_sub(SUSPECT_FROM) else { return };
-        let most = 2usize << doublings.min(SUSPECT_DOUBLINGS);
-        let trusted = self.queue.iter().filter(|queued| !queued.suspect);
+    /// When many proxies leave in a row, each of them would cost a call. With each refusal twice as many of
+    /// the following proxies become suspects, whose orders are sent after all others, so that the others are
+    /// delayed by a few calls only.
+    fn extend_suspects(&mut self) {
+        let Some(doublings) = self.refusals_in_row.checked_sub(SUSPECT_AFTER_REFUSALS) else { return };
+        let suspects_max = 2usize << doublings.min(SUSPECT_DOUBLINGS_MAX);
+        let unsuspected = self.queue.iter().filter(|queued| !queued.is_suspect);
         let mut next = BTreeSet::new();
-        for proxy in trusted.filter_map(|queued| queued.order.proxy) {
-            if next.len() >= most {
+        for proxy in unsuspected.filter_map(|queued| queued.order.proxy) {
+            if next.len() >= suspects_max {
                 break;
             }
             next.insert(proxy);
         }
         for queued in &mut self.queue {
-            queued.suspect |= queued.order.proxy.is_some_and(|proxy| next.contains(&proxy));
+            queued.is_suspect |= queued.order.proxy.is_some_and(|proxy| next.contains(&proxy));
         }
         self.suspects.extend(next);
     }
 
-    /// The relay knows this proxy.
-    fn trust(&mut self, proxy: Option<ProxyId>) {
-        let own = self.queue.iter_mut().filter(|queued| queued.order.proxy == proxy);
-        own.for_each(|queued| queued.suspect = false);
+    /// The relay knows this proxy: its orders keep their position again.
+    fn clear_suspicion(&mut self, proxy: Option<ProxyId>) {
+        let own_orders = self.queue.iter_mut().filter(|queued| queued.order.proxy == proxy);
+        own_orders.for_each(|queued| queued.is_suspect = false);
     }
 
-    /// Puts suspects behind all others, in their order; nothing is in flight.
+    /// Moves the orders of suspects to the end of the queue, in sequence. No call is in flight.
     fn move_suspects_back(&mut self) {
         if self.suspects.is_empty() {
             return;
         }
         let (suspects, others): (VecDeque<Queued>, VecDeque<Queued>) =
-            std::mem::take(&mut self.queue).into_iter().partition(|queued| queued.suspect);
+            std::mem::take(&mut self.queue).into_iter().partition(|queued| queued.is_suspect);
         self.queue = others;
         self.queue.extend(suspects);
     }
 
-    /// Whether nothing waits or is in flight.
+    /// Whether no order is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.waiting() == 0
     }
 
+    /// When the next turn is due if no input arrives.
     pub fn next_at(&self) -> Option<Nanos> {
-        let held = self.held.values().map(|held| held.until);
+        let deferred = self.deferred.values().map(|deferred| deferred.retry_at);
         match self.state {
-            State::Resting { from } => {
-                let queued = (!self.queue.is_empty()).then_some(from);
-                queued.into_iter().chain(held.map(|until| until.max(from))).min()
+            CallState::Idle { call_from } => {
+                let queued = (!self.queue.is_empty()).then_some(call_from);
+                queued.into_iter().chain(deferred.map(|retry_at| retry_at.max(call_from))).min()
             }
-            State::Asked { until, .. } => Some(until),
+            CallState::InFlight { deadline, .. } => Some(deadline),
         }
     }
 }
--- a/crates/craneknot-node/src/presence.rs
+++ b/crates/craneknot-node/src/presence.rs
@@ -1,197 +1,202 @@
-//! Which proxies are joined, where several event streams tell of their joining and leaving, each with a delay of its own.
+//! Which proxies are joined, according to several event streams that report joins and leaves, each with its
+//! own delay.
 //!
-//! A proxy's joinings and leavings are counted: an odd count means joined. Each stream has an account of how far it has
-//! told a proxy's count, and whichever stream is ahead is believed at once. What another one tells later is known by
-//! its count, and not told twice.
+//! The joins and leaves of a proxy are counted together; an odd count means joined. For each stream it is
+//! known up to which count it has reported a proxy. The stream that is ahead is believed at once; what
+//! another stream reports later is recognised by its count and not passed on again.
 //!
-//! A stream begins with who stands, not with how often they came. It is taken to tell the joining that was known when it
-//! was dialled, which is marked as assumed: if the stream that could have told of another ends too early, the proxy is
-//! told as joined anew, since a binding ends with a proxy's stream.
+//! A stream begins with a snapshot of the joined proxies, which does not tell how often they have joined. A
+//! join in it is assumed to be the one that was known when the stream was dialled. If the stream that could
+//! have reported another join ends too early, the proxy is reported as joined again, because its bindings end
+//! with its stream.
 
 use std::collections::BTreeMap;
 
 use craneknot::interface::{Nanos, ProxyId};
 use craneknot_platform::events::RelayEvent;
 
-/// How often a proxy has come and gone.
-type Count = u64;
+/// The number of joins and leaves of a proxy.
+type ChangeCount = u64;
 
-fn is_joined(count: Count) -> bool {
+fn is_joined(count: ChangeCount) -> bool {
     count % 2 == 1
 }
 
-/// What a stream has told of a proxy.
+/// What a stream has reported of a proxy.
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    count: Count,
-    /// How it joined last.
-    joining: Option<RelayEvent>,
-    /// When it was named as joined, and taken for a joining that another stream had told.
+    count: ChangeCount,
+    /// Its last join.
+    join_event: Option<RelayEvent>,
+    /// When the stream reported a join that was assumed to be one that another stream had reported.
     assumed_at: Option<Nanos>,
-    /// It was named by the stream's beginning, which tells no count.
-    is_counted: bool,
-    /// The stream that told more of it has ended: what this one tells next is news, or late.
-    is_doubted: bool,
-    /// When it last told a joining or leaving that was taken for one told before.
+    /// False for a proxy known from the snapshot at the stream's beginning only, which carries no count.
+    is_count_known: bool,
+    /// A stream that had reported more of the proxy has ended: the next report of this one is new, or late.
+    is_uncertain: bool,
+    /// When the stream last reported a join or leave that was taken for a repetition.
     repeated_at: Option<Nanos>,
 }
 
-/// What one stream has told.
+/// What one stream has reported.
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct StreamView {
     /// The counts that were known when the stream was dialled.
-    at_dial: BTreeMap<ProxyId, Count>,
+    counts_at_dial: BTreeMap<ProxyId, ChangeCount>,
     entries: BTreeMap<ProxyId, Entry>,
-    /// It has told who stands: who is not named has left.
-    is_settled: bool,
-    /// Since when there are joinings that are assumed to be those that others told.
+    /// The snapshot has been received: proxies not named in it have left.
+    is_snapshot_complete: bool,
+    /// The time of the oldest join that is assumed to be one that another stream reported.
     assumed_since: Option<Nanos>,
 }
 
-impl Account {
-    /// Whether something in it is in doubt.
-    pub fn is_doubted(&self) -> bool {
-        self.entries.values().any(|entry| entry.is_doubted)
+impl StreamView {
+    /// Whether the report on any proxy is uncertain.
+    pub fn is_uncertain(&self) -> bool {
+        self.entries.values().any(|entry| entry.is_uncertain)
     }
 
-    /// Whether it has told who stands.
-    pub fn is_settled(&self) -> bool {
-        self.is_settled
+    /// Whether the snapshot has been received.
+    pub fn is_snapshot_complete(&self) -> bool {
+        self.is_snapshot_complete
     }
 
-    /// Since when there are joinings that are assumed to be those that others told.
+    /// The time of the oldest join that is assumed to be one that another stream reported.
     pub fn assumed_since(&self) -> Option<Nanos> {
         self.assumed_since
     }
 
-    /// Another stream has told all that happened up to a moment: where its count is higher, a proxy came and went before
-    /// this stream began.
-    pub fn confirm(&mut self, until: Nanos, other: &Account) {
+    /// Another stream has reported everything up to a time: where its count is higher, a proxy left and
+    /// joined again before this stream began.
+    pub fn confirm(&mut self, complete_until: Nanos, other: &StreamView) {
         for (proxy, entry) in &mut self.entries {
-            if entry.assumed_at.take_if(|at| *at <= until).is_none() {
+            if entry.assumed_at.take_if(|at| *at <= complete_until).is_none() {
                 continue;
             }
-            if !std::mem::replace(&mut entry.is_counted, true) {
-                let told = other.count(*proxy);
-                let is_same = is_joined(told) == is_joined(entry.count);
-                entry.count = entry.count.max(if is_same { told } else { told.saturating_sub(1) });
+            if !std::mem::replace(&mut entry.is_count_known, true) {
+                let other_count = other.count(*proxy);
+                let agrees = is_joined(other_count) == is_joined(entry.count);
+                entry.count =
+                    entry.count.max(if agrees { other_count } else { other_count.saturating_sub(1) });
             }
         }
         self.assumed_since = self.entries.values().filter_map(|entry| entry.assumed_at).min();
     }
 
-    fn count(&self, proxy: ProxyId) -> Count {
+    fn count(&self, proxy: ProxyId) -> ChangeCount {
         self.entries.get(&proxy).map_or(0, |entry| entry.count)
     }
 
-    fn count_at_dial(&self, proxy: ProxyId) -> Count {
-        self.at_dial.get(&proxy).copied().unwrap_or(0)
+    fn count_at_dial(&self, proxy: ProxyId) -> ChangeCount {
+        self.counts_at_dial.get(&proxy).copied().unwrap_or(0)
     }
 }
 
-/// The proxies that are told as joined.
+/// The proxies reported as joined.
 #[derive(Debug, Default)]
 pub struct Presence {
-    counts: BTreeMap<ProxyId, Count>,
+    counts: BTreeMap<ProxyId, ChangeCount>,
 }
 
 impl Presence {
-    /// Whether a proxy is told as joined.
+    /// Whether a proxy is reported as joined.
     pub fn is_joined(&self, proxy: ProxyId) -> bool {
         is_joined(self.count(proxy))
     }
 
-    /// Proxies told as joined.
-    pub fn joined(&self) -> usize {
+    /// Number of proxies reported as joined.
+    pub fn joined_count(&self) -> usize {
         self.counts.values().filter(|count| is_joined(**count)).count()
     }
 
-    fn count(&self, proxy: ProxyId) -> Count {
+    fn count(&self, proxy: ProxyId) -> ChangeCount {
         self.counts.get(&proxy).copied().unwrap_or(0)
     }
 
-    /// The account of a stream that is dialled now.
-    pub fn open_account(&self) -> Account {
-        Account {
-            at_dial: self.counts.clone(),
+    /// The initial view of a stream that is dialled now.
+    pub fn new_view(&self) -> StreamView {
+        StreamView {
+            counts_at_dial: self.counts.clone(),
             entries: BTreeMap::new(),
-            is_settled: false,
+            is_snapshot_complete: false,
             assumed_since: None,
         }
     }
 
-    /// Whether a stream has told all that is known of a proxy, so that it would tell of its leaving.
-    pub fn is_followed(&self, account: &Account, proxy: ProxyId) -> bool {
-        account.count(proxy) == self.count(proxy)
+    /// Whether a stream has reported all that is known of a proxy, so that it would report its leaving.
+    pub fn is_tracked(&self, view: &StreamView, proxy: ProxyId) -> bool {
+        view.count(proxy) == self.count(proxy)
     }
 
-    /// A stream tells that a proxy has joined; `is_followed`: another stream would tell if it had left before.
-    pub fn take_joined(
+    /// A stream reports that a proxy has joined. `is_tracked`: another stream would have reported an earlier
+    /// leave.
+    pub fn apply_joined(
         &mut self,
         now: Nanos,
-        account: &mut Account,
-        joining: &RelayEvent,
-        is_followed: bool,
+        view: &mut StreamView,
+        join_event: &RelayEvent,
+        is_tracked: bool,
         out: &mut Vec<RelayEvent>,
     ) {
-        let proxy = joining.proxy();
-        let is_first = !account.is_settled && !account.entries.contains_key(&proxy);
-        let at_dial = account.count_at_dial(proxy);
-        let entry = account.entries.entry(proxy).or_default();
-        entry.joining = Some(joining.clone());
-        entry.is_counted |= !is_first;
-        // Who joins while it counts as joined has left in between.
-        entry.count = if is_first { next_joined(at_dial) } else { next_joined(entry.count + 1) };
-        entry.is_doubted |= is_first;
-        if !self.follow(proxy, entry, is_followed, out) {
+        let proxy = join_event.proxy();
+        let is_first = !view.is_snapshot_complete && !view.entries.contains_key(&proxy);
+        let count_at_dial = view.count_at_dial(proxy);
+        let entry = view.entries.entry(proxy).or_default();
+        entry.join_event = Some(join_event.clone());
+        entry.is_count_known |= !is_first;
+        // A proxy that joins while it counts as joined must have left in between.
+        entry.count =
+            if is_first { next_joined_count(count_at_dial) } else { next_joined_count(entry.count + 1) };
+        entry.is_uncertain |= is_first;
+        if !self.merge(proxy, entry, is_tracked, out) {
             entry.assumed_at = Some(now);
             entry.repeated_at = (!is_first).then_some(now);
-            account.assumed_since.get_or_insert(now);
+            view.assumed_since.get_or_insert(now);
         }
     }
 
-    /// A stream tells that a proxy has left; `is_followed`: as above.
-    pub fn take_left(
+    /// A stream reports that a proxy has left. `is_tracked`: as for `apply_joined`.
+    pub fn apply_left(
         &mut self,
         now: Nanos,
-        account: &mut Account,
+        view: &mut StreamView,
         proxy: ProxyId,
-        is_followed: bool,
+        is_tracked: bool,
         out: &mut Vec<RelayEvent>,
     ) {
-        let Some(entry) = account.entries.get_mut(&proxy).filter(|entry| is_joined(entry.count)) else {
+        let Some(entry) = view.entries.get_mut(&proxy).filter(|entry| is_joined(entry.count)) else {
             return;
         };
         entry.count += 1;
-        if !self.follow(proxy, entry, is_followed, out) {
+        if !self.merge(proxy, entry, is_tracked, out) {
             entry.repeated_at = Some(now);
         }
         entry.assumed_at = None;
     }
 
-    /// Tells what a stream has told; false: it is known.
-    fn follow(
+    /// Passes on what a stream has reported. Returns false if it was known.
+    fn merge(
         &mut self,
         proxy: ProxyId,
         entry: &mut Entry,
-        is_followed: bool,
+        is_tracked: bool,
         out: &mut Vec<RelayEvent>,
     ) -> bool {
-        let told = out.len();
-        if std::mem::take(&mut entry.is_doubted) && !is_followed {
-            self.believe(proxy, entry, out);
+        let length_before = out.len();
+        if std::mem::take(&mut entry.is_uncertain) && !is_tracked {
+            self.adopt(proxy, entry, out);
         } else {
-            self.advance(proxy, entry.count, entry.joining.as_ref(), out);
+            self.advance_to(proxy, entry.count, entry.join_event.as_ref(), out);
         }
-        out.len() > told
+        out.len() > length_before
     }
 
-    /// Tells what is new, if the count goes beyond what is known.
-    fn advance(
+    /// Passes on what is new, if the count exceeds the known one.
+    fn advance_to(
         &mut self,
         proxy: ProxyId,
-        count: Count,
-        joining: Option<&RelayEvent>,
+        count: ChangeCount,
+        join_event: Option<&RelayEvent>,
         out: &mut Vec<RelayEvent>,
     ) {
         let known = self.counts.entry(proxy).or_default();
@@ -203,91 +208,100 @@
         if was_joined {
             out.push(RelayEvent::Left { proxy });
         }
-        out.extend(joining.filter(|_| is_joined(count)).cloned());
+        out.extend(join_event.filter(|_| is_joined(count)).cloned());
     }
 
-    /// A stream has told who stands: those it has not named have left, unless one of the others follows them; its
-    /// beginning may come in pieces.
-    pub fn settle(&mut self, account: &mut Account, others: &[&Account], out: &mut Vec<RelayEvent>) {
-        account.is_settled = true;
+    /// A stream's snapshot is complete: proxies not named in it have left, unless another stream tracks them,
+    /// since the snapshot may arrive in pieces.
+    pub fn complete_snapshot(
+        &mut self,
+        view: &mut StreamView,
+        others: &[&StreamView],
+        out: &mut Vec<RelayEvent>,
+    ) {
+        view.is_snapshot_complete = true;
         let known: Vec<ProxyId> = self.counts.keys().copied().collect();
         for proxy in known {
-            if account.entries.contains_key(&proxy) {
+            if view.entries.contains_key(&proxy) {
                 continue;
             }
-            let at_dial = account.count_at_dial(proxy);
-            let count = at_dial + u64::from(is_joined(at_dial));
-            let is_doubted =
-                count > self.count(proxy) && others.iter().any(|other| self.is_followed(other, proxy));
-            account.entries.insert(proxy, Entry { count, is_counted: true, is_doubted, ..Entry::default() });
-            if !is_doubted {
-                self.advance(proxy, count, None, out);
+            let count_at_dial = view.count_at_dial(proxy);
+            let count = count_at_dial + u64::from(is_joined(count_at_dial));
+            let is_uncertain =
+                count > self.count(proxy) && others.iter().any(|other| self.is_tracked(other, proxy));
+            view.entries
+                .insert(proxy, Entry { count, is_count_known: true, is_uncertain, ..Entry::default() });
+            if !is_uncertain {
+                self.advance_to(proxy, count, None, out);
             }
         }
     }
 
-    /// No other stream can tell whether those that a stream has named came and went before: they are told as joined anew.
-    pub fn join_assumed_anew(&mut self, account: &mut Account, out: &mut Vec<RelayEvent>) {
-        account.assumed_since = None;
-        for (proxy, entry) in &mut account.entries {
+    /// No other stream can tell whether the proxies named by a stream left and joined again before: they are
+    /// reported as joined again.
+    pub fn rejoin_assumed(&mut self, view: &mut StreamView, out: &mut Vec<RelayEvent>) {
+        view.assumed_since = None;
+        for (proxy, entry) in &mut view.entries {
             if entry.assumed_at.take().is_some() {
-                self.believe(*proxy, entry, out);
+                self.adopt(*proxy, entry, out);
             }
         }
     }
 
-    /// Believes a stream that may have missed some of a proxy's comings and goings. What others told counts as told, so
-    /// that a stream that is late with it does not seem to be ahead.
-    fn believe(&mut self, proxy: ProxyId, entry: &mut Entry, out: &mut Vec<RelayEvent>) {
+    /// Accepts the state reported by a stream that may have missed some joins and leaves of a proxy. The
+    /// reports of other streams are counted in, so that a stream that reports them late does not seem to be
+    /// ahead.
+    fn adopt(&mut self, proxy: ProxyId, entry: &mut Entry, out: &mut Vec<RelayEvent>) {
         let known = self.count(proxy).max(entry.count);
-        let changes = is_joined(known) != is_joined(entry.count);
-        entry.count = known + u64::from(changes);
-        entry.is_counted = true;
+        let is_changed = is_joined(known) != is_joined(entry.count);
+        entry.count = known + u64::from(is_changed);
+        entry.is_count_known = true;
         if self.count(proxy) < entry.count {
-            self.advance(proxy, entry.count, entry.joining.as_ref(), out);
+            self.advance_to(proxy, entry.count, entry.join_event.as_ref(), out);
         } else if is_joined(entry.count) {
             out.push(RelayEvent::Left { proxy });
-            out.extend(entry.joining.clone());
+            out.extend(entry.join_event.clone());
         }
     }
 
-    /// A stream has ended: what none of those that remain has told yet is in doubt, and so is what one of them has told
-    /// since a moment and was taken for a repetition, which nobody can tell any more.
-    pub fn doubt(&self, remaining: &mut [&mut Account], since: Nanos) {
-        for account in remaining.iter_mut().filter(|account| account.is_settled) {
-            for (proxy, entry) in &mut account.entries {
+    /// A stream has ended. What it reported and no remaining stream has reported yet becomes uncertain. So
+    /// does what a remaining stream has reported since `since` and was taken for a repetition, because no
+    /// stream can confirm that any more.
+    pub fn mark_uncertain(&self, remaining: &mut [&mut StreamView], since: Nanos) {
+        for view in remaining.iter_mut().filter(|view| view.is_snapshot_complete) {
+            for (proxy, entry) in &mut view.entries {
                 let is_repeated = entry.repeated_at.take().is_some_and(|at| at >= since);
-                // A leaving that was left to the stream which followed the proxy.
+                // A leave that was not passed on because another stream tracked the proxy.
                 let is_ahead = entry.count > self.count(*proxy);
-                entry.is_doubted |= is_repeated || is_ahead;
+                entry.is_uncertain |= is_repeated || is_ahead;
             }
         }
         for (proxy, known) in &self.counts {
-            if remaining.iter().any(|account| account.count(*proxy) >= *known) {
+            if remaining.iter().any(|view| view.count(*proxy) >= *known) {
                 continue;
             }
-            for account in remaining.iter_mut().filter(|account| account.is_settled) {
-                account.entries.entry(*proxy).or_default().is_doubted = true;
+            for view in remaining.iter_mut().filter(|view| view.is_snapshot_complete) {
+                view.entries.entry(*proxy).or_default().is_uncertain = true;
             }
         }
     }
 
-    /// What is still in doubt, though a stream has had the time to tell it, is as that stream says.
-    pub fn end_doubt(
+    /// A stream has had time to report what is still uncertain: its state is accepted.
+    pub fn resolve_uncertain(
         &mut self,
-        account: &mut Account,
-        is_followed: impl Fn(&Self, ProxyId) -> bool,
+        view: &mut StreamView,
+        is_tracked: impl Fn(&Self, ProxyId) -> bool,
         out: &mut Vec<RelayEvent>,
     ) {
-        for (proxy, entry) in &mut account.entries {
-            if std::mem::take(&mut entry.is_doubted) && !is_followed(self, *proxy) {
-                self.believe(*proxy, entry, out);
+        for (proxy, entry) in &mut view.entries {
+            if std::mem::take(&mut entry.is_uncertain) && !is_tracked(self, *proxy) {
+                self.adopt(*proxy, entry, out);
             }
         }
     }
 }
 
-/// The first count from this one on that means joined.
-fn next_joined(count: Count) -> Count {
+/// The lowest count from this one on that means joined.
+fn next_joined_count(count: ChangeCount) -> ChangeCount {
     count + u64::from(!is_joined(count))
 }
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -21,7 +21,7 @@
 use tracing::{debug, error, info, warn};
 
 use crate::clients::{ClientAction, ClientId, Clients};
-use crate::coordinator::{Coordinator, Todo};
+use crate::coordinator::{Coordinator, ShellActions};
 use crate::descriptors::Descriptors;
 use crate::link::{LinkAction, LinkId};
 use crate::log_event::{sanitize, EventLog, LogEvent};
@@ -241,7 +241,7 @@
             self.finish();
             return Ok(false);
         }
-        self.reactor.set_accept_quota(self.listener, self.coordinator.accept_room());
+        self.reactor.set_accept_quota(self.listener, self.coordinator.accept_capacity());
         let is_draining = self.shutdown != Shutdown::NotRequested;
         self.coordinator.set_backlog(is_draining && self.reactor.is_listening(self.listener));
         self.reactor.poll(None)?;
@@ -276,7 +276,7 @@
                 if let Some(client) = self.clients.remove(&conn) {
                     self.client_conns.remove(&client);
                     debug!(client = client.0, ?cause, "client connection ended");
-                    self.coordinator.client_gone(client, CloseReason::ByPeer);
+                    self.coordinator.client_closed(client, CloseReason::ByPeer);
                 }
                 if matches!(cause, CloseCause::PeerClosed) {
                     self.end_response(conn);
@@ -308,7 +308,7 @@
         match self.shutdown {
             Shutdown::NotRequested => false,
             Shutdown::Draining => !self.reactor.is_listening(self.listener) && self.coordinator.is_finished(),
-            Shutdown::Expedited => self.coordinator.clients_settled(),
+            Shutdown::Expedited => self.coordinator.is_client_work_done(),
         }
     }
 
@@ -321,7 +321,7 @@
                 info!(signal, "shutting down");
                 self.shutdown = Shutdown::Draining;
                 self.coordinator.shut_down();
-                self.reactor.set_accept_quota(self.listener, self.coordinator.accept_room());
+                self.reactor.set_accept_quota(self.listener, self.coordinator.accept_capacity());
                 self.reactor.close_listener(self.listener);
                 self.reactor.set_timer(self.reactor.now() + SHUTDOWN_TIMEOUT, Timer::Shutdown);
             }
@@ -475,12 +475,12 @@
     /// Runs a turn of the coordinator and carries out the actions it returns.
     fn turn(&mut self) {
         let now = self.reactor.now();
-        let Todo { client_actions, acts, log } = self.coordinator.turn(now);
-        for event in &log {
+        let ShellActions { client_actions, link_actions, log_events } = self.coordinator.turn(now);
+        for event in &log_events {
             self.log.write(event);
         }
         client_actions.into_iter().for_each(|action| self.apply_client_action(action));
-        acts.into_iter().for_each(|action| self.apply_link_action(action));
+        link_actions.into_iter().for_each(|action| self.apply_link_action(action));
         // A timer that fires too early is harmless, whereas a new timer for each change would accumulate.
         if let Some(next) =
             self.coordinator.next_at(now).filter(|next| self.turn_at.is_none_or(|at| *next < at))
@@ -541,7 +541,7 @@
         let Some(conn) = self.client_conns.get(&id).copied() else { return };
         if self.reactor.read_pending(conn) {
             self.read(conn);
-        } else if !self.coordinator.owes(id) {
+        } else if !self.coordinator.has_pending(id) {
             self.reject(id, cause);
         } else if self.reactor.write_stalled_for(conn) >= STUCK_TIMEOUT {
             self.log.write(&LogEvent::ClientClosed { client: id, cause: UNREAD_ANSWERS.to_owned() });
@@ -552,7 +552,7 @@
 
     /// Removes a client and returns its connection, which the caller closes.
     fn remove_client(&mut self, id: ClientId, reason: CloseReason) -> Option<ConnId> {
-        self.coordinator.client_gone(id, reason);
+        self.coordinator.client_closed(id, reason);
         let conn = self.client_conns.remove(&id)?;
         self.clients.remove(&conn);
         Some(conn)
--- a/crates/craneknot-node/src/status.rs
+++ b/crates/craneknot-node/src/status.rs
@@ -4,7 +4,7 @@
 use craneknot::interface::Nanos;
 use tracing::{info, warn};
 
-use crate::coverage::{CoverageFigures, Worst};
+use crate::coverage::{CoverageFigures, LongestGap};
 use crate::log_event::{millis, sanitized_prefix};
 use crate::pending::Violations;
 
@@ -42,7 +42,7 @@
 /// The longest time without a line, with the name of its class and the time since the start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedLapse {
-    pub longest: Worst,
+    pub longest: LongestGap,
     pub class: String,
     pub since_start: Nanos,
 }
@@ -74,10 +74,10 @@
     );
     write_longest("status: longest uncovered", status.longest_uncovered.as_ref(), status.coverage.uncovered);
     if status.longest_without_line.is_empty() {
-        write_longest("status: longest no line", None, status.coverage.bare);
+        write_longest("status: longest no line", None, status.coverage.without_line);
     }
     for longest in &status.longest_without_line {
-        write_longest("status: longest no line", Some(longest), status.coverage.bare);
+        write_longest("status: longest no line", Some(longest), status.coverage.without_line);
     }
     info!(
         orders = status.orders,
@@ -108,9 +108,10 @@
 
 /// Writes the last lines of a process: the longest time that a proxy had no line, and the work left undone.
 pub fn write_end(status: &Status, violations: Violations) {
-    let longest = status.longest_without_line.iter().max_by_key(|longest| longest.longest.lapse.lasted);
-    let lapse = longest.map(|longest| &longest.longest.lapse);
-    let (bare_longest_ms, bare_now) = (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.bare);
+    let longest = status.longest_without_line.iter().max_by_key(|longest| longest.longest.gap.lasted);
+    let lapse = longest.map(|longest| &longest.longest.gap);
+    let (bare_longest_ms, bare_now) =
+        (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.without_line);
     let supply = lapse.map(|lapse| format!("{:?}", lapse.supply));
     let class = longest.map(|longest| sanitized_prefix(&longest.class, MAX_CLASS_CHARS));
     let over_limit = status.coverage.over_limit;
@@ -129,7 +130,7 @@
 /// Writes the longest time since the start. It is repeated with each status, since readers keep only the
 /// beginning and the end of a log. `now`: the number of proxies and classes without a line now.
 fn write_longest(kind: &str, longest: Option<&NamedLapse>, now: usize) {
-    let lapse = longest.map(|longest| &longest.longest.lapse);
+    let lapse = longest.map(|longest| &longest.longest.gap);
     info!(
         now,
         longest_ms = lapse.map_or(0, |lapse| millis(lapse.lasted)),
--- a/crates/craneknot-node/src/takeover.rs
+++ b/crates/craneknot-node/src/takeover.rs
@@ -1,20 +1,21 @@
-//! What happened in the seconds after many proxies came at once, for the log: a coordinator that has just started, or
-//! gets the proxies of one that was lost, decides before it has heard anything of them.
+//! Summarises for the log the seconds after many proxies joined at once. A coordinator that has just started,
+//! or takes over the proxies of a lost one, decides before it has received any report on them.
 
 use std::collections::BTreeSet;
 
 use craneknot::interface::{Nanos, Order, ProxyId};
 
-const MANY: usize = 8; // proxies that join within a moment of each other: fewer is the usual coming and going
-const TOGETHER: Nanos = Nanos::from_millis(500); // ms; between two joinings that belong together
-const WATCHED: Nanos = Nanos::from_millis(10_000); // ms; by then all is bound, acknowledged and reported on
+const PROXIES_MIN: usize = 8; // proxies that join within a short time; fewer occur in normal operation
+const JOIN_INTERVAL_MAX: Nanos = Nanos::from_millis(500); // between two joins of the same takeover
+/// By then all proxies are bound and have acknowledged, and reports have arrived.
+const OBSERVATION_SPAN: Nanos = Nanos::from_millis(10_000);
 
-/// One takeover, told when it is over. Times are spans since the first proxy joined.
+/// One takeover, logged when it is over. Times are measured from the first join.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Takeover {
-    /// Proxies that joined.
+    /// Number of proxies that joined.
     pub proxies: usize,
-    /// Proxies joined here in all, at the end.
+    /// Number of proxies joined to this coordinator at the end.
     pub joined: usize,
     /// Until the first and the last of them was bound.
     pub first_bind: Option<Nanos>,
@@ -22,79 +23,83 @@
     /// Until the first and the last acknowledgement of a mark.
     pub first_applied: Option<Nanos>,
     pub last_applied: Option<Nanos>,
-    /// Until the first report of any kind; nothing: none came.
+    /// Until the first report of any kind; `None`: none arrived.
     pub first_report: Option<Nanos>,
-    /// Of those that joined and were never bound.
+    /// Number of those that joined and were never bound.
     pub unbound: usize,
-    /// The lowest level ordered meanwhile.
+    /// The lowest level ordered in the meantime.
     pub lowest_level: Option<f64>,
 }
 
 #[derive(Default)]
 struct Current {
-    since: Nanos,
-    last_join: Nanos,
-    waiting: BTreeSet<ProxyId>,
-    told: Takeover,
+    started_at: Nanos,
+    last_join_at: Nanos,
+    unbound: BTreeSet<ProxyId>,
+    takeover: Takeover,
 }
 
-/// Watches for takeovers.
+/// Detects takeovers.
 #[derive(Default)]
 pub struct TakeoverWatch(Option<Current>);
 
 impl TakeoverWatch {
     /// A proxy has joined.
-    pub fn joined(&mut self, now: Nanos, proxy: ProxyId) {
-        let few = |current: &Current| current.told.proxies < MANY && now - current.last_join > TOGETHER;
-        if self.0.as_ref().is_none_or(few) {
-            self.0 = Some(Current { since: now, ..Current::default() });
+    pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId) {
+        let is_over = |current: &Current| {
+            current.takeover.proxies < PROXIES_MIN && now - current.last_join_at > JOIN_INTERVAL_MAX
+        };
+        if self.0.as_ref().is_none_or(is_over) {
+            self.0 = Some(Current { started_at: now, ..Current::default() });
         }
         let Some(current) = &mut self.0 else { return };
-        current.last_join = now;
-        current.told.proxies += usize::from(current.waiting.insert(proxy));
+        current.last_join_at = now;
+        current.takeover.proxies += usize::from(current.unbound.insert(proxy));
     }
 
     /// A proxy has left.
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn proxy_left(&mut self, proxy: ProxyId) {
         if let Some(current) = &mut self.0 {
-            current.waiting.remove(&proxy);
+            current.unbound.remove(&proxy);
         }
     }
 
     /// An order was given.
     pub fn ordered(&mut self, now: Nanos, order: &Order) {
         let Some(current) = &mut self.0 else { return };
-        let (since, told) = (now - current.since, &mut current.told);
+        let (since, takeover) = (now - current.started_at, &mut current.takeover);
         match order {
-            Order::Bind { proxy, .. } if current.waiting.remove(proxy) => {
-                told.first_bind.get_or_insert(since);
-                told.last_bind = Some(since);
+            Order::Bind { proxy, .. } if current.unbound.remove(proxy) => {
+                takeover.first_bind.get_or_insert(since);
+                takeover.last_bind = Some(since);
             }
             Order::Level { level, .. } => {
-                told.lowest_level = Some(told.lowest_level.map_or(*level, |lowest| lowest.min(*level)));
+                takeover.lowest_level =
+                    Some(takeover.lowest_level.map_or(*level, |lowest| lowest.min(*level)));
             }
             _ => {}
         }
     }
 
-    /// A proxy has applied what it was sent.
+    /// A proxy has applied its orders up to a mark.
     pub fn applied(&mut self, now: Nanos) {
         let Some(current) = &mut self.0 else { return };
-        let since = now - current.since;
-        current.told.first_applied.get_or_insert(since);
-        current.told.last_applied = Some(since);
+        let since = now - current.started_at;
+        current.takeover.first_applied.get_or_insert(since);
+        current.takeover.last_applied = Some(since);
     }
 
-    /// A report has come.
+    /// A report has arrived.
     pub fn reported(&mut self, now: Nanos) {
         let Some(current) = &mut self.0 else { return };
-        current.told.first_report.get_or_insert(now - current.since);
+        current.takeover.first_report.get_or_insert(now - current.started_at);
     }
 
-    /// The takeover that is over by now, if any; `joined`: proxies joined here in all.
+    /// Returns the takeover that has ended by now, if any. `joined`: number of proxies joined to this
+    /// coordinator.
     pub fn finished(&mut self, now: Nanos, joined: usize) -> Option<Takeover> {
-        let current = self.0.take_if(|current| now - current.since >= WATCHED)?;
-        let unbound = current.waiting.len();
-        (current.told.proxies >= MANY).then_some(Takeover { joined, unbound, ..current.told })
+        let current = self.0.take_if(|current| now - current.started_at >= OBSERVATION_SPAN)?;
+        let unbound = current.unbound.len();
+        (current.takeover.proxies >= PROXIES_MIN).then_some(Takeover { joined, unbound, ..current.takeover })
     }
 }
--- a/crates/craneknot-node/tests/clients.rs
+++ b/crates/craneknot-node/tests/clients.rs
@@ -190,12 +190,12 @@
     ];
     for (number, (enter, clear)) in (1..).zip(entries) {
         enter(&mut pending, id);
-        assert!(pending.owes(id) && !pending.is_settled(), "entry {number}");
+        assert!(pending.has_pending(id) && !pending.is_empty(), "entry {number}");
         clear(&mut pending, id);
-        assert!(!pending.owes(id) && pending.is_settled(), "entry {number}");
+        assert!(!pending.has_pending(id) && pending.is_empty(), "entry {number}");
         enter(&mut pending, id);
         pending.closed(id, CloseReason::Dropped);
-        assert!(!pending.owes(id));
+        assert!(!pending.has_pending(id));
         assert_eq!(pending.violations().closed_unanswered, number);
     }
     for reason in [CloseReason::ByPeer, CloseReason::Rejected] {
@@ -203,8 +203,8 @@
         pending.closed(id, reason);
     }
     assert_eq!(pending.violations().total(), 3, "a client that has left or was rejected has no pending work");
-    pending.set_orders(2);
-    assert!(!pending.is_settled());
+    pending.set_unacknowledged_orders(2);
+    assert!(!pending.is_empty());
     pending.abandon();
     assert_eq!(pending.violations().orders_dropped, 2);
 }
@@ -220,8 +220,8 @@
     {
         input.extend_from_slice(text.as_bytes());
         clients.read_lines(ms(0), id, &mut input, &names, 150, &mut pending, &mut reports, &mut actions);
-        assert_eq!((pending.owes(id), actions.len()), (is_pending, answers), "{text}");
+        assert_eq!((pending.has_pending(id), actions.len()), (is_pending, answers), "{text}");
         actions.drain(..).for_each(|_| pending.request_answered(id, false));
     }
-    assert!(pending.is_settled());
+    assert!(pending.is_empty());
 }
--- a/crates/craneknot-node/tests/helpers/platform.rs
+++ b/crates/craneknot-node/tests/helpers/platform.rs
@@ -411,9 +411,9 @@
         let Some(coordinator) = &mut self.slots[slot_index].coordinator else { return };
         let todo = coordinator.turn(ms(now));
         let stamp = self.at();
-        let lines = todo.log.iter().map(|event| format!("{stamp} {event:?}"));
+        let lines = todo.log_events.iter().map(|event| format!("{stamp} {event:?}"));
         self.slots[slot_index].log.extend(lines);
-        for act in todo.acts {
+        for act in todo.link_actions {
             match act {
                 LinkAction::Close { link } => drop(self.slots[slot_index].links.remove(&link)),
                 LinkAction::Dial { link, address, request } => {
--- a/crates/craneknot-node/tests/walks.rs
+++ b/crates/craneknot-node/tests/walks.rs
@@ -139,18 +139,18 @@
                     number += 1;
                     let order = format!("clear,{number}");
                     common.push(order.clone());
-                    calls.order_queue.offer([encoded(order, None, None)]);
+                    calls.order_queue.enqueue([encoded(order, None, None)]);
                 }
                 3..5 if !is_quiet && reported.contains(&proxy) => {
                     number += 1;
                     let order = format!("bind,{proxy},{number},lookup");
                     own[usize::from(proxy)].push(order.clone());
-                    calls.order_queue.offer([encoded(order, Some(ProxyId(proxy)), None)]);
+                    calls.order_queue.enqueue([encoded(order, Some(ProxyId(proxy)), None)]);
                 }
                 // It leaves; the event follows later, or when it joins again.
                 5 if !is_quiet => drop(calls.joined.remove(&proxy)),
                 6 if !is_quiet && !calls.joined.contains(&proxy) => {
-                    calls.order_queue.left(ProxyId(proxy));
+                    calls.order_queue.proxy_left(ProxyId(proxy));
                     reported.remove(&proxy);
                     own[usize::from(proxy)].clear();
                     if rng.random() {
@@ -167,7 +167,7 @@
                 _ => calls.end_call(if is_quiet { 9 } else { rng.random_range(0..10) }),
             }
             calls.turn();
-            calls.settled += calls.order_queue.take_settled().len();
+            calls.settled += calls.order_queue.take_outcomes().len();
             let accounted = calls.settled + calls.order_queue.waiting();
             assert_eq!(accounted, number, "seed {seed}: each order has one outcome or waits");
         }
@@ -264,7 +264,7 @@
                 closes_at = u64::MAX;
             }
             for (link, events) in received {
-                streams.heard(ms(now), link, events, &mut out);
+                streams.receive(ms(now), link, events, &mut out);
             }
             for link in broken {
                 open_streams.retain(|stream| stream.link != link);
@@ -351,7 +351,7 @@
 impl Peers {
     fn turn(&mut self) {
         let todo = self.coordinator.turn(ms(self.now));
-        for act in todo.acts {
+        for act in todo.link_actions {
             let (link, request, dialled) = match act {
                 LinkAction::Dial { link, request, .. } => (link, request, true),
                 LinkAction::Send { link, request } => (link, request, false),
