--- a/src/cold_placements.rs
+++ b/src/cold_placements.rs
@@ -4,16 +4,16 @@
 use std::collections::BTreeMap;
 
 use crate::interface::*;
-use crate::levels::even_cap;
-use crate::policy::BUSY_UNTOLD;
+use crate::levels::rate_cap;
+use crate::policy::DEFAULT_BUSY_SHARE;
 use crate::state::State::Cold;
 use crate::state::*;
 
-const SURE: f64 = 0.75; // share counted on of the best that servers have shown lately: the best of noisy sums
-const UNPROVEN: f64 = 0.5; // share counted on of what usual traffic tells, before servers have shown what they can do
-const MARGIN: f64 = 0.5; // share of the multiple at which a cold server falls that all proxies at their levels may reach
-const BURST: f64 = 0.75; // the same of what may come within one window: each proxy lets one operation pass at once
-const RATE_STEPS: usize = 20; // halvings of the span in which a safe rate is looked for
+const YIELD_SHARE: f64 = 0.75; // share counted on of the best that servers have shown lately: the best of noisy sums
+const UNMEASURED_YIELD_SHARE: f64 = 0.5; // share counted on of what usual traffic tells, before servers have shown what they can do
+const STEADY_LOAD_SHARE: f64 = 0.5; // share of the multiple at which a cold server falls that all proxies at their levels may reach
+const BURST_LOAD_SHARE: f64 = 0.75; // the same of what may come within one window: each proxy lets one operation pass at once
+const RATE_SEARCH_STEPS: usize = 20; // halvings of the span in which a safe rate is looked for
 
 impl Controller {
     /// Finds the placements that have servers listed as ready, none of which is in use or may be warm.
@@ -28,9 +28,9 @@
 
     /// Whether a table serves a placement of which all servers are cold; one of a zone may serve several placements.
     pub(crate) fn is_cold_table(&self, group: usize, place: usize) -> bool {
-        let table = self.table_of(group, place);
+        let table = self.table_id(group, place);
         let cold = self.cold_placements.iter().enumerate().filter(|(_, is_cold)| **is_cold);
-        cold.into_iter().any(|(other, _)| self.table_of(group, other) == table)
+        cold.into_iter().any(|(other, _)| self.table_id(group, other) == table)
     }
 
     /// Cold servers of a group that a placement allows, with what each can surely do; those that were shut out only where
@@ -53,24 +53,24 @@
         let placement = &self.placements[place];
         match self.cold_placements[place] {
             true => self.cold_weights(group, placement).iter().map(|(_, weight)| weight).sum(),
-            false => self.weight_of(group, placement),
+            false => self.total_weight(group, placement),
         }
     }
 
     /// Levels of a table to cold servers alone: what these can surely do, the most important class first.
     pub(crate) fn cold_levels(&self, group: usize, place: usize) -> BTreeMap<usize, (f64, FurtherTries)> {
         let best = self.best_yield.read(self.now);
-        let usual = UNPROVEN * self.usual / BUSY_UNTOLD / self.most_listed.max(1.0);
-        let each = if best > 0.0 { SURE * best * self.own_part() } else { usual };
+        let usual = UNMEASURED_YIELD_SHARE * self.usual / DEFAULT_BUSY_SHARE / self.most_listed.max(1.0);
+        let each = if best > 0.0 { YIELD_SHARE * best * self.own_proxy_share() } else { usual };
         let weights = self.cold_weights(group, &self.placements[place]);
         let able = each * weights.iter().map(|(_, weight)| weight).sum::<f64>();
-        let arrivals = self.table_arrivals(self.table_of(group, place));
+        let arrivals = self.table_arrivals(self.table_id(group, place));
         let level = |class: usize, share: f64| match self.settings.level_unit {
             LevelUnit::Share => share.min(1.0),
-            LevelUnit::Rate => even_cap(&arrivals[class], share).min(self.safe_rate(able, &arrivals[class])),
+            LevelUnit::Rate => rate_cap(&arrivals[class], share).min(self.safe_rate(able, &arrivals[class])),
             LevelUnit::Ignored => 1.0,
         };
-        let shares = self.shares_within(able, &arrivals);
+        let shares = self.admitted_shares(able, &arrivals);
         let levels = shares.into_iter().map(|(class, share)| (class, level(class, share)));
         levels.map(|(class, level)| (class, (level, FurtherTries::Never))).collect()
     }
@@ -79,18 +79,18 @@
     /// at once: a proxy that has let nothing pass for a while lets its next operation pass whatever its rate.
     fn safe_rate(&self, able: f64, arrivals: &[f64]) -> f64 {
         let (multiple, window) = (self.settings.fall_multiple, self.settings.fall_window.secs());
-        let budget = BURST * multiple * able * window;
+        let budget = BURST_LOAD_SHARE * multiple * able * window;
         let at_once = |rate: f64| -> f64 {
             arrivals.iter().map(|arrived| (arrived * window).min(1.0 + rate * window)).sum()
         };
-        let (mut safe, mut unsafe_rate) = (0.0, MARGIN * multiple * able / arrivals.len() as f64);
+        let (mut safe, mut unsafe_rate) = (0.0, STEADY_LOAD_SHARE * multiple * able / arrivals.len() as f64);
         if at_once(unsafe_rate) <= budget {
             return unsafe_rate;
         }
         if at_once(0.0) > budget {
             return 0.0;
         }
-        for _ in 0..RATE_STEPS {
+        for _ in 0..RATE_SEARCH_STEPS {
             let middle = (safe + unsafe_rate) / 2.0;
             if at_once(middle) <= budget {
                 safe = middle;
@@ -106,7 +106,7 @@
         let mut arrivals = vec![Vec::new(); self.classes.len()];
         for proxy in self.proxies.values() {
             for (class, binding) in proxy.bindings.iter().enumerate() {
-                if binding.group.is_some_and(|group| self.table_of(group, binding.place) == table) {
+                if binding.group.is_some_and(|group| self.table_id(group, binding.place) == table) {
                     arrivals[class].push(self.arrival_rate(proxy, class));
                 }
             }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,7 +1,10 @@
 //! Decisions on servers: their states by what is listed, met and probed, and the weight of each within its group.
 
 use crate::interface::*;
-use crate::policy::{BUSY_UNTOLD, EVIDENCE, HEARD, ODD_SHARE, STEP, STEPS};
+use crate::policy::{
+    DEFAULT_BUSY_SHARE, MIN_REPORT_WEIGHT, MIN_TRIES, REBALANCE_ROUNDS, SETTLING_PERIOD,
+    SUSPECT_FAILURE_SHARE,
+};
 use crate::state::State::{Away, Cold, Doubted, Open, Out};
 use crate::state::*;
 
@@ -47,7 +50,7 @@
 
     /// What proxies met: those in its own zone if they are enough, since far ones may suffer from the path.
     pub(crate) fn seen(&self, now: Nanos) -> Seen {
-        let near = Some(self.near.read(now)).filter(|near| near.tries >= EVIDENCE);
+        let near = Some(self.near.read(now)).filter(|near| near.tries >= MIN_TRIES);
         near.unwrap_or_else(|| self.far.read(now))
     }
 
@@ -74,10 +77,11 @@
     /// What it can surely do now, as a share of its listed weight; nothing while it is less than `held_back`.
     pub(crate) fn share(&self, now: Nanos, born: Nanos, settings: &Settings, held_back: f64) -> f64 {
         let ramp = self.warmed(now, settings);
-        let step = if self.joined.is_some_and(|joined| now - joined < STEP) { JOIN_SHARE } else { 1.0 };
+        let step =
+            if self.joined.is_some_and(|joined| now - joined < SETTLING_PERIOD) { JOIN_SHARE } else { 1.0 };
         match self.state {
             Away | Out => 0.0,
-            Cold if ramp < held_back || now - born < STEP => 0.0, // nor while the controller knows little
+            Cold if ramp < held_back || now - born < SETTLING_PERIOD => 0.0, // nor while the controller knows little
             Cold | Open | Doubted => ramp * step,
         }
     }
@@ -86,7 +90,7 @@
 impl Group {
     /// Share of its capacity under which a new member waits.
     pub(crate) fn held_back(&self) -> f64 {
-        let is_calm = self.seen.tries >= EVIDENCE && self.seen.share() < CALM_SHARE;
+        let is_calm = self.seen.tries >= MIN_TRIES && self.seen.share() < CALM_SHARE;
         if is_calm {
             HELD_BACK_CALM
         } else {
@@ -105,9 +109,9 @@
         let own = share > OWN_FAULT * group.better;
         let room = group.weight - FLOOR * group.listed;
         let strained = group.load == Load::Shedding && server.probes_bad == 0;
-        let failing = tries >= EVIDENCE && share >= BROKEN_SHARE && own && !strained;
-        let silent = server.probes_bad >= BAD_PROBES && (share > ODD_SHARE || tries < 1.0);
-        let rested = now - server.since >= DOUBT_ENDS && share < ODD_SHARE;
+        let failing = tries >= MIN_TRIES && share >= BROKEN_SHARE && own && !strained;
+        let silent = server.probes_bad >= BAD_PROBES && (share > SUSPECT_FAILURE_SHARE || tries < 1.0);
+        let rested = now - server.since >= DOUBT_ENDS && share < SUSPECT_FAILURE_SHARE;
         let needed = CLEARING << server.relapses.saturating_sub(1).min(3);
         let waited = now - server.since >= Nanos(PROBE_EVERY.0 * u64::from(needed));
         let holds = |sign: Sign| match sign {
@@ -115,7 +119,7 @@
             Sign::Started => server.ready() && cold && (server.state == Away || server.fresh),
             Sign::Warm => server.ready() && !cold,
             Sign::Broken => (failing || silent) && server.listed_weight() <= room,
-            Sign::Odd => share * tries >= EVIDENCE / 2.0 && share >= ODD_SHARE && own,
+            Sign::Odd => share * tries >= MIN_TRIES / 2.0 && share >= SUSPECT_FAILURE_SHARE && own,
             Sign::Sound => rested || server.state == Doubted && server.probes_good >= CLEARING,
             Sign::Cleared => waited && (server.probes_good >= needed || !self.settings.probes),
         };
@@ -150,7 +154,7 @@
             if effect != Effect::Expel {
                 (server.near, server.far, server.pace) = (Met::default(), Met::default(), 1.0);
             }
-            self.steps_left = STEPS;
+            self.steps_left = REBALANCE_ROUNDS;
         }
     }
 
@@ -188,7 +192,7 @@
         for group in &mut self.groups {
             let members = || group.members.iter().map(|id| &self.servers[id]);
             let open = || members().filter(|s| s.in_use());
-            let busy = |s: &Server| Some(s.listed_weight() * s.busy.mean(now, HEARD)?);
+            let busy = |s: &Server| Some(s.listed_weight() * s.busy.mean(now, MIN_REPORT_WEIGHT)?);
             let busy: Option<f64> = open().map(busy).sum();
             let weight: f64 = open().map(Server::listed_weight).sum();
             let listed = members().filter(|s| s.ready()).map(Server::listed_weight).sum();
@@ -197,20 +201,21 @@
             met.sort_by(|a, b| a.share().total_cmp(&b.share()));
             let half = met.len().div_ceil(2);
             let better = met.into_iter().take(half).fold(Seen::default(), Seen::plus);
-            group.better = (better.failed + 1.0) / (better.tries + EVIDENCE);
+            group.better = (better.failed + 1.0) / (better.tries + MIN_TRIES);
             group.cold = members().filter(|s| s.state == Cold).map(|s| s.met(now)).reduce(Seen::plus);
             (group.seen, group.weight, group.listed) = (seen, weight, listed);
-            let held =
-                members().filter(|s| s.in_use() || s.state == Cold).filter_map(|s| s.held.mean(now, HEARD));
+            let held = members()
+                .filter(|s| s.in_use() || s.state == Cold)
+                .filter_map(|s| s.held.mean(now, MIN_REPORT_WEIGHT));
             group.held = held.sum();
             group.busy = busy.filter(|_| weight > 0.0).map(|busy| (busy / weight).clamp(BUSY_LEAST, 1.0));
             handled += seen.handled;
-            busy_weight += weight * group.busy.unwrap_or(BUSY_UNTOLD);
+            busy_weight += weight * group.busy.unwrap_or(DEFAULT_BUSY_SHARE);
         }
         self.most_listed = self.groups.iter().map(|group| group.listed).sum::<f64>().max(self.most_listed);
-        let each = handled / busy_weight.max(1e-9) / self.own_part();
+        let each = handled / busy_weight.max(1e-9) / self.own_proxy_share();
         // Sums that are not filled yet tell too little.
-        let each = if now - self.born < STEP { 0.0 } else { each };
+        let each = if now - self.born < SETTLING_PERIOD { 0.0 } else { each };
         let best = self.best_yield.read(now);
         self.best_yield.add(now, YIELD_HALF_LIFE, (each - best).max(0.0));
     }
@@ -225,7 +230,9 @@
         for server in self.servers.values_mut() {
             let seen = server.seen(self.now);
             let step = match self.groups[server.group].seen.wait() / seen.wait() {
-                ratio if seen.tries >= EVIDENCE && ratio.is_finite() && ratio > 0.0 => ratio.powf(PACE_POWER),
+                ratio if seen.tries >= MIN_TRIES && ratio.is_finite() && ratio > 0.0 => {
+                    ratio.powf(PACE_POWER)
+                }
                 _ => server.pace.powf(-PACE_POWER),
             };
             server.pace = (server.pace * step).clamp(PACE_RANGE.0, PACE_RANGE.1);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,14 +1,16 @@
-//! Decides for a controller: takes in what occurs, deals servers into groups, binds proxies, and gives the orders.
+//! Main decision loop of a controller: applies events, partitions servers into groups, binds proxies to groups
+//! and issues orders.
 //!
-//! A host makes one [`Controller`] for each instance, with the settings and the seed that instance is given,
-//! and calls [`Controller::step`] with the clock and what has come in; what comes back is to be carried out
-//! then, in order. Nothing else goes in or out, nothing is shared. The types stand in `interface.rs`.
+//! A host creates one [`Controller`] per instance, with the settings and the seed given to that instance, and calls
+//! [`Controller::step`] with the current time and the events received. It carries out the returned orders
+//! immediately and in sequence. A controller has no other inputs or outputs and shares no state. The types are
+//! defined in `interface.rs`.
 //!
-//! The ordinary path: the listed servers are dealt into groups, a table each; a proxy is bound, per class, to
-//! one group; bindings move by load only as proxies or servers come and go; a paced sender publishes what
-//! changed. Beside this file stand a server's states and the weights of lines within a group (`health.rs`), what a group
-//! takes in (`levels.rs`), what a placement gets whose servers are all cold (`cold_placements.rs`), and the sender
-//! (`sender.rs`).
+//! In normal operation the listed servers are partitioned into groups with one table each, and each proxy is bound
+//! to one group per class. Bindings are moved by load only after proxies or servers join or leave. A rate-limited
+//! sender publishes the differences. The other policy files cover server states and the weights of lines within a
+//! group (`health.rs`), the load that a group admits (`levels.rs`), placements whose servers are all cold
+//! (`cold_placements.rs`), and the sender (`sender.rs`).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,46 +21,73 @@
 use crate::state::State::Cold;
 use crate::state::*;
 
-pub(crate) const TURN: Nanos = Nanos::from_millis(250); // ms; looks round unasked: well under a report's delay
-const HALF_LIFE: Nanos = Nanos::from_millis(2_000); // ms; of what proxies met; or a report's span
-pub(crate) const LASTING: Nanos = Nanos::from_millis(8_000); // ms; half-life of traffic as bindings see it
-pub(crate) const STEP: Nanos = Nanos::from_millis(5_000); // ms; the design's step: half weight, and time between moves
-pub(crate) const STEPS: u32 = 2; // steps of moves after a change: the design's
-const GROUP_SIZES: (f64, f64) = (4.0, 30.0); // servers; the design's: a connection each, of every proxy
-const BINDINGS: f64 = 4.0; // of a controller for each group: with fewer no move evens out the loads
-const ONE_GROUP_BELOW: usize = 8; // servers; the design's
-const ZONE_LEAST: usize = 3; // servers of a zone that stand as a group: with fewer, losing one halves it
-const AWAY: f64 = 1.3; // load factor of a group in another zone: crossings cost, and cuts strike them
-const APART: f64 = 1.25; // load factor of a group with none of a proxy's classes: connections cost handshakes
-const MOVE_GAIN: f64 = 1.1; // factor by which a move must lessen the load met: less would be noise
-pub(crate) const HEARD: f64 = 0.1; // least count of what is left of reports that a mean is told from
-pub(crate) const LEAST_AGE: Nanos = Nanos::from_millis(1_000); // ms; a rate over less is chance
-pub(crate) const EVIDENCE: f64 = 4.0; // tries before a server is judged: two or three more failures than chance brings
-pub(crate) const ODD_SHARE: f64 = 0.15; // unanswered share: well above chance
-const LAST_RESORT: f64 = 0.3; // share of its weight of a server shut out that nothing can stand in for
-pub(crate) const BUSY_UNTOLD: f64 = 0.6; // taken for the busy share where servers report none: a usual one
-pub(crate) const LEAST: f64 = 0.02; // least share of a weight or a level: something must be met to be judged by
-const ASK_AGAIN: Nanos = Nanos::from_millis(500); // ms; first wait before the list is asked for again
-const ASK_AGAIN_MOST: Nanos = Nanos::from_millis(4_000); // ms; the longest: it is one service for all
-pub(crate) const PLACES: usize = 256; // placements a group can have tables for: table numbers end at 65535
-const REFUSED_AGAIN: Nanos = Nanos::from_millis(500); // ms; until a refused order is given again: its cause may pass
-const REFUSED_DOUBLINGS: u32 = 3; // of that wait, with each further refusal: what is refused for good costs a call
+/// Interval between evaluations without a trigger; well under the delay of a report.
+pub(crate) const EVALUATION_INTERVAL: Nanos = Nanos::from_millis(250);
+/// Half-life of observed outcomes, unless the span of a report is longer.
+const REPORT_HALF_LIFE: Nanos = Nanos::from_millis(2_000);
+/// Half-life of the traffic averages that bindings are decided on.
+pub(crate) const DEMAND_HALF_LIFE: Nanos = Nanos::from_millis(8_000);
+/// Time for which a joined server stays at half weight, and interval between rounds of binding moves.
+pub(crate) const SETTLING_PERIOD: Nanos = Nanos::from_millis(5_000);
+/// Rounds of binding moves after a membership change.
+pub(crate) const REBALANCE_ROUNDS: u32 = 2;
+/// Smallest and largest target size of a group, in servers; every proxy opens a connection to each server of its
+/// group.
+const GROUP_SIZE_RANGE: (f64, f64) = (4.0, 30.0);
+/// Target number of bindings of one controller per group; with fewer, no move can even out the loads.
+const BINDINGS_PER_GROUP: f64 = 4.0;
+/// With fewer servers than this, all form a single group.
+const MIN_SERVERS_TO_SPLIT: usize = 8;
+/// Servers that a zone needs to form groups of its own; with fewer, the loss of one server halves the group.
+const MIN_SERVERS_PER_ZONE: usize = 3;
+/// Load factor of a group in another zone than the proxy's: crossings have a cost, and network partitions affect
+/// them.
+const REMOTE_ZONE_LOAD_FACTOR: f64 = 1.3;
+/// Load factor of a group that none of the proxy's other classes is bound to: extra connections cost handshakes.
+const SEPARATE_GROUP_LOAD_FACTOR: f64 = 1.25;
+/// Factor by which a move must reduce the load that a binding is exposed to; smaller gains are noise.
+const MIN_MOVE_GAIN: f64 = 1.1;
+/// Smallest decayed number of reports that a mean is computed from.
+pub(crate) const MIN_REPORT_WEIGHT: f64 = 0.1;
+/// Shortest time over which a rate is computed; over less time the rate is noise.
+pub(crate) const MIN_RATE_AGE: Nanos = Nanos::from_millis(1_000);
+/// Tries needed before a server is judged: enough for two or three failures more than chance explains.
+pub(crate) const MIN_TRIES: f64 = 4.0;
+/// Share of unanswered tries, well above chance, at which a server is suspected.
+pub(crate) const SUSPECT_FAILURE_SHARE: f64 = 0.15;
+/// Share of its weight that an ejected server keeps where no other server can replace it.
+const LAST_RESORT_WEIGHT_SHARE: f64 = 0.3;
+/// Typical busy share, assumed for servers that don't report theirs.
+pub(crate) const DEFAULT_BUSY_SHARE: f64 = 0.6;
+/// Smallest share of a weight or a level: some traffic must remain to judge a server or class by.
+pub(crate) const MIN_SHARE: f64 = 0.02;
+/// First delay before the list is requested again.
+const MIN_LIST_RETRY_DELAY: Nanos = Nanos::from_millis(500);
+/// Longest delay before the list is requested again; all controllers share one discovery service.
+const MAX_LIST_RETRY_DELAY: Nanos = Nanos::from_millis(4_000);
+/// Placements for which a group can have tables; table numbers end at 65535.
+pub(crate) const TABLES_PER_GROUP: usize = 256;
+/// Delay before a refused order is issued again, since the cause may be temporary.
+const REFUSED_ORDER_RETRY_DELAY: Nanos = Nanos::from_millis(500);
+/// Doublings of that delay, one per further refusal; a permanently refused order costs a call each time.
+const MAX_REFUSED_ORDER_DOUBLINGS: u32 = 3;
 
 impl Controller {
-    /// Takes in what has come and gives the orders of this moment. Reports alone wait for the next turn.
+    /// Applies the events and returns the orders to carry out now. Events other than list updates and proxies that
+    /// join or leave, such as reports, take effect on orders at the next evaluation.
     pub fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order> {
         self.now = now;
         let mut orders = Vec::new();
         for event in events {
-            self.take_in(event);
+            self.apply_event(event);
         }
-        let news = |event: &Event| {
+        let changes_membership = |event: &Event| {
             matches!(event, Event::List { .. } | Event::ProxyJoined { .. } | Event::ProxyLeft { .. })
         };
         if self.next_wake <= now {
-            self.next_wake = now + TURN;
-            orders.push(Order::Wake { after: TURN });
-        } else if !events.iter().any(news) {
+            self.next_wake = now + EVALUATION_INTERVAL;
+            orders.push(Order::Wake { after: EVALUATION_INTERVAL });
+        } else if !events.iter().any(changes_membership) {
             return orders;
         }
         if self.ask_at.is_some_and(|at| at <= now) {
@@ -72,29 +101,31 @@
         if self.settings.slices == 0 {
             self.follow_pace();
             self.find_cold_placements();
-            self.bind();
-            self.count_arrivals();
-            self.move_groups();
+            self.assign_bindings();
+            self.update_arrivals();
+            self.update_group_states();
             self.publish(&mut orders);
         }
         orders
     }
 
-    fn take_in(&mut self, event: &Event) {
+    fn apply_event(&mut self, event: &Event) {
         let now = self.now;
         match event {
-            Event::List { scope, entries } => self.take_list(*scope, entries),
+            Event::List { scope, entries } => self.apply_list(*scope, entries),
             Event::ProxyJoined { proxy, zone, usual_rate } => {
-                let places = (0..self.classes.len()).map(|class| self.place_of(class, *zone));
-                let bindings = places.map(|place| Binding { place, ..Binding::default() }).collect();
+                let placements = (0..self.classes.len()).map(|class| self.place_of(class, *zone));
+                let bindings =
+                    placements.map(|index| Binding { place: index, ..Binding::default() }).collect();
                 self.refused.remove(&Subject::Bind(*proxy));
                 let joined = Proxy { zone: *zone, usual_rate: *usual_rate, joined: now, bindings };
                 self.proxies.insert(*proxy, joined);
-                self.steps_left = STEPS;
+                self.steps_left = REBALANCE_ROUNDS;
             }
             Event::ProxyHolds { proxy, class, table } => {
-                // A takeover is no change of membership: bindings stay where they stand.
-                let group = Some(usize::from(table.0) / PLACES).filter(|group| *group < self.groups.len());
+                // A takeover is not a membership change, so existing bindings are kept.
+                let group =
+                    Some(usize::from(table.0) / TABLES_PER_GROUP).filter(|group| *group < self.groups.len());
                 let bindings = self.proxies.get_mut(proxy).map(|proxy| &mut proxy.bindings);
                 if let Some(binding) = bindings.and_then(|all| all.get_mut(usize::from(class.0))) {
                     binding.group = group;
@@ -102,35 +133,35 @@
             }
             Event::ProxyLeft { proxy } => {
                 self.proxies.remove(proxy);
-                self.steps_left = STEPS;
+                self.steps_left = REBALANCE_ROUNDS;
             }
             Event::Heard { server, zone, tries, unanswered, latency, report, span } => {
                 let Some(server) = self.servers.get_mut(server) else { return };
-                // Where lines wait their turn a report covers more, and must last until the next one.
-                let half = (*span).clamp(HALF_LIFE, LASTING);
-                server.busy.hear(now, half, report.busy);
-                server.held.hear(now, half, report.held);
-                // A try without an answer weighs as much as the slowest that is of use.
+                // With queued lines a report covers a longer span and must remain valid until the next one.
+                let half_life = (*span).clamp(REPORT_HALF_LIFE, DEMAND_HALF_LIFE);
+                server.busy.hear(now, half_life, report.busy);
+                server.held.hear(now, half_life, report.held);
+                // An unanswered try counts as a wait of the longest latency goal.
                 let (tries, failed) = (*tries as f64, *tries.min(unanswered) as f64);
                 let answering = (tries - failed) * latency.secs();
                 let waited = answering + failed * self.goals.1;
-                let met = if *zone == server.listing.zone { &mut server.near } else { &mut server.far };
-                met.add(now, half, Seen { tries, failed, waited, answering, ..Seen::default() });
+                let outcomes = if *zone == server.listing.zone { &mut server.near } else { &mut server.far };
+                outcomes.add(now, half_life, Seen { tries, failed, waited, answering, ..Seen::default() });
             }
             Event::Demand { proxy, class, arrived, span, .. } => {
                 let Some(proxy) = self.proxies.get_mut(proxy) else { return };
                 let Some(binding) = proxy.bindings.get_mut(usize::from(class.0)) else { return };
-                binding.lasting.add(now, LASTING, *arrived as f64);
-                binding.recent.add(now, (*span).clamp(HALF_LIFE, LASTING), *arrived as f64);
-                // A joining is complete once the proxy's own traffic is known.
-                if !binding.heard && now - proxy.joined > STEP {
+                binding.lasting.add(now, DEMAND_HALF_LIFE, *arrived as f64);
+                binding.recent.add(now, (*span).clamp(REPORT_HALF_LIFE, DEMAND_HALF_LIFE), *arrived as f64);
+                // A join is complete once the proxy's own traffic has been measured.
+                if !binding.heard && now - proxy.joined > SETTLING_PERIOD {
                     binding.heard = true;
-                    self.steps_left = STEPS;
+                    self.steps_left = REBALANCE_ROUNDS;
                 }
             }
             Event::Probed { server, outcome, report, .. } => {
                 let Some(server) = self.servers.get_mut(server) else { return };
-                server.busy.hear(now, HALF_LIFE, report.busy);
+                server.busy.hear(now, REPORT_HALF_LIFE, report.busy);
                 (server.probes_good, server.probes_bad) = match outcome {
                     ProbeOutcome::Answered => (server.probes_good + 1, 0),
                     ProbeOutcome::TurnedAway => (server.probes_good, server.probes_bad),
@@ -141,7 +172,7 @@
                 self.note_refused(order);
                 if let Some(subject) = Subject::of(order) {
                     let times = self.refused.get(&subject).map_or(0, |refusal| refusal.times);
-                    let wait = Nanos(REFUSED_AGAIN.0 << times.min(REFUSED_DOUBLINGS));
+                    let wait = Nanos(REFUSED_ORDER_RETRY_DELAY.0 << times.min(MAX_REFUSED_ORDER_DOUBLINGS));
                     self.refused.insert(subject, Refusal { times: times + 1, until: now + wait });
                 }
             }
@@ -151,11 +182,12 @@
         }
     }
 
-    fn take_list(&mut self, scope: ListScope, entries: &[Listing]) {
+    fn apply_list(&mut self, scope: ListScope, entries: &[Listing]) {
         match scope {
             ListScope::Failed => {
                 let jitter = 1.0 + self.rng.random::<f64>();
-                self.ask_wait = (self.ask_wait + self.ask_wait).clamp(ASK_AGAIN, ASK_AGAIN_MOST);
+                self.ask_wait =
+                    (self.ask_wait + self.ask_wait).clamp(MIN_LIST_RETRY_DELAY, MAX_LIST_RETRY_DELAY);
                 self.ask_at = Some(self.now + Nanos::from_secs(self.ask_wait.secs() * jitter));
                 return;
             }
@@ -166,7 +198,7 @@
         }
         self.ask_wait = Nanos(0);
         if self.groups.is_empty() {
-            self.deal(entries);
+            self.create_groups(entries);
         }
         let mut sizes = vec![0; self.groups.len()];
         self.servers.values().filter(|server| server.ready()).for_each(|server| sizes[server.group] += 1);
@@ -179,7 +211,7 @@
                 self.groups[known.group].members.remove(&entry.server);
             }
             let stays = known.filter(|known| known.listing.zone == entry.zone).map(|known| known.group);
-            let group = stays.unwrap_or_else(|| self.group_for(entry, &mut sizes));
+            let group = stays.unwrap_or_else(|| self.choose_group(entry, &mut sizes));
             sizes[group] += usize::from(entry.readiness == Readiness::Ready);
             self.groups[group].members.insert(entry.server.clone());
             let server =
@@ -189,30 +221,38 @@
         }
     }
 
-    /// Deals the listed servers into fixed groups, of one zone each where every zone has enough. All
-    /// controllers deal alike, since the list and the order of ids are the same for all.
-    fn deal(&mut self, entries: &[Listing]) {
+    /// Partitions the listed servers into fixed groups, one zone per group if every zone has enough servers. All
+    /// controllers create the same groups, since the list and the order of ids are the same for all.
+    fn create_groups(&mut self, entries: &[Listing]) {
         let mut zones: BTreeMap<ZoneId, usize> = BTreeMap::new();
         for entry in entries.iter().filter(|entry| entry.readiness != Readiness::Removed) {
             *zones.entry(entry.zone).or_default() += 1;
         }
-        let all: usize = zones.values().sum();
-        let zoned = all >= ONE_GROUP_BELOW && zones.values().all(|count| *count >= ZONE_LEAST);
-        let dealt =
-            if zoned { zones.into_iter().map(|(z, n)| (Some(z), n)).collect() } else { vec![(None, all)] };
-        // The same for all controllers: by what all are told.
+        let total: usize = zones.values().sum();
+        let by_zone =
+            total >= MIN_SERVERS_TO_SPLIT && zones.values().all(|count| *count >= MIN_SERVERS_PER_ZONE);
+        let zone_sizes = if by_zone {
+            zones.into_iter().map(|(z, n)| (Some(z), n)).collect()
+        } else {
+            vec![(None, total)]
+        };
+        // Computed only from settings that all controllers share, so the result is the same for all.
         let proxies = f64::from(self.settings.proxies) / f64::from(self.settings.controllers.max(1));
         let bindings = proxies * self.classes.len() as f64;
-        let size = (BINDINGS * all as f64 / bindings.max(1.0)).clamp(GROUP_SIZES.0, GROUP_SIZES.1);
-        for (zone, count) in dealt {
-            let many =
-                if all < ONE_GROUP_BELOW { 1 } else { (count as f64 / size).round().max(1.0) as usize };
-            self.groups.extend((0..many).map(|_| Group::new(zone)));
+        let size = (BINDINGS_PER_GROUP * total as f64 / bindings.max(1.0))
+            .clamp(GROUP_SIZE_RANGE.0, GROUP_SIZE_RANGE.1);
+        for (zone, count) in zone_sizes {
+            let group_count = if total < MIN_SERVERS_TO_SPLIT {
+                1
+            } else {
+                (count as f64 / size).round().max(1.0) as usize
+            };
+            self.groups.extend((0..group_count).map(|_| Group::new(zone)));
         }
     }
 
-    /// The smallest group that a server may join; a zone that has none gets one.
-    fn group_for(&mut self, entry: &Listing, sizes: &mut Vec<usize>) -> usize {
+    /// Returns the smallest group that a server may join; creates one for a zone without any.
+    fn choose_group(&mut self, entry: &Listing, sizes: &mut Vec<usize>) -> usize {
         let open = |group: &usize| self.groups[*group].zone.is_none_or(|zone| zone == entry.zone);
         (0..self.groups.len()).filter(open).min_by_key(|group| sizes[*group]).unwrap_or_else(|| {
             self.groups.push(Group::new(Some(entry.zone)));
@@ -221,100 +261,117 @@
         })
     }
 
-    /// The table of a group under a placement; a group of one zone shares one among all that allow it whole.
-    pub(crate) fn table_of(&self, group: usize, place: usize) -> TableId {
-        let placement = &self.placements[place];
-        let whole = self.groups[group].zone.is_some_and(|zone| placement.zones.contains(&zone));
-        let shared = (whole || placement.zones.is_empty()) && placement.kinds.is_empty();
-        let place = if shared { 0 } else { place.min(PLACES - 1) };
-        TableId((group.min(254) * PLACES + place) as u16)
+    /// Returns the table of a group for a placement. A group of one zone has a single table for all placements that
+    /// allow every server of the zone.
+    pub(crate) fn table_id(&self, group: usize, placement_index: usize) -> TableId {
+        let placement = &self.placements[placement_index];
+        let allows_zone = self.groups[group].zone.is_some_and(|zone| placement.zones.contains(&zone));
+        let shared = (allows_zone || placement.zones.is_empty()) && placement.kinds.is_empty();
+        let offset = if shared { 0 } else { placement_index.min(TABLES_PER_GROUP - 1) };
+        TableId((group.min(254) * TABLES_PER_GROUP + offset) as u16)
     }
 
-    /// Weight of each server of a group that a placement allows; if none warm may be used, of any one that is
-    /// listed ready and may be warm, however it seems: a proxy must have a line while there is one.
-    pub(crate) fn weights_of(&self, group: usize, placement: &Placement) -> Vec<(&Server, f64)> {
+    /// Returns the weight of each server of a group that a placement allows. If no warm server is usable, adds every
+    /// server that is listed ready and may be warm, whatever its health: a proxy must have a line as long as there is
+    /// a server for it.
+    pub(crate) fn server_weights(&self, group: usize, placement: &Placement) -> Vec<(&Server, f64)> {
         let fits = |s: &&Server| s.ready() && placement.allows(&s.listing);
         let members = || self.groups[group].members.iter().map(|id| &self.servers[id]).filter(fits);
         let held_back = self.groups[group].held_back();
-        let weigh = |s: &Server| s.listed_weight() * s.share(self.now, self.born, &self.settings, held_back);
-        let mut open: Vec<_> = members().map(|s| (s, weigh(s))).filter(|(_, weight)| *weight > 0.0).collect();
-        if open.iter().all(|(s, _)| s.state == Cold) {
-            let used: BTreeSet<&ServerId> = open.iter().map(|(s, _)| &s.listing.server).collect();
+        let weight_of =
+            |s: &Server| s.listed_weight() * s.share(self.now, self.born, &self.settings, held_back);
+        let mut usable: Vec<_> =
+            members().map(|s| (s, weight_of(s))).filter(|(_, weight)| *weight > 0.0).collect();
+        if usable.iter().all(|(s, _)| s.state == Cold) {
+            let used: BTreeSet<&ServerId> = usable.iter().map(|(s, _)| &s.listing.server).collect();
             let unused = members().filter(|s| !used.contains(&s.listing.server));
-            let last = unused.filter(|s| s.may_be_warm(self.now, &self.settings));
-            let weigh = |s: &Server| s.listed_weight() * LAST_RESORT.min(s.warmed(self.now, &self.settings));
-            let last: Vec<_> = last.map(|s| (s, weigh(s))).collect();
-            open.extend(last);
+            let last_resort = unused.filter(|s| s.may_be_warm(self.now, &self.settings));
+            let weight_of = |s: &Server| {
+                s.listed_weight() * LAST_RESORT_WEIGHT_SHARE.min(s.warmed(self.now, &self.settings))
+            };
+            let last_resort: Vec<_> = last_resort.map(|s| (s, weight_of(s))).collect();
+            usable.extend(last_resort);
         }
-        open
+        usable
     }
 
-    pub(crate) fn weight_of(&self, group: usize, placement: &Placement) -> f64 {
-        self.weights_of(group, placement).iter().map(|(_, weight)| weight).sum()
+    pub(crate) fn total_weight(&self, group: usize, placement: &Placement) -> f64 {
+        self.server_weights(group, placement).iter().map(|(_, weight)| weight).sum()
     }
 
-    /// A proxy's lasting traffic of a class, in operations a second; unheard, the average of its kind.
+    /// Returns the long-term traffic of a proxy and class in operations per second. Until it has been measured, this
+    /// is the proxy's usual rate divided evenly among the classes.
     pub(crate) fn demand(&self, proxy: &Proxy, class: usize) -> f64 {
         let binding = &proxy.bindings[class];
-        let age = (self.now - proxy.joined).max(LEAST_AGE);
-        let heard = binding.heard.then(|| binding.lasting.rate(self.now, age));
-        heard.unwrap_or(proxy.usual_rate / self.classes.len() as f64).max(0.01)
+        let age = (self.now - proxy.joined).max(MIN_RATE_AGE);
+        let measured = binding.heard.then(|| binding.lasting.rate(self.now, age));
+        measured.unwrap_or(proxy.usual_rate / self.classes.len() as f64).max(0.01)
     }
 
-    /// Binds what is unbound to the least loaded group, and in a step moves what meets too much load: of the
-    /// most loaded group first, the busiest binding first.
-    fn bind(&mut self) {
-        let due = self.steps_left > 0 && self.now >= self.next_step;
-        if due {
+    /// Binds unbound classes to the least loaded group and, in a rebalancing round, moves bindings off overloaded
+    /// groups: those of the most loaded group first and, within a group, the busiest binding first.
+    fn assign_bindings(&mut self) {
+        let rebalancing = self.steps_left > 0 && self.now >= self.next_step;
+        if rebalancing {
             self.steps_left -= 1;
-            self.next_step = self.now + STEP;
+            self.next_step = self.now + SETTLING_PERIOD;
         }
-        let weigh = |place| (0..self.groups.len()).map(|g| self.binding_weight(g, place)).collect();
-        let weights: Vec<Vec<f64>> = (0..self.placements.len()).map(weigh).collect();
-        let most = |g: usize| weights.iter().map(|row| row[g]).fold(0.0, f64::max);
-        let most: Vec<f64> = (0..self.groups.len()).map(most).collect();
-        // Where no group has a line, a binding still moves: an empty table rids a proxy of a standing one
-        // that names lost servers.
-        let nowhere: Vec<bool> = weights.iter().map(|row| row.iter().all(|weight| *weight <= 0.0)).collect();
-        let open = |place: usize, group: usize| nowhere[place] || weights[place][group] > 0.0;
-        let mut candidates = self.candidates(&open);
-        if !due && candidates.iter().all(|candidate| candidate.from.is_some()) {
+        let group_weights =
+            |index| (0..self.groups.len()).map(|group| self.binding_weight(group, index)).collect();
+        let weights: Vec<Vec<f64>> = (0..self.placements.len()).map(group_weights).collect();
+        let max_weight = |group: usize| weights.iter().map(|row| row[group]).fold(0.0, f64::max);
+        let max_weights: Vec<f64> = (0..self.groups.len()).map(max_weight).collect();
+        // If no group has a usable server for a placement, its bindings may still move: an empty table replaces a
+        // current table that names lost servers.
+        let is_unserved: Vec<bool> =
+            weights.iter().map(|row| row.iter().all(|weight| *weight <= 0.0)).collect();
+        let is_open = |placement_index: usize, group: usize| {
+            is_unserved[placement_index] || weights[placement_index][group] > 0.0
+        };
+        let mut candidates = self.move_candidates(&is_open);
+        if !rebalancing && candidates.iter().all(|candidate| candidate.from.is_some()) {
             return;
         }
-        let loads = self.loads(&most, &candidates);
-        let mut group_loads = GroupLoads::new(&most, loads, weights.len(), &self.groups, &open);
-        candidates.retain(|candidate| due || candidate.from.is_none());
+        let loads = self.loads(&max_weights, &candidates);
+        let mut group_loads = GroupLoads::new(&max_weights, loads, weights.len(), &self.groups, &is_open);
+        candidates.retain(|candidate| rebalancing || candidate.from.is_none());
         let load =
             |candidate: &Candidate| candidate.from.map_or(f64::INFINITY, |from| group_loads.load(from));
         candidates
             .sort_by_cached_key(|candidate| Reverse((load(candidate).to_bits(), candidate.demand.to_bits())));
         for candidate in &candidates {
-            let away = |zone: Option<ZoneId>| {
+            let zone_factor = |zone: Option<ZoneId>| {
                 if zone.is_none_or(|zone| zone == candidate.zone) {
                     1.0
                 } else {
-                    AWAY
+                    REMOTE_ZONE_LOAD_FACTOR
                 }
             };
-            // A proxy's other groups: traffic spread over many servers lets connections fall idle.
+            // Prefer groups that the proxy's other classes use: connections go idle if traffic is spread over many
+            // servers.
             let bindings = self.proxies.get(&candidate.proxy).map_or(&[][..], |proxy| &proxy.bindings);
-            let others = bindings.iter().enumerate().filter(|(class, _)| *class != candidate.class);
-            let others: Vec<usize> = others.filter_map(|(_, binding)| binding.group).collect();
+            let other_bindings = bindings.iter().enumerate().filter(|(class, _)| *class != candidate.class);
+            let other_groups: Vec<usize> = other_bindings.filter_map(|(_, binding)| binding.group).collect();
             let factor = |zone: Option<ZoneId>, group: usize| {
-                away(zone) * if others.is_empty() || others.contains(&group) { 1.0 } else { APART }
+                zone_factor(zone)
+                    * if other_groups.is_empty() || other_groups.contains(&group) {
+                        1.0
+                    } else {
+                        SEPARATE_GROUP_LOAD_FACTOR
+                    }
             };
             let cost = |(zone, group): (Option<ZoneId>, usize)| {
                 let added = candidate.demand / group_loads.weights[group].max(1e-6);
                 (group, (group_loads.load(group) + added) * factor(zone, group))
             };
-            let known = others
+            let open_others = other_groups
                 .iter()
-                .filter(|group| Some(**group) != candidate.from && open(candidate.place, **group));
-            let known = known.map(|group| (self.groups[*group].zone, *group));
-            let least = group_loads.least(candidate.place, candidate.from).chain(known).map(cost);
-            let Some((to, new)) = least.min_by(|a, b| a.1.total_cmp(&b.1)) else { continue };
-            let old = |from: usize| group_loads.load(from) * factor(self.groups[from].zone, from);
-            if candidate.from.is_some_and(|from| old(from) <= MOVE_GAIN * new) {
+                .filter(|group| Some(**group) != candidate.from && is_open(candidate.place, **group));
+            let open_others = open_others.map(|group| (self.groups[*group].zone, *group));
+            let options = group_loads.least(candidate.place, candidate.from).chain(open_others).map(cost);
+            let Some((to, new_cost)) = options.min_by(|a, b| a.1.total_cmp(&b.1)) else { continue };
+            let current_cost = |from: usize| group_loads.load(from) * factor(self.groups[from].zone, from);
+            if candidate.from.is_some_and(|from| current_cost(from) <= MIN_MOVE_GAIN * new_cost) {
                 continue;
             }
             group_loads.add(to, candidate.demand);
@@ -325,29 +382,30 @@
         }
     }
 
-    fn candidates(&self, open: &dyn Fn(usize, usize) -> bool) -> Vec<Candidate> {
-        let all = self
+    fn move_candidates(&self, is_open: &dyn Fn(usize, usize) -> bool) -> Vec<Candidate> {
+        let bindings = self
             .proxies
             .iter()
-            .flat_map(|(id, proxy)| (0..proxy.bindings.len()).map(move |k| (id, proxy, k)));
+            .flat_map(|(id, proxy)| (0..proxy.bindings.len()).map(move |class| (id, proxy, class)));
         let candidate = |(id, proxy, class): (&ProxyId, &Proxy, usize)| {
             let Binding { place, group, .. } = proxy.bindings[class];
-            let (from, demand) = (group.filter(|group| open(place, *group)), self.demand(proxy, class));
+            let (from, demand) = (group.filter(|group| is_open(place, *group)), self.demand(proxy, class));
             Candidate { proxy: *id, zone: proxy.zone, class, demand, place, from }
         };
-        all.map(candidate).collect()
+        bindings.map(candidate).collect()
     }
 
-    /// The groups' loads. Proxies of other controllers are taken to load them evenly.
+    /// Returns the load of each group in operations per second. The proxies of other controllers are assumed to load
+    /// the groups in proportion to their weights.
     fn loads(&self, weights: &[f64], candidates: &[Candidate]) -> Vec<f64> {
         let mut loads = vec![0.0; weights.len()];
         for candidate in candidates {
             candidate.from.into_iter().for_each(|from| loads[from] += candidate.demand);
         }
-        let own: f64 = loads.iter().sum();
-        let sum = weights.iter().sum::<f64>().max(1e-9);
+        let own_load: f64 = loads.iter().sum();
+        let total_weight = weights.iter().sum::<f64>().max(1e-9);
         for (load, weight) in loads.iter_mut().zip(weights) {
-            *load += own * (1.0 / self.own_part() - 1.0) * weight / sum;
+            *load += own_load * (1.0 / self.own_proxy_share() - 1.0) * weight / total_weight;
         }
         loads
     }
