--- a/src/cold_placements.rs
+++ b/src/cold_placements.rs
@@ -1,5 +1,5 @@
-//! Decisions on placements of which all servers are surely cold: their tables keep lines to these servers, under levels
-//! that let in no more than the servers can surely do.
+//! Placements whose servers are all known to be cold: their tables keep lines to these servers, with levels that
+//! admit no more than the servers can certainly handle.
 
 use std::collections::BTreeMap;
 
@@ -9,90 +9,107 @@
 use crate::state::State::Cold;
 use crate::state::*;
 
-const YIELD_SHARE: f64 = 0.75; // share counted on of the best that servers have shown lately: the best of noisy sums
-const UNMEASURED_YIELD_SHARE: f64 = 0.5; // share counted on of what usual traffic tells, before servers have shown what they can do
-const STEADY_LOAD_SHARE: f64 = 0.5; // share of the multiple at which a cold server falls that all proxies at their levels may reach
-const BURST_LOAD_SHARE: f64 = 0.75; // the same of what may come within one window: each proxy lets one operation pass at once
-const RATE_SEARCH_STEPS: usize = 20; // halvings of the span in which a safe rate is looked for
+/// Share of the best observed yield that is relied on, since the maximum of noisy load reports is too high.
+const YIELD_SHARE: f64 = 0.75;
+/// Share of the yield derived from usual traffic that is relied on until the servers' capacity has been observed.
+const UNMEASURED_YIELD_SHARE: f64 = 0.5;
+/// Share of the load multiple at which a cold server fails that all proxies together may reach at their levels.
+const STEADY_LOAD_SHARE: f64 = 0.5;
+/// The same share for what may arrive within one window: each proxy admits one operation at once.
+const BURST_LOAD_SHARE: f64 = 0.75;
+/// Bisection steps in the search for a safe rate.
+const RATE_SEARCH_STEPS: usize = 20;
 
 impl Controller {
-    /// Finds the placements that have servers listed as ready, none of which is in use or may be warm.
+    /// Determines which placements have servers listed as ready, none of which is in use or may be warm.
     pub(crate) fn find_cold_placements(&mut self) {
         let is_cold = |placement: &Placement| {
-            let ready = || self.servers.values().filter(|s| s.ready() && placement.allows(&s.listing));
+            let ready_servers =
+                || self.servers.values().filter(|s| s.ready() && placement.allows(&s.listing));
             let can_serve = |s: &Server| s.in_use() || s.may_be_warm(self.now, &self.settings);
-            ready().next().is_some() && !ready().any(can_serve)
+            ready_servers().next().is_some() && !ready_servers().any(can_serve)
         };
         self.cold_placements = self.placements.iter().map(is_cold).collect();
     }
 
-    /// Whether a table serves a placement of which all servers are cold; one of a zone may serve several placements.
-    pub(crate) fn is_cold_table(&self, group: usize, place: usize) -> bool {
-        let table = self.table_id(group, place);
+    /// Returns whether a table serves a placement whose servers are all cold. The table of a group of one zone may
+    /// serve several placements.
+    pub(crate) fn is_cold_table(&self, group: usize, placement_index: usize) -> bool {
+        let table = self.table_id(group, placement_index);
         let cold = self.cold_placements.iter().enumerate().filter(|(_, is_cold)| **is_cold);
         cold.into_iter().any(|(other, _)| self.table_id(group, other) == table)
     }
 
-    /// Cold servers of a group that a placement allows, with what each can surely do; those that were shut out only where
-    /// there is no other.
+    /// Returns the cold servers of a group that a placement allows, with the weight each can certainly handle. Ejected
+    /// servers are included only if there are no others.
     pub(crate) fn cold_weights(&self, group: usize, placement: &Placement) -> Vec<(&Server, f64)> {
         let fits = |s: &&Server| s.ready() && placement.allows(&s.listing);
         let members = || self.groups[group].members.iter().map(|id| &self.servers[id]).filter(fits);
-        let weigh = |s| (s, Server::listed_weight(s) * s.warmed(self.now, &self.settings));
-        let sound: Vec<_> = members().filter(|s| s.state == Cold).map(weigh).collect();
-        if sound.is_empty() {
-            members().map(weigh).collect()
+        let with_weight = |s| (s, Server::listed_weight(s) * s.warmed(self.now, &self.settings));
+        let cold: Vec<_> = members().filter(|s| s.state == Cold).map(with_weight).collect();
+        if cold.is_empty() {
+            members().map(with_weight).collect()
         } else {
-            sound
+            cold
         }
     }
 
-    /// What bindings under a placement count a group with: its weight, or what its cold servers can do where there are no
-    /// others anywhere.
-    pub(crate) fn binding_weight(&self, group: usize, place: usize) -> f64 {
-        let placement = &self.placements[place];
-        match self.cold_placements[place] {
+    /// Returns the weight of a group for bindings under a placement: its total weight, or what its cold servers can
+    /// handle if the placement has only cold servers in all groups.
+    pub(crate) fn binding_weight(&self, group: usize, placement_index: usize) -> f64 {
+        let placement = &self.placements[placement_index];
+        match self.cold_placements[placement_index] {
             true => self.cold_weights(group, placement).iter().map(|(_, weight)| weight).sum(),
             false => self.total_weight(group, placement),
         }
     }
 
-    /// Levels of a table to cold servers alone: what these can surely do, the most important class first.
-    pub(crate) fn cold_levels(&self, group: usize, place: usize) -> BTreeMap<usize, (f64, FurtherTries)> {
-        let best = self.best_yield.read(self.now);
-        let usual = UNMEASURED_YIELD_SHARE * self.usual / DEFAULT_BUSY_SHARE / self.most_listed.max(1.0);
-        let each = if best > 0.0 { YIELD_SHARE * best * self.own_proxy_share() } else { usual };
-        let weights = self.cold_weights(group, &self.placements[place]);
-        let able = each * weights.iter().map(|(_, weight)| weight).sum::<f64>();
-        let arrivals = self.table_arrivals(self.table_id(group, place));
+    /// Returns the levels of a table that has only cold servers: what these can certainly handle, allocated to the
+    /// most important class first.
+    pub(crate) fn cold_levels(
+        &self,
+        group: usize,
+        placement_index: usize,
+    ) -> BTreeMap<usize, (f64, FurtherTries)> {
+        let best_yield = self.best_yield.read(self.now);
+        let usual_yield =
+            UNMEASURED_YIELD_SHARE * self.usual / DEFAULT_BUSY_SHARE / self.most_listed.max(1.0);
+        let unit_yield =
+            if best_yield > 0.0 { YIELD_SHARE * best_yield * self.own_proxy_share() } else { usual_yield };
+        let weights = self.cold_weights(group, &self.placements[placement_index]);
+        let capacity = unit_yield * weights.iter().map(|(_, weight)| weight).sum::<f64>();
+        let arrivals = self.table_arrivals(self.table_id(group, placement_index));
         let level = |class: usize, share: f64| match self.settings.level_unit {
             LevelUnit::Share => share.min(1.0),
-            LevelUnit::Rate => rate_cap(&arrivals[class], share).min(self.safe_rate(able, &arrivals[class])),
+            LevelUnit::Rate => {
+                rate_cap(&arrivals[class], share).min(self.safe_rate(capacity, &arrivals[class]))
+            }
             LevelUnit::Ignored => 1.0,
         };
-        let shares = self.admitted_shares(able, &arrivals);
+        let shares = self.admitted_shares(capacity, &arrivals);
         let levels = shares.into_iter().map(|(class, share)| (class, level(class, share)));
         levels.map(|(class, level)| (class, (level, FurtherTries::Never))).collect()
     }
 
-    /// The highest rate at each proxy at which cold servers do not fall, neither by what passes steadily nor by what passes
-    /// at once: a proxy that has let nothing pass for a while lets its next operation pass whatever its rate.
-    fn safe_rate(&self, able: f64, arrivals: &[f64]) -> f64 {
+    /// Returns the highest rate per proxy at which cold servers don't fail, neither from steady load nor from a burst:
+    /// a proxy that has admitted nothing for a while admits its next operation whatever its rate.
+    fn safe_rate(&self, capacity: f64, arrivals: &[f64]) -> f64 {
         let (multiple, window) = (self.settings.fall_multiple, self.settings.fall_window.secs());
-        let budget = BURST_LOAD_SHARE * multiple * able * window;
-        let at_once = |rate: f64| -> f64 {
+        let budget = BURST_LOAD_SHARE * multiple * capacity * window;
+        let burst = |rate: f64| -> f64 {
             arrivals.iter().map(|arrived| (arrived * window).min(1.0 + rate * window)).sum()
         };
-        let (mut safe, mut unsafe_rate) = (0.0, STEADY_LOAD_SHARE * multiple * able / arrivals.len() as f64);
-        if at_once(unsafe_rate) <= budget {
+        let (mut safe, mut unsafe_rate) =
+            (0.0, STEADY_LOAD_SHARE * multiple * capacity / arrivals.len() as f64);
+        if burst(unsafe_rate) <= budget {
             return unsafe_rate;
         }
-        if at_once(0.0) > budget {
+        if burst(0.0) > budget {
             return 0.0;
         }
         for _ in 0..RATE_SEARCH_STEPS {
             let middle = (safe + unsafe_rate) / 2.0;
-            if at_once(middle) <= budget {
+            if burst(middle) <= budget {
                 safe = middle;
             } else {
                 unsafe_rate = middle;
@@ -101,7 +118,7 @@
         safe
     }
 
-    /// By class: what comes to each proxy that is bound to a table, per second.
+    /// Returns, by class, the arrivals per second at each proxy that is bound to a table.
     fn table_arrivals(&self, table: TableId) -> Vec<Vec<f64>> {
         let mut arrivals = vec![Vec::new(); self.classes.len()];
         for proxy in self.proxies.values() {
