--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs that check the rules after every step, whatever is told, and however it lies.
+//! Seeded random runs that check the rules after every step for arbitrary input, including false reports.
 
 mod helpers;
 
@@ -6,22 +6,23 @@
 use helpers::{listing, secs, server, settings, World};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-const TURN: f64 = 0.25; // s; after which a controller asks to be woken
+/// Time in seconds after which a controller asks to be woken.
+const EVALUATION_INTERVAL_S: f64 = 0.25;
 
-/// One thing that may come in, with numbers that a world gives a meaning to.
+/// A random input; `event_of` turns its numbers into an event of a world.
 #[derive(Clone, Debug)]
-enum Happening {
-    Pass,
+enum Input {
+    Nothing,
     Join(u16),
     Leave(u16),
     Restart(usize),
-    /// All servers of a zone, or all but one.
+    /// Restarts all servers of a zone, or all but one.
     RestartZone(u16, bool),
     Drain(usize),
-    Gone(usize),
+    Remove(usize),
     WholeList(u32),
-    ListFails,
-    Heard {
+    ListFailure,
+    Report {
         number: usize,
         tries: u64,
         unanswered: u64,
@@ -33,86 +34,84 @@
         class: u8,
         arrived: u64,
     },
-    Probed(usize, bool),
-    Unknown,
+    Probe(usize, bool),
+    UnknownServer,
 }
 
-impl Arbitrary for Happening {
+impl Arbitrary for Input {
     fn arbitrary(g: &mut Gen) -> Self {
         let number = usize::arbitrary(g) % 14;
         let proxy = u16::arbitrary(g) % 6;
         match u8::arbitrary(g) % 21 {
-            0 | 1 => Happening::Join(proxy),
-            2 => Happening::Leave(proxy),
-            3 => Happening::Restart(number),
-            4 => Happening::Drain(number),
-            5 => Happening::Gone(number),
-            6 => Happening::WholeList(u32::arbitrary(g)),
-            7 => Happening::ListFails,
-            8..=12 => Happening::Heard {
+            0 | 1 => Input::Join(proxy),
+            2 => Input::Leave(proxy),
+            3 => Input::Restart(number),
+            4 => Input::Drain(number),
+            5 => Input::Remove(number),
+            6 => Input::WholeList(u32::arbitrary(g)),
+            7 => Input::ListFailure,
+            8..=12 => Input::Report {
                 number,
                 tries: u64::arbitrary(g) % 40,
                 unanswered: u64::arbitrary(g) % 40,
                 millis: u64::arbitrary(g) % 4_000,
                 busy: u8::arbitrary(g) % 120,
             },
-            13..=15 => {
-                Happening::Demand { proxy, class: u8::arbitrary(g) % 4, arrived: u64::arbitrary(g) % 90 }
-            }
-            16 => Happening::Probed(number, bool::arbitrary(g)),
-            17 => Happening::Unknown,
-            18 => Happening::RestartZone(proxy % 2, bool::arbitrary(g)),
-            _ => Happening::Pass,
+            13..=15 => Input::Demand { proxy, class: u8::arbitrary(g) % 4, arrived: u64::arbitrary(g) % 90 },
+            16 => Input::Probe(number, bool::arbitrary(g)),
+            17 => Input::UnknownServer,
+            18 => Input::RestartZone(proxy % 2, bool::arbitrary(g)),
+            _ => Input::Nothing,
         }
     }
 }
 
-fn event_of(happening: &Happening, world: &World) -> Option<Event> {
-    Some(match happening {
-        Happening::Pass => return None,
-        Happening::Join(proxy) => World::join(*proxy),
-        Happening::Leave(proxy) => Event::ProxyLeft { proxy: ProxyId(*proxy) },
-        Happening::Restart(number) => World::change(*number, Some(world.now), Readiness::Ready),
-        Happening::RestartZone(zone, is_whole) => {
+fn event_of(input: &Input, world: &World) -> Option<Event> {
+    Some(match input {
+        Input::Nothing => return None,
+        Input::Join(proxy) => World::join(*proxy),
+        Input::Leave(proxy) => Event::ProxyLeft { proxy: ProxyId(*proxy) },
+        Input::Restart(number) => World::change(*number, Some(world.now), Readiness::Ready),
+        Input::RestartZone(zone, is_whole) => {
             let listed = world.list.values().filter(|entry| entry.readiness == Readiness::Ready);
             let zone = listed.filter(|entry| entry.zone == ZoneId(*zone)).skip(usize::from(!is_whole));
             let entries = zone.map(|entry| Listing { started: Some(world.now), ..entry.clone() }).collect();
             Event::List { scope: ListScope::Changes, entries }
         }
-        Happening::Drain(number) => World::change(*number, None, Readiness::Draining),
-        Happening::Gone(number) => World::change(*number, None, Readiness::Removed),
-        Happening::WholeList(bits) => {
+        Input::Drain(number) => World::change(*number, None, Readiness::Draining),
+        Input::Remove(number) => World::change(*number, None, Readiness::Removed),
+        Input::WholeList(bits) => {
             let listed = (0..14).filter(|number| bits >> number & 1 == 1);
             let entries = listed.map(|number| listing(number, None, Readiness::Ready)).collect();
             Event::List { scope: ListScope::Whole, entries }
         }
-        Happening::ListFails => Event::List { scope: ListScope::Failed, entries: [].into() },
-        Happening::Heard { number, tries, unanswered, millis, busy } => {
+        Input::ListFailure => Event::List { scope: ListScope::Failed, entries: [].into() },
+        Input::Report { number, tries, unanswered, millis, busy } => {
             let busy = (*busy > 20).then_some(f64::from(*busy) / 100.0);
             World::heard(*number, *tries, *unanswered, *millis as f64 / 1e3, busy)
         }
-        Happening::Demand { proxy, class, arrived } => Event::Demand {
+        Input::Demand { proxy, class, arrived } => Event::Demand {
             proxy: ProxyId(*proxy),
             class: ClassId(*class),
             arrived: *arrived,
             unanswered: 0,
             span: secs(1.0),
         },
-        Happening::Probed(number, good) => Event::Probed {
+        Input::Probe(number, answered) => Event::Probed {
             server: server(*number),
-            outcome: if *good { ProbeOutcome::Answered } else { ProbeOutcome::Failed },
+            outcome: if *answered { ProbeOutcome::Answered } else { ProbeOutcome::Failed },
             took: secs(0.1),
             report: LoadReport::default(),
         },
-        Happening::Unknown => World::heard(99, 3, 3, 1.0, None),
+        Input::UnknownServer => World::heard(99, 3, 3, 1.0, None),
     })
 }
 
-fn rules_hold(happenings: Vec<(Happening, Happening, u8)>, units: u8, seed: u64) -> bool {
+fn rules_hold(inputs: Vec<(Input, Input, u8)>, units: u8, seed: u64) -> bool {
     let unit = [LevelUnit::Share, LevelUnit::Rate, LevelUnit::Ignored][usize::from(units % 3)];
     let mut settings = settings(unit);
     if units.is_multiple_of(2) {
-        // A channel that cannot take all that is wanted at once.
+        // A channel too small to take all orders at once.
         (settings.channel_lines_per_second, settings.channel_lines_limit) = (500.0, 180.0);
     }
     match seed % 4 {
@@ -123,19 +122,20 @@
     }
     let mut world = World::new(settings, seed, 6 + usize::from(units % 7));
     world.step(0.1, &(0..6).map(World::join).collect::<Vec<_>>());
-    for (one, two, pause) in &happenings {
-        let events: Vec<Event> = [one, two].into_iter().filter_map(|it| event_of(it, &world)).collect();
+    for (first, second, pause) in &inputs {
+        let events: Vec<Event> =
+            [first, second].into_iter().filter_map(|input| event_of(input, &world)).collect();
         let mut pause = f64::from(*pause) / 128.0;
-        // A channel that cannot take all at once needs the turns that were asked for.
-        while units.is_multiple_of(2) && pause > TURN {
-            world.step(TURN, &[Event::Woken]);
-            pause -= TURN;
+        // With a small channel the controller needs the wake-ups that it asked for.
+        while units.is_multiple_of(2) && pause > EVALUATION_INTERVAL_S {
+            world.step(EVALUATION_INTERVAL_S, &[Event::Woken]);
+            pause -= EVALUATION_INTERVAL_S;
         }
         world.step(pause, &events);
     }
-    // Servers just restarted and all proxies anew, at once.
-    let herd = (0..4).map(|number| World::change(number, Some(world.now), Readiness::Ready));
-    world.step(0.3, &herd.chain((0..6).map(World::join)).collect::<Vec<_>>());
+    // Several servers restart and all proxies join again at once.
+    let restarts = (0..4).map(|number| World::change(number, Some(world.now), Readiness::Ready));
+    world.step(0.3, &restarts.chain((0..6).map(World::join)).collect::<Vec<_>>());
     for _ in 0..80 {
         world.step(0.25, &[Event::Woken]);
     }
@@ -143,9 +143,9 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_comes_in() {
+fn the_rules_hold_for_any_input() {
     for seed in [1, 2, 3] {
-        let run = rules_hold as fn(Vec<(Happening, Happening, u8)>, u8, u64) -> bool;
+        let run = rules_hold as fn(Vec<(Input, Input, u8)>, u8, u64) -> bool;
         QuickCheck::new().rng(Gen::from_size_and_seed(150, seed)).tests(60).quickcheck(run);
     }
 }
