--- a/src/policy.rs
+++ b/src/policy.rs
@@ -210,8 +210,9 @@
                 sizes[known.group] -= usize::from(known.ready());
                 self.groups[known.group].members.remove(&entry.server);
             }
-            let stays = known.filter(|known| known.listing.zone == entry.zone).map(|known| known.group);
-            let group = stays.unwrap_or_else(|| self.choose_group(entry, &mut sizes));
+            let current_group =
+                known.filter(|known| known.listing.zone == entry.zone).map(|known| known.group);
+            let group = current_group.unwrap_or_else(|| self.choose_group(entry, &mut sizes));
             sizes[group] += usize::from(entry.readiness == Readiness::Ready);
             self.groups[group].members.insert(entry.server.clone());
             let server =
@@ -232,7 +233,7 @@
         let by_zone =
             total >= MIN_SERVERS_TO_SPLIT && zones.values().all(|count| *count >= MIN_SERVERS_PER_ZONE);
         let zone_sizes = if by_zone {
-            zones.into_iter().map(|(z, n)| (Some(z), n)).collect()
+            zones.into_iter().map(|(zone, count)| (Some(zone), count)).collect()
         } else {
             vec![(None, total)]
         };
@@ -253,8 +254,8 @@
 
     /// Returns the smallest group that a server may join; creates one for a zone without any.
     fn choose_group(&mut self, entry: &Listing, sizes: &mut Vec<usize>) -> usize {
-        let open = |group: &usize| self.groups[*group].zone.is_none_or(|zone| zone == entry.zone);
-        (0..self.groups.len()).filter(open).min_by_key(|group| sizes[*group]).unwrap_or_else(|| {
+        let accepts = |group: &usize| self.groups[*group].zone.is_none_or(|zone| zone == entry.zone);
+        (0..self.groups.len()).filter(accepts).min_by_key(|group| sizes[*group]).unwrap_or_else(|| {
             self.groups.push(Group::new(Some(entry.zone)));
             sizes.push(0);
             self.groups.len() - 1
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -157,11 +157,11 @@
 fn a_server_that_fails_among_cold_ones_is_not_left_with_all_that_comes() {
     let mut world = calm_world(LevelUnit::Share);
     let start = world.now;
-    let cold = (1..5).map(|index| World::change(2 * index, Some(start), Readiness::Ready));
+    let cold = (1..5).map(|k| World::change(2 * k, Some(start), Readiness::Ready));
     world.step(0.1, &cold.collect::<Vec<_>>());
     pass(&mut world, 9, &[2, 4, 6, 8], 9, Some(0.5));
     let before = world.lines(0, 2);
-    assert!(before.len() > 3, "cold servers are missing: {before:?}");
+    assert!(before.len() > 3, "cold ones are in: {before:?}");
     for _ in 0..4 {
         world.step(0.5, &[World::heard(0, 10, 3, 0.3, Some(0.5))]);
     }
