--- a/src/health.rs
+++ b/src/health.rs
@@ -2,7 +2,10 @@
 //! each server within its group.
 
 use crate::interface::*;
-use crate::policy::{BUSY_UNTOLD, EVIDENCE, HEARD, ODD_SHARE, STEP, STEPS};
+use crate::policy::{
+    DEFAULT_BUSY_SHARE, MIN_REPORT_WEIGHT, MIN_TRIES, REBALANCE_ROUNDS, SETTLING_PERIOD,
+    SUSPECT_FAILURE_SHARE,
+};
 use crate::state::ServerState::{Away, Cold, Doubted, Open, Out};
 use crate::state::*;
 
@@ -68,7 +71,7 @@
     /// Observed outcomes to judge it by: those of proxies in its own zone if there are enough, since the
     /// network path may affect proxies in other zones.
     pub(crate) fn relevant_outcomes(&self, now: Nanos) -> Outcomes {
-        let own_zone = Some(self.own_zone.read(now)).filter(|own_zone| own_zone.tries >= EVIDENCE);
+        let own_zone = Some(self.own_zone.read(now)).filter(|own_zone| own_zone.tries >= MIN_TRIES);
         own_zone.unwrap_or_else(|| self.other_zones.read(now))
     }
 
@@ -103,7 +106,7 @@
         min_warm_share: f64,
     ) -> f64 {
         let warm_share = self.warm_share(now, settings);
-        let joining_factor = if self.joined_at.is_some_and(|joined_at| now - joined_at < STEP) {
+        let joining_factor = if self.joined_at.is_some_and(|joined_at| now - joined_at < SETTLING_PERIOD) {
             INITIAL_WEIGHT_SHARE
         } else {
             1.0
@@ -111,7 +114,7 @@
         match self.state {
             Away | Out => 0.0,
             // Also 0 while the controller itself has just started and knows little.
-            Cold if warm_share < min_warm_share || now - controller_start < STEP => 0.0,
+            Cold if warm_share < min_warm_share || now - controller_start < SETTLING_PERIOD => 0.0,
             Cold | Open | Doubted => warm_share * joining_factor,
         }
     }
@@ -120,7 +123,7 @@
 impl Group {
     /// Share of its capacity below which a new member gets no line.
     pub(crate) fn min_warm_share(&self) -> f64 {
-        let is_calm = self.outcomes.tries >= EVIDENCE && self.outcomes.failed_share() < CALM_FAILED_SHARE;
+        let is_calm = self.outcomes.tries >= MIN_TRIES && self.outcomes.failed_share() < CALM_FAILED_SHARE;
         if is_calm {
             MIN_WARM_SHARE_CALM
         } else {
@@ -142,10 +145,10 @@
         let ejectable_weight = group.weight_in_use - MIN_WEIGHT_SHARE_IN_USE * group.listed_weight;
         let is_overload_likely = group.load == LoadState::Shedding && server.probes_failed == 0;
         let is_failing =
-            tries >= EVIDENCE && failed_share >= BROKEN_FAILED_SHARE && is_outlier && !is_overload_likely;
+            tries >= MIN_TRIES && failed_share >= BROKEN_FAILED_SHARE && is_outlier && !is_overload_likely;
         let is_unresponsive =
-            server.probes_failed >= PROBES_TO_EJECT && (failed_share > ODD_SHARE || tries < 1.0);
-        let is_recovered = now - server.state_since >= DOUBT_TIMEOUT && failed_share < ODD_SHARE;
+            server.probes_failed >= PROBES_TO_EJECT && (failed_share > SUSPECT_FAILURE_SHARE || tries < 1.0);
+        let is_recovered = now - server.state_since >= DOUBT_TIMEOUT && failed_share < SUSPECT_FAILURE_SHARE;
         let probes_needed = PROBES_TO_CLEAR << server.ejections.saturating_sub(1).min(3);
         let has_waited = now - server.state_since >= Nanos(PROBE_INTERVAL.0 * u64::from(probes_needed));
         let holds = |trigger: ServerTrigger| match trigger {
@@ -158,7 +161,7 @@
                 (is_failing || is_unresponsive) && server.listed_weight() <= ejectable_weight
             }
             ServerTrigger::Odd => {
-                failed_share * tries >= EVIDENCE / 2.0 && failed_share >= ODD_SHARE && is_outlier
+                failed_share * tries >= MIN_TRIES / 2.0 && failed_share >= SUSPECT_FAILURE_SHARE && is_outlier
             }
             ServerTrigger::Sound => {
                 is_recovered || server.state == Doubted && server.probes_answered >= PROBES_TO_CLEAR
@@ -207,7 +210,7 @@
                 (server.own_zone, server.other_zones, server.weight_factor) =
                     (DecayingOutcomes::default(), DecayingOutcomes::default(), 1.0);
             }
-            self.binding_steps_left = STEPS;
+            self.binding_steps_left = REBALANCE_ROUNDS;
         }
     }
 
@@ -247,7 +250,7 @@
         for group in &mut self.groups {
             let members = || group.members.iter().map(|id| &self.servers[id]);
             let in_use = || members().filter(|s| s.in_use());
-            let busy = |s: &Server| Some(s.listed_weight() * s.busy.mean(now, HEARD)?);
+            let busy = |s: &Server| Some(s.listed_weight() * s.busy.mean(now, MIN_REPORT_WEIGHT)?);
             let busy: Option<f64> = in_use().map(busy).sum();
             let weight_in_use: f64 = in_use().map(Server::listed_weight).sum();
             let listed_weight = members().filter(|s| s.is_ready()).map(Server::listed_weight).sum();
@@ -256,25 +259,26 @@
             member_outcomes.sort_by(|a, b| a.failed_share().total_cmp(&b.failed_share()));
             let half = member_outcomes.len().div_ceil(2);
             let better = member_outcomes.into_iter().take(half).fold(Outcomes::default(), Outcomes::plus);
-            group.better_half_failed_share = (better.failed + 1.0) / (better.tries + EVIDENCE);
+            group.better_half_failed_share = (better.failed + 1.0) / (better.tries + MIN_TRIES);
             group.cold_outcomes =
                 members().filter(|s| s.state == Cold).map(|s| s.all_outcomes(now)).reduce(Outcomes::plus);
             (group.outcomes, group.weight_in_use, group.listed_weight) =
                 (outcomes, weight_in_use, listed_weight);
             let in_flight = members()
                 .filter(|s| s.in_use() || s.state == Cold)
-                .filter_map(|s| s.in_flight.mean(now, HEARD));
+                .filter_map(|s| s.in_flight.mean(now, MIN_REPORT_WEIGHT));
             group.in_flight = in_flight.sum();
             group.busy =
                 busy.filter(|_| weight_in_use > 0.0).map(|busy| (busy / weight_in_use).clamp(MIN_BUSY, 1.0));
             handled += outcomes.handled_rate;
-            busy_weight += weight_in_use * group.busy.unwrap_or(BUSY_UNTOLD);
+            busy_weight += weight_in_use * group.busy.unwrap_or(DEFAULT_BUSY_SHARE);
         }
         self.max_listed_weight =
             self.groups.iter().map(|group| group.listed_weight).sum::<f64>().max(self.max_listed_weight);
-        let throughput_per_weight = handled / busy_weight.max(1e-9) / self.own_part();
+        let throughput_per_weight = handled / busy_weight.max(1e-9) / self.own_proxy_share();
         // Totals say too little until they cover enough time.
-        let throughput_per_weight = if now - self.started_at < STEP { 0.0 } else { throughput_per_weight };
+        let throughput_per_weight =
+            if now - self.started_at < SETTLING_PERIOD { 0.0 } else { throughput_per_weight };
         let best = self.best_throughput_per_weight.read(now);
         self.best_throughput_per_weight.add(
             now,
@@ -294,7 +298,7 @@
         for server in self.servers.values_mut() {
             let outcomes = server.relevant_outcomes(self.now);
             let adjustment = match self.groups[server.group].outcomes.mean_wait() / outcomes.mean_wait() {
-                ratio if outcomes.tries >= EVIDENCE && ratio.is_finite() && ratio > 0.0 => {
+                ratio if outcomes.tries >= MIN_TRIES && ratio.is_finite() && ratio > 0.0 => {
                     ratio.powf(WEIGHT_FACTOR_EXPONENT)
                 }
                 _ => server.weight_factor.powf(-WEIGHT_FACTOR_EXPONENT),
--- a/src/sender.rs
+++ b/src/sender.rs
@@ -1,109 +1,132 @@
-//! The paced sender: what proxies should hold, against what they hold, in ranks, as far as the channel can drain it.
+//! The rate-limited sender: compares what proxies should hold with what they hold and sends the differences by rank,
+//! as far as the channel can drain them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::*;
-use crate::policy::{LEAST, ODD_SHARE, PLACES, TURN};
+use crate::policy::{EVALUATION_INTERVAL, MIN_SHARE, SUSPECT_FAILURE_SHARE, TABLES_PER_GROUP};
 use crate::state::ServerState::Cold;
 use crate::state::*;
 
-const CHANGE: f64 = 0.12; // share by which a line or level must move: less is not worth the channel
-const CHANNEL_SHARE: f64 = 0.5; // share of the channel's told pace counted on: it may run slower
-const REFUSED_FORGOTTEN: Nanos = Nanos::from_millis(10_000); // ms; after its wait a refusal counts no more
-const QUEUE_SHARES: [f64; 5] = [0.7, 0.5, 0.3, 0.3, 0.3]; // by rank: share of the limit to be filled
-const MARK_SHARE: f64 = 0.1; // share of the channel's limit sent between marks: a mark costs a line a message
-const WAY: Nanos = Nanos::from_millis(1_000); // ms; a message's way to a proxy and its answer's back, at most
-const MARK_LOST: Nanos = Nanos::from_millis(10_000); // ms; an answer this late is lost, with its stream
-const LINE_STEPS: f64 = 1e4; // a unit of weight is told in so many steps
-const LINE_LEAST: f64 = 1.0 / LINE_STEPS; // the least weight of a line: what is smaller would be none
+/// Relative change from which a line or level is sent again; a smaller one is not worth the channel's capacity.
+const MIN_RELATIVE_CHANGE: f64 = 0.12;
+/// Share of the channel's configured rate that is relied on, since it may run slower.
+const CHANNEL_RATE_SHARE: f64 = 0.5;
+/// Time for which a refusal is remembered after its retry delay.
+const REFUSAL_RETENTION: Nanos = Nanos::from_millis(10_000);
+/// Share of the channel's line limit that may be filled, by rank of the order.
+const QUEUE_SHARE_BY_RANK: [f64; 5] = [0.7, 0.5, 0.3, 0.3, 0.3];
+/// Share of the channel's line limit sent between marks; a mark costs one line per message.
+const MARK_QUEUE_SHARE: f64 = 0.1;
+/// Upper bound of the time that a message to a proxy and the proxy's answer take.
+const MAX_ROUND_TRIP: Nanos = Nanos::from_millis(1_000);
+/// Time after which the answer to a mark counts as lost together with its stream.
+const MARK_TIMEOUT: Nanos = Nanos::from_millis(10_000);
+/// Steps per unit of weight that published weights are rounded to.
+const WEIGHT_STEPS: f64 = 1e4;
+/// Smallest published weight of a line; anything smaller would round to zero.
+const MIN_LINE_WEIGHT: f64 = 1.0 / WEIGHT_STEPS;
 
-/// A line's weight as it is told: rounding must not end a line, however small the weights that are listed.
-fn told_weight(weight: f64) -> f64 {
-    ((weight * LINE_STEPS).round() / LINE_STEPS).max(LINE_LEAST)
+/// Rounds a line's weight for publishing. Rounding must not remove a line, however small the listed weights are.
+fn rounded_weight(weight: f64) -> f64 {
+    ((weight * WEIGHT_STEPS).round() / WEIGHT_STEPS).max(MIN_LINE_WEIGHT)
 }
 
 impl Controller {
-    pub(crate) fn wanted_lines(&self, group: usize, place: usize) -> BTreeMap<ServerId, f64> {
-        let placement = &self.placements[place];
-        if self.is_cold_table(group, place) {
+    pub(crate) fn desired_lines(&self, group: usize, placement_index: usize) -> BTreeMap<ServerId, f64> {
+        let placement = &self.placements[placement_index];
+        if self.is_cold_table(group, placement_index) {
             let line = |(server, weight): (&Server, f64)| {
-                (server.listing.server.clone(), told_weight(weight * server.weight_factor.min(1.0)))
+                (server.listing.server.clone(), rounded_weight(weight * server.weight_factor.min(1.0)))
             };
             return self.cold_weights(group, placement).into_iter().map(line).collect();
         }
-        // Where tries fail more are made, and proxies that avoid failing servers send all to one that has not
-        // failed them yet: a cold server gets less, and, beside servers that fail, nothing.
-        let (open, cold) =
+        // Failed tries cause further tries, and proxies that avoid failing servers send all of them to a server that
+        // has not failed yet. So a cold server gets a smaller weight, and none beside failing servers.
+        let (open_outcomes, cold_outcomes) =
             (&self.groups[group].outcomes, self.groups[group].cold_outcomes.unwrap_or_default());
-        let answered = 1.0 - open.failed_share().max(cold.failed_share());
-        let guard = if open.failed_share() < ODD_SHARE { answered.powi(2).max(LEAST) } else { 0.0 };
-        let lines = |guard: f64| -> BTreeMap<ServerId, f64> {
+        let answered_share = 1.0 - open_outcomes.failed_share().max(cold_outcomes.failed_share());
+        let cold_factor = if open_outcomes.failed_share() < SUSPECT_FAILURE_SHARE {
+            answered_share.powi(2).max(MIN_SHARE)
+        } else {
+            0.0
+        };
+        let lines = |cold_factor: f64| -> BTreeMap<ServerId, f64> {
             let line = |(server, weight): (&Server, f64)| {
-                let cold = server.state == Cold;
-                let weight =
-                    weight * if cold { server.weight_factor.min(1.0) * guard } else { server.weight_factor };
-                (weight > 0.0).then(|| (server.listing.server.clone(), told_weight(weight)))
+                let is_cold = server.state == Cold;
+                let weight = weight
+                    * if is_cold {
+                        server.weight_factor.min(1.0) * cold_factor
+                    } else {
+                        server.weight_factor
+                    };
+                (weight > 0.0).then(|| (server.listing.server.clone(), rounded_weight(weight)))
             };
-            self.weights_of(group, placement).into_iter().filter_map(line).collect()
+            self.server_weights(group, placement).into_iter().filter_map(line).collect()
         };
-        // A group that nothing else is left of keeps a line to its cold servers.
-        Some(lines(guard)).filter(|lines| !lines.is_empty()).unwrap_or_else(|| lines(LEAST))
+        // A group that has only cold servers left keeps lines to them.
+        Some(lines(cold_factor)).filter(|lines| !lines.is_empty()).unwrap_or_else(|| lines(MIN_SHARE))
     }
 
-    /// Sends what changed, as far as the channel can drain it; moves off lost servers go first.
+    /// Sends the differences as far as the channel can drain them; moves off lost servers go first.
     pub(crate) fn publish(&mut self, orders: &mut Vec<Order>) {
-        self.channel.drain(self.now, self.settings.channel_lines_per_second * CHANNEL_SHARE);
-        let gap = self.settings.message_span.0.checked_div(u64::from(self.settings.message_limit));
-        let rested = self.now - self.channel.sent_at;
-        if rested < Nanos(gap.unwrap_or(0)) {
+        self.channel.drain(self.now, self.settings.channel_lines_per_second * CHANNEL_RATE_SHARE);
+        let min_interval = self.settings.message_span.0.checked_div(u64::from(self.settings.message_limit));
+        let since_sent = self.now - self.channel.sent_at;
+        if since_sent < Nanos(min_interval.unwrap_or(0)) {
             return;
         }
         let mut users = self.table_users();
         let mut binds: BTreeMap<(ProxyId, TableId), (u8, ClassSet)> = BTreeMap::new();
-        let mut used: BTreeSet<TableId> = BTreeSet::new();
-        let lost = |id: &ServerId| !self.servers[id].is_ready() || self.servers[id].state == Cold;
-        let left_bare = |table: &TableId| self.tables[table].lines.keys().all(lost);
+        let mut bound_tables: BTreeSet<TableId> = BTreeSet::new();
+        let is_lost = |id: &ServerId| !self.servers[id].is_ready() || self.servers[id].state == Cold;
+        let has_no_usable_line = |table: &TableId| self.tables[table].lines.keys().all(is_lost);
         for (id, proxy) in &self.proxies {
             for (class, binding) in proxy.bindings.iter().enumerate() {
                 let Some(group) = binding.group else { continue };
-                let table = self.table_of(group, binding.placement);
-                used.insert(table);
+                let table = self.table_id(group, binding.placement);
+                bound_tables.insert(table);
                 if binding.sent_table != Some(table) {
                     let bind = binds.entry((*id, table)).or_insert((2, ClassSet(0)));
-                    let urgent = binding.sent_table.as_ref().is_none_or(left_bare);
+                    let urgent = binding.sent_table.as_ref().is_none_or(has_no_usable_line);
                     *bind = (bind.0.min(if urgent { 1 } else { 2 }), bind.1.with(ClassId(class as u8)));
                 }
             }
         }
-        // By rank: lost servers and lines for empty tables, bare proxies, bindings, weights, levels.
+        // Ranks: lost servers and lines for empty tables, proxies that have no usable line, bindings, weights, levels.
         let bind = |((proxy, table), (rank, classes))| (rank, Order::Bind { proxy, classes, table });
         let mut ranked: Vec<(u8, Order)> = binds.into_iter().map(bind).collect();
-        for table in self.tables.keys().chain(&used).copied().collect::<BTreeSet<TableId>>() {
-            let held = self.tables.get(&table).cloned().unwrap_or_default();
-            let (group, place) = (usize::from(table.0) / PLACES, usize::from(table.0) % PLACES);
-            let is_cold = used.contains(&table) && self.is_cold_table(group, place);
-            let (wanted, levels) = match used.contains(&table) {
-                true if is_cold => (self.wanted_lines(group, place), self.cold_levels(group, place)),
-                true => (self.wanted_lines(group, place), self.wanted_levels(group)),
-                false => (held.without(lost), BTreeMap::new()),
+        for table in self.tables.keys().chain(&bound_tables).copied().collect::<BTreeSet<TableId>>() {
+            let current = self.tables.get(&table).cloned().unwrap_or_default();
+            let (group, placement_index) =
+                (usize::from(table.0) / TABLES_PER_GROUP, usize::from(table.0) % TABLES_PER_GROUP);
+            let is_cold = bound_tables.contains(&table) && self.is_cold_table(group, placement_index);
+            let (desired, levels) = match bound_tables.contains(&table) {
+                true if is_cold => {
+                    (self.desired_lines(group, placement_index), self.cold_levels(group, placement_index))
+                }
+                true => (self.desired_lines(group, placement_index), self.desired_levels(group)),
+                false => (current.without(is_lost), BTreeMap::new()),
             };
-            let stands = |(id, weight): (&ServerId, &f64)| *weight > LINE_LEAST && wanted.contains_key(id);
-            let bare = !held.lines.iter().any(stands);
-            let rank = |late: u8| match bare || !users.contains_key(&table) {
-                // Lines to cold servers wait for the bindings that leave their table.
+            let is_kept =
+                |(id, weight): (&ServerId, &f64)| *weight > MIN_LINE_WEIGHT && desired.contains_key(id);
+            let has_no_kept_line = !current.lines.iter().any(is_kept);
+            let rank = |usual_rank: u8| match has_no_kept_line || !users.contains_key(&table) {
+                // Lines to cold servers are sent after the bindings that leave their table.
                 true if is_cold => 1,
                 true => 0,
-                false => late,
+                false => usual_rank,
             };
             let line = |(server, weight): (ServerId, f64)| {
-                let sinks = held.lines.get(&server).is_some_and(|old| weight < *old);
-                let rank = if sinks && lost(&server) { 0 } else { rank(3) };
+                let decreases = current.lines.get(&server).is_some_and(|old| weight < *old);
+                let rank = if decreases && is_lost(&server) { 0 } else { rank(3) };
                 (rank, Order::Line { table, server, weight })
             };
-            let lines = held.changes(&wanted, CHANGE).into_iter().map(line);
+            let lines = current.changes(&desired, MIN_RELATIVE_CHANGE).into_iter().map(line);
             let level = |(class, (level, tries)): (usize, (f64, Retries))| {
-                let old = held.levels.get(&class);
-                let differs = |old: &(f64, _)| tries != old.1 || (level - old.0).abs() > CHANGE * old.0;
+                let old = current.levels.get(&class);
+                let differs =
+                    |old: &(f64, _)| tries != old.1 || (level - old.0).abs() > MIN_RELATIVE_CHANGE * old.0;
                 let is_lower = old.is_none_or(|old| level < old.0);
                 let rank = if is_cold && is_lower { 1 } else { rank(4) };
                 let classes = ClassSet::of(ClassId(class as u8));
@@ -111,38 +134,40 @@
                     .then_some((rank, Order::Level { table, classes, level, retries: tries }))
             };
             let levels = levels.into_iter().filter_map(level);
-            // What cold servers can't do is kept off before they get a line.
+            // Levels that limit the load to what cold servers can handle are sent before the lines to them.
             if is_cold {
                 ranked.extend(levels.chain(lines));
             } else {
                 ranked.extend(lines.chain(levels));
             }
         }
-        // Kept for a while after, so that it is known as refused again.
-        self.refusals.retain(|_, refusal| refusal.retry_at + REFUSED_FORGOTTEN > self.now);
-        let waits =
+        // Kept for a while after the retry delay, so that a repeated refusal is recognised.
+        self.refusals.retain(|_, refusal| refusal.retry_at + REFUSAL_RETENTION > self.now);
+        let must_wait =
             |subject: Subject| self.refusals.get(&subject).is_some_and(|refusal| refusal.retry_at > self.now);
-        ranked.retain(|(_, order)| !Subject::of(order).is_some_and(waits));
+        ranked.retain(|(_, order)| !Subject::of(order).is_some_and(must_wait));
         ranked.sort_by_key(|(rank, _)| *rank);
-        // What is not applied yet still waits, where the channel runs slower than counted on.
+        // Lines not applied yet are still queued if the channel runs slower than assumed.
         let limit = self.settings.channel_lines_limit;
-        let under_way = self.settings.channel_lines_per_second * WAY.secs();
+        let in_flight = self.settings.channel_lines_per_second * MAX_ROUND_TRIP.secs();
         let queued =
-            self.channel.queued_lines.max(self.channel.unapplied_lines(self.now, MARK_LOST) - under_way);
-        let (mut cost, mut touched) = (0.0, BTreeSet::new());
+            self.channel.queued_lines.max(self.channel.unapplied_lines(self.now, MARK_TIMEOUT) - in_flight);
+        let (mut cost, mut receivers) = (0.0, BTreeSet::new());
         for (rank, order) in ranked {
-            let spent = cost + touched.len() as f64 * self.settings.lines_per_message;
-            if queued + spent > limit * QUEUE_SHARES[usize::from(rank)] || rank >= 3 && rested < TURN + TURN {
+            let sent_lines = cost + receivers.len() as f64 * self.settings.lines_per_message;
+            if queued + sent_lines > limit * QUEUE_SHARE_BY_RANK[usize::from(rank)]
+                || rank >= 3 && since_sent < EVALUATION_INTERVAL + EVALUATION_INTERVAL
+            {
                 break;
             }
             let (lines, reached) = self.record_sent(&order, &mut users);
             cost += (lines * reached.len()) as f64;
-            touched.extend(reached);
+            receivers.extend(reached);
             orders.push(order);
         }
-        if !touched.is_empty() {
-            let lines = cost + touched.len() as f64 * self.settings.lines_per_message;
-            let marked = self.channel.send(self.now, lines, touched.len() as f64, MARK_SHARE * limit);
+        if !receivers.is_empty() {
+            let lines = cost + receivers.len() as f64 * self.settings.lines_per_message;
+            let marked = self.channel.send(self.now, lines, receivers.len() as f64, MARK_QUEUE_SHARE * limit);
             orders.extend(marked.map(|mark| Order::Mark { mark }));
         }
     }
