--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use craneknot_coordinator::shell::{Ended, Shell};
+use craneknot_coordinator::shell::{ExitReason, Shell};
 use craneknot_node::shell::StartError;
 use craneknot_reactor::{SignalFlags, SteadyClock};
 use craneknot_rehearsal::conduct::{Kept, Programs};
@@ -272,11 +272,11 @@
             let clock = Arc::new(SteadyClock::new());
             let mut shell = Shell::new(read, folder_of(&settings), clock).map_err(system)?;
             shell.reload_from(&settings);
-            shell.tell_dropped_lines(output::dropped_lines());
+            shell.set_dropped_line_counter(output::dropped_lines());
             shell.end_on(signals);
             match shell.run() {
-                Ended::Asked => Ok(()),
-                Ended::Failed(cause) => Err(system(cause)),
+                ExitReason::Signalled => Ok(()),
+                ExitReason::Failed(cause) => Err(system(cause)),
             }
         }
         Command::Node { config } => {
--- a/crates/craneknot-cli/src/model.rs
+++ b/crates/craneknot-cli/src/model.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, Subcommand};
-use craneknot_coordinator::ledger::{self, Told};
+use craneknot_coordinator::ledger::{self, LedgerContents};
 use craneknot_model::experiment::{self, Asked, Axis, Outcome, Single};
 use craneknot_model::hosted::Build;
 use craneknot_model::plot::{self, Input};
@@ -141,7 +141,7 @@
 }
 
 /// A coordinator's ledger.
-pub fn ledger_of(file: &Path) -> Result<Told, Failed> {
+pub fn ledger_of(file: &Path) -> Result<LedgerContents, Failed> {
     ledger::read(file).map_err(|fault| {
         error_line!("{}: {fault}", file.display());
         Failed::Settings
@@ -289,7 +289,10 @@
         }
         Act::Feed { ledgers, script, seed, out } => {
             let script = script_of(Some(&script), None)?;
-            let told = ledgers.iter().map(|file| ledger_of(file)).collect::<Result<Vec<Told>, Failed>>()?;
+            let told = ledgers
+                .iter()
+                .map(|file| ledger_of(file))
+                .collect::<Result<Vec<LedgerContents>, Failed>>()?;
             let fed = feed::recording(&told, &script, seed).map_err(|cause| {
                 error_line!("{cause}");
                 Failed::Settings
--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use craneknot::interface::*;
-use craneknot_coordinator::ledger::{Line, Shown, Told};
+use craneknot_coordinator::ledger::{LedgerContents, Line, ListedState};
 use craneknot_coordinator::weights;
 use craneknot_settings::{CrossingSettings, Names, SolverSettings};
 use craneknot_solver::estimate::Met;
@@ -55,7 +55,7 @@
 }
 
 /// The head's zones and classes as the solver is told of them.
-fn told_of(told: &Told, solver: &SolverSettings) -> (Names, steer::Settings) {
+fn told_of(told: &LedgerContents, solver: &SolverSettings) -> (Names, steer::Settings) {
     let head = &told.head;
     let mut names = Names::default();
     head.zones.iter().for_each(|zone| {
@@ -68,12 +68,12 @@
         _ => None,
     };
     let proxies = told.lines.iter().filter_map(most).max().unwrap_or(1);
-    let settings = weights::settings_of(solver, &head.zones, classes, &head.rules, proxies);
+    let settings = weights::solver_settings_for_zones(solver, &head.zones, classes, &head.rules, proxies);
     (names, settings)
 }
 
 /// Plays a ledger to the solver as its coordinator's decisions heard it.
-fn play(told: &Told, solver: &SolverSettings, until: Option<Nanos>) -> Explanation {
+fn play(told: &LedgerContents, solver: &SolverSettings, until: Option<Nanos>) -> Explanation {
     let nanos = |at: u64| Nanos(at.saturating_mul(1_000));
     let (mut names, settings) = told_of(told, solver);
     let began = nanos(told.head.began);
@@ -92,11 +92,11 @@
             Line::Listed(at, ..)
             | Line::ListFailed(at)
             | Line::Demand(at, ..)
-            | Line::Heard(at, ..)
+            | Line::TriesReported(at, ..)
             | Line::Probed(at, ..)
             | Line::Joined(at, ..)
             | Line::Ordered(at, ..) => nanos(*at),
-            Line::Missing(_) => continue,
+            Line::Dropped(_) => continue,
         };
         if until.is_some_and(|until| at > began + until) {
             break;
@@ -112,9 +112,9 @@
             Line::Listed(_, server, shown, weight, started) => {
                 let Some((server, zone, kind)) = servers.get(server).cloned() else { continue };
                 let readiness = match shown {
-                    Shown::Ready => Readiness::Ready,
-                    Shown::Draining => Readiness::Draining,
-                    Shown::Gone => Readiness::Removed,
+                    ListedState::Ready => Readiness::Ready,
+                    ListedState::Draining => Readiness::Draining,
+                    ListedState::Removed => Readiness::Removed,
                 };
                 let (cell, weight, started) = (CellId(0), *weight, started.map(nanos));
                 pending.push(Listing {
@@ -128,7 +128,7 @@
                     readiness,
                 });
             }
-            Line::Heard(_, server, _, tries, unanswered, _, latency, busy, held, service) => {
+            Line::TriesReported(_, server, _, tries, unanswered, _, latency, busy, held, service) => {
                 let Some((server, ..)) = servers.get(server) else { continue };
                 let report = LoadReport { busy: *busy, in_flight: *held, service_time: service.map(nanos) };
                 let (tries, unanswered, latency) = (*tries, *unanswered, nanos(*latency));
@@ -142,14 +142,14 @@
             | Line::ListFailed(_)
             | Line::Probed(..)
             | Line::Ordered(..)
-            | Line::Missing(_) => {}
+            | Line::Dropped(_) => {}
         }
     }
     if !pending.is_empty() {
         steer.listed(now, ListScope::Changes, &pending);
     }
     steer.turn(now);
-    explain(&steer, now, &weights::Named(&names))
+    explain(&steer, now, &weights::SolverNames(&names))
 }
 
 pub fn solve(asked: &Solve) -> Result<(), Failed> {
--- a/crates/craneknot-cli/src/status.rs
+++ b/crates/craneknot-cli/src/status.rs
@@ -5,14 +5,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use craneknot_coordinator::ask::Within;
+use craneknot_coordinator::status_client::Timeouts;
 use serde_json::Value;
 
 const WITHIN: Duration = Duration::from_secs(3); // for an answer
 
 /// Asks for the status, as JSON, at `/status` or with more of it.
 pub fn ask(address: SocketAddr, path: &str) -> io::Result<Value> {
-    craneknot_coordinator::ask::ask(address, path, Within { connect: WITHIN, read: WITHIN })
+    craneknot_coordinator::status_client::fetch_json(
+        address,
+        path,
+        Timeouts { connect: WITHIN, read: WITHIN },
+    )
 }
 
 fn at<'a>(value: &'a Value, name: &str) -> &'a Value {
--- a/crates/craneknot-cli/tests/fleet/mod.rs
+++ b/crates/craneknot-cli/tests/fleet/mod.rs
@@ -75,7 +75,7 @@
         let told = stop.clone();
         let thread = std::thread::spawn(move || {
             while !told.load(Ordering::SeqCst) {
-                shell.round().unwrap();
+                shell.run_once().unwrap();
             }
         });
         Coordinator { address, stop, thread: Some(thread) }
--- a/crates/craneknot-cli/tests/log_sink.rs
+++ b/crates/craneknot-cli/tests/log_sink.rs
@@ -12,7 +12,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-use craneknot_coordinator::ask::{ask, Within};
+use craneknot_coordinator::status_client::{fetch_json, Timeouts};
 use craneknot_reactor::reserve;
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -293,9 +293,9 @@
 fn a_coordinators_status_tells_how_many_log_lines_were_dropped() {
     let folder = tempfile::tempdir().unwrap();
     let mut node = serving("run", folder.path(), &coordinator_settings(), full_device().into());
-    let within = Within { connect: PATIENCE, read: PATIENCE };
+    let within = Timeouts { connect: PATIENCE, read: PATIENCE };
     let until = Instant::now() + PATIENCE;
-    while ask(node.address, "/status", within).unwrap()["log_lines_dropped"].as_u64().unwrap() == 0 {
+    while fetch_json(node.address, "/status", within).unwrap()["log_lines_dropped"].as_u64().unwrap() == 0 {
         assert!(Instant::now() < until, "the first line is dropped");
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_craneknot"));
--- a/crates/craneknot-cli/tests/simulation.rs
+++ b/crates/craneknot-cli/tests/simulation.rs
@@ -7,8 +7,8 @@
 
 use craneknot::interface::Nanos;
 use craneknot_agent::hold::{Holding, Verdict};
-use craneknot_coordinator::desk::{body, Desk, Output, StreamId};
-use craneknot_coordinator::session::Answer;
+use craneknot_coordinator::engine::{response_body, Engine, Output, StreamId};
+use craneknot_coordinator::session::Response;
 use craneknot_settings::{parse, CoordinatorSettings};
 use craneknot_xds::discovery::{DiscoveryRequest, DiscoveryResponse, Kind, Locality, Node, Status};
 use craneknot_xds::load::LoadStatsRequest;
@@ -62,7 +62,7 @@
 }
 
 struct World {
-    desk: Desk,
+    engine: Engine,
     now: Nanos,
     rng: Pcg32,
     agents: Vec<Agent>,
@@ -89,7 +89,7 @@
     fn new(seed: u64) -> Self {
         let now = Nanos::from_millis(1_000_000);
         let mut world = World {
-            desk: Desk::new(&settings(), seed, now),
+            engine: Engine::new(&settings(), seed, now),
             now,
             rng: Pcg32::seed_from_u64(seed),
             agents: (0..PROXIES).map(|_| Agent::default()).collect(),
@@ -111,7 +111,7 @@
         let server = |(port, (state, started)): (&u16, &(&str, Option<f64>))| json!({"address": format!("127.0.0.1:{port}"), "zone": zone(*port), "state": state, "started": started});
         let text =
             json!({"version": self.version, "servers": self.servers.iter().map(server).collect::<Vec<_>>()});
-        self.desk.roster(self.now, text.to_string().as_bytes()).unwrap();
+        self.engine.update_roster(self.now, text.to_string().as_bytes()).unwrap();
     }
 
     fn ask(&mut self, place: usize, kind: Kind, refused: Option<Status>) {
@@ -138,7 +138,7 @@
         agent.asks.clear();
         agent.bare_since.clear();
         agent.holding.give_up_warming();
-        self.desk.leave(self.now, stream);
+        self.engine.end_stream(self.now, stream);
     }
 
     fn trouble(&mut self) {
@@ -195,7 +195,7 @@
         for place in 0..PROXIES {
             self.deliver(place);
         }
-        for output in self.desk.turn(self.now) {
+        for output in self.engine.turn(self.now) {
             format!("{output:?}").hash(&mut self.trace);
             self.carry_out(output);
         }
@@ -221,7 +221,7 @@
                 error_detail,
                 ..DiscoveryRequest::default()
             };
-            self.desk.ask(now, stream, kind, asked).unwrap();
+            self.engine.handle_request(now, stream, kind, asked).unwrap();
         }
         if self.agents[place].still > now {
             self.agents[place].hampered = now;
@@ -236,7 +236,8 @@
             agent.report_at = now + Nanos::from_millis(500);
             let metadata = BTreeMap::from([("report_closed_ms".to_owned(), (now.0 / 1_000_000).into())]);
             let node = Some(Node { id: format!("proxy-{place}"), metadata, ..Node::default() });
-            let _ = self.desk.report(now, &LoadStatsRequest { node, cluster_stats: Vec::new() });
+            let _ =
+                self.engine.handle_load_report(now, &LoadStatsRequest { node, cluster_stats: Vec::new() });
         }
     }
 
@@ -259,15 +260,15 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Answer { stream, answer, version } => {
+            Output::Respond { stream, response: answer, version } => {
                 let Some(place) = self.agents.iter().position(|agent| agent.stream == Some(stream)) else {
                     return;
                 };
                 let way = Nanos::from_millis(self.rng.random_range(0..30));
                 let (kind, response) = match answer {
-                    Answer::Unchanged { kind } => (kind, None),
-                    Answer::Resources { kind, nonce, resources } => {
-                        let text = body(kind, &version, nonce, resources).concat();
+                    Response::Unchanged { kind } => (kind, None),
+                    Response::Resources { kind, nonce, resources } => {
+                        let text = response_body(kind, &version, nonce, resources).concat();
                         (kind, Some(serde_json::from_slice(&text).unwrap()))
                     }
                 };
@@ -275,21 +276,24 @@
                 let at = (self.now + way).max(agent.answers.back().map_or(Nanos(0), |answer| answer.0));
                 agent.answers.push_back((at, kind, response));
             }
-            Output::Break { stream, .. } => {
+            Output::CloseStream { stream, .. } => {
                 if let Some(place) = self.agents.iter().position(|agent| agent.stream == Some(stream)) {
                     self.part(place);
                 }
             }
             Output::Probe { .. } => panic!("probes are off"),
             Output::ReadRoster => self.roster(),
-            Output::SendOn { .. } | Output::Save(_) | Output::Keep(_) | Output::Datagram { .. } => {
+            Output::Redirect { .. }
+            | Output::SaveFleetState(_)
+            | Output::SaveFollowed(_)
+            | Output::Datagram { .. } => {
                 panic!("the fleet is not shared")
             }
         }
     }
 
     fn check(&mut self) {
-        let status = self.desk.status(self.now);
+        let status = self.engine.status(self.now);
         assert!(status.channel_lines <= status.channel_limit, "{} lines wait", status.channel_lines);
         let now = self.now;
         let warm = |started: Option<f64>| started.is_none_or(|started| now.secs() - started >= 10.0);
--- a/crates/craneknot-coordinator/src/desk.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -19,13 +19,13 @@
 use craneknot_xds::load::LoadStatsRequest;
 use serde::Serialize;
 
-use crate::book::{Book, Message, Parts};
 use crate::channel::Channel;
-use crate::ids::Ids;
-use crate::intake::{Intake, Unheard};
 use crate::ledger::{Head, Ledger};
-use crate::roster::{Judge, Refusal};
-use crate::session::{Answer, Asked, Outcome, Session};
+use crate::proxy_ids::ProxyIds;
+use crate::report_aggregator::{ReportAggregator, ReportError};
+use crate::resource_cache::{Message, ResourceCache, ResourceUpdate};
+use crate::roster::{RosterError, RosterValidator};
+use crate::session::{Outcome, Response, Session, StreamRequest};
 use crate::weights;
 
 const NAMES_MOST: usize = 1_024; // resources one request may name: more than any proxy follows
@@ -38,12 +38,12 @@
 pub struct StreamId(pub u64);
 
 /// Who decides: the decisions of this program, or others that are tried in their place.
-pub trait Decide: Send {
+pub trait Decider: Send {
     /// Takes in what has come and gives the orders of this moment.
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order>;
 }
 
-impl Decide for Controller {
+impl Decider for Controller {
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order> {
         Controller::step(self, now, events)
     }
@@ -52,13 +52,13 @@
 /// What the owner is to do.
 #[derive(Debug)]
 pub enum Output {
-    Answer {
+    Respond {
         stream: StreamId,
-        answer: Answer,
+        response: Response,
         version: String,
     },
     /// End the stream.
-    Break {
+    CloseStream {
         stream: StreamId,
         cause: String,
     },
@@ -68,14 +68,14 @@
     /// Read the roster again.
     ReadRoster,
     /// End the stream: that coordinator is in charge of its proxy.
-    SendOn {
+    Redirect {
         stream: StreamId,
         to: String,
     },
     /// To be on the disk before what follows is sent.
-    Save(Saved),
+    SaveFleetState(Saved),
     /// What proxies have followed, by name: to be kept when there is time.
-    Keep(Vec<(String, String)>),
+    SaveFollowed(Vec<(String, String)>),
     /// To a fellow coordinator, by its name.
     Datagram {
         to: String,
@@ -85,29 +85,31 @@
 
 /// Why a request is not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RequestError {
     /// It has a first request without a node.
     NoNode,
     UnknownZone(String),
     TooManyNames(usize),
-    NoNumberLeft,
+    NoProxyIdLeft,
     OtherKind(String),
     /// That coordinator is in charge of the proxy.
     Elsewhere(String),
     /// No one is known to be in charge of the proxy now.
-    NoCharge,
+    NoKnownOwner,
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for RequestError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refused::NoNode => write!(f, "the first request of a stream must name its node"),
-            Refused::UnknownZone(zone) => write!(f, "zone {zone:?} is not one of the fleet's"),
-            Refused::TooManyNames(count) => write!(f, "{count} resource names; {NAMES_MOST} at most"),
-            Refused::NoNumberLeft => write!(f, "no more proxies can be told apart"),
-            Refused::Elsewhere(to) => write!(f, "{to} is in charge of this proxy"),
-            Refused::NoCharge => write!(f, "no coordinator is known to be in charge of this proxy now"),
-            Refused::OtherKind(kind) => write!(f, "type {kind:?} does not belong to this path"),
+            RequestError::NoNode => write!(f, "the first request of a stream must name its node"),
+            RequestError::UnknownZone(zone) => write!(f, "zone {zone:?} is not one of the fleet's"),
+            RequestError::TooManyNames(count) => write!(f, "{count} resource names; {NAMES_MOST} at most"),
+            RequestError::NoProxyIdLeft => write!(f, "no more proxies can be told apart"),
+            RequestError::Elsewhere(to) => write!(f, "{to} is in charge of this proxy"),
+            RequestError::NoKnownOwner => {
+                write!(f, "no coordinator is known to be in charge of this proxy now")
+            }
+            RequestError::OtherKind(kind) => write!(f, "type {kind:?} does not belong to this path"),
         }
     }
 }
@@ -189,19 +191,19 @@
     pub spared: (u64, f64, u64),
 }
 
-pub struct Desk {
-    decider: Box<dyn Decide>,
+pub struct Engine {
+    decider: Box<dyn Decider>,
     settings: Settings,
     names: Names,
     name: String,
     source: String,
-    ids: Ids,
-    book: Book,
+    ids: ProxyIds,
+    book: ResourceCache,
     channel: Channel<(StreamId, Message)>,
-    intake: Intake,
+    intake: ReportAggregator,
     ledger: Option<Ledger>,
     steer: Option<Steer>,
-    judge: Judge,
+    judge: RosterValidator,
     streams: BTreeMap<StreamId, Stream>,
     of_proxy: BTreeMap<ProxyId, StreamId>,
     events: Vec<Event>,
@@ -231,39 +233,40 @@
     sent_on: u64,
 }
 
-impl Desk {
+impl Engine {
     /// `seed` is that of the decisions' random numbers; `now` also tells this start from earlier ones.
     pub fn new(settings: &CoordinatorSettings, seed: u64, now: Nanos) -> Self {
-        Self::deciding(settings, now, |decisions| Box::new(Controller::new(decisions.clone(), seed, now)))
+        Self::with_decider(settings, now, |decisions| Box::new(Controller::new(decisions.clone(), seed, now)))
     }
 
     /// With others to decide, made from what the decisions are told at their start.
-    pub fn deciding(
+    pub fn with_decider(
         settings: &CoordinatorSettings,
         now: Nanos,
-        decider: impl FnOnce(&Settings) -> Box<dyn Decide>,
+        decider: impl FnOnce(&Settings) -> Box<dyn Decider>,
     ) -> Self {
         let (names, decisions) = settings.decisions();
-        let steer = settings.solver.as_ref().map(|_| Steer::new(weights::of(settings, &decisions), now));
+        let steer =
+            settings.solver.as_ref().map(|_| Steer::new(weights::solver_settings(settings, &decisions), now));
         let channel = Channel::new(decisions.channel_lines_per_second);
         let source = format!("{}-{}", settings.name, now.0 / 1_000_000);
-        let book = Book::new(
+        let book = ResourceCache::new(
             source.clone(),
             names.classes.clone(),
             decisions.level_unit,
             decisions.lines_per_message,
             settings.fleet.lb_policy.clone(),
         );
-        Desk {
+        Engine {
             decider: decider(&decisions),
             name: settings.name.clone(),
             source,
-            ids: Ids::default(),
+            ids: ProxyIds::default(),
             book,
             channel,
-            intake: Intake::new(names.classes.clone()),
+            intake: ReportAggregator::new(names.classes.clone()),
             ledger: settings.ledger.as_ref().map(|_| Ledger::new(Head::of(settings, now))),
-            judge: Judge::new(decisions.drain_grace),
+            judge: RosterValidator::new(decisions.drain_grace),
             steer,
             names,
             flush_at: now + decisions.report_period,
@@ -294,7 +297,7 @@
     }
 
     /// From now on the fleet is shared with others; `saved` is what an earlier life saved.
-    pub fn share(&mut self, settings: &CoordinatorSettings, saved: Saved, seed: u64, now: Nanos) {
+    pub fn join_fleet(&mut self, settings: &CoordinatorSettings, saved: Saved, seed: u64, now: Nanos) {
         let Some(shared) = &settings.shared else { return };
         let members = shared.members.iter().map(|member| MemberId::new(&member.name)).collect();
         // Placements within a proxy's own zone are numbered as they are met: such tables are not numbered alike.
@@ -316,14 +319,14 @@
     }
 
     /// What the store says that a proxy followed: no order of ours may be of an older epoch.
-    pub fn note_followed(&mut self, version: &str) {
+    pub fn note_followed_version(&mut self, version: &str) {
         if let Some(fleet) = &mut self.fleet {
             fleet.note_epoch(Epoch(epoch_of(version)));
         }
     }
 
     /// A datagram of a fellow coordinator came.
-    pub fn datagram(&mut self, now: Nanos, text: &[u8]) -> Result<(), String> {
+    pub fn handle_datagram(&mut self, now: Nanos, text: &[u8]) -> Result<(), String> {
         let datagram = Datagram::read(text)?;
         let outputs = self.fleet.as_mut().map(|fleet| fleet.take(now, datagram));
         self.carry(outputs.unwrap_or_default());
@@ -335,7 +338,7 @@
             match output {
                 member::Output::Save(saved) => {
                     self.saves += 1;
-                    self.outputs.push(Output::Save(saved));
+                    self.outputs.push(Output::SaveFleetState(saved));
                 }
                 member::Output::Send(to, datagram) => {
                     self.datagrams += 1;
@@ -373,16 +376,16 @@
                 Charge::Mine(_) => stream.unsure = None,
                 Charge::Elsewhere(to) => {
                     self.sent_on += 1;
-                    self.outputs.push(Output::SendOn { stream: id, to: to.to_string() });
-                    self.leave(now, id);
+                    self.outputs.push(Output::Redirect { stream: id, to: to.to_string() });
+                    self.end_stream(now, id);
                 }
                 Charge::Unknown => {
                     self.unsure += 1;
                     let since = *stream.unsure.get_or_insert(now);
                     if now - since >= UNSURE {
                         let cause = "no one is known to be in charge of its proxy".to_owned();
-                        self.outputs.push(Output::Break { stream: id, cause });
-                        self.leave(now, id);
+                        self.outputs.push(Output::CloseStream { stream: id, cause });
+                        self.end_stream(now, id);
                     }
                 }
             }
@@ -390,14 +393,14 @@
     }
 
     /// Takes the list kept from before this start.
-    pub fn remember(&mut self, now: Nanos, text: &[u8]) -> Result<(), Refusal> {
+    pub fn load_saved_roster(&mut self, now: Nanos, text: &[u8]) -> Result<(), RosterError> {
         let taken = self.judge.remember(now, text, &mut self.names)?;
         self.take_list(taken.event);
         Ok(())
     }
 
     /// Takes a list of servers; what was set right in it is told. Entries that changed are counted.
-    pub fn roster(&mut self, now: Nanos, text: &[u8]) -> Result<(usize, Vec<String>), Refusal> {
+    pub fn update_roster(&mut self, now: Nanos, text: &[u8]) -> Result<(usize, Vec<String>), RosterError> {
         match self.judge.take(now, text, &mut self.names) {
             Ok(taken) => {
                 let told = (taken.changed, taken.notes);
@@ -407,7 +410,7 @@
                 Ok(told)
             }
             Err(refusal) => {
-                if let Refusal::Unreadable(_) = refusal {
+                if let RosterError::Unreadable(_) = refusal {
                     self.events.push(Event::List { scope: ListScope::Failed, entries: Arc::from([]) });
                 }
                 Err(refusal)
@@ -416,7 +419,7 @@
     }
 
     /// The roster's source cannot be read at all.
-    pub fn roster_failed(&mut self, now: Nanos) {
+    pub fn roster_read_failed(&mut self, now: Nanos) {
         self.judge.put_off(now);
         self.events.push(Event::List { scope: ListScope::Failed, entries: Arc::from([]) });
     }
@@ -432,31 +435,32 @@
 
     /// A discovery request came on a stream. The first one joins its proxy; whoever held that name before is
     /// held to be gone.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: Nanos,
         id: StreamId,
         kind: Kind,
         request: DiscoveryRequest,
-    ) -> Result<Option<Outcome>, Refused> {
+    ) -> Result<Option<Outcome>, RequestError> {
         if request.resource_names.len() > NAMES_MOST {
-            return Err(Refused::TooManyNames(request.resource_names.len()));
+            return Err(RequestError::TooManyNames(request.resource_names.len()));
         }
         if !request.type_url.is_empty() && Kind::of_type(&request.type_url) != Some(kind) {
-            return Err(Refused::OtherKind(request.type_url));
+            return Err(RequestError::OtherKind(request.type_url));
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.note_epoch(Epoch(epoch_of(&request.version_info)));
         }
         if !self.streams.contains_key(&id) {
-            let node = request.node.as_ref().filter(|node| !node.id.is_empty()).ok_or(Refused::NoNode)?;
+            let node =
+                request.node.as_ref().filter(|node| !node.id.is_empty()).ok_or(RequestError::NoNode)?;
             self.join(now, id, node)?;
         }
         let Some(stream) = self.streams.get_mut(&id) else { return Ok(None) };
         self.stirred.insert(id);
         let nonce = request.response_nonce.parse().ok();
         let refused = request.error_detail.map(|status| status.message);
-        let outcome = stream.session.ask(now, Asked { kind, nonce, refused });
+        let outcome = stream.session.ask(now, StreamRequest { kind, nonce, refused });
         let proxy = stream.proxy;
         match &outcome {
             Some(Outcome::Applied { marks, decided }) => {
@@ -471,29 +475,29 @@
                     self.spans.push_back(now - *decided);
                 }
             }
-            Some(Outcome::Refused { .. }) => self.refusals += 1,
-            Some(Outcome::Stray { .. }) | None => {}
+            Some(Outcome::Rejected { .. }) => self.refusals += 1,
+            Some(Outcome::UnknownNonce { .. }) | None => {}
         }
         Ok(outcome)
     }
 
-    fn join(&mut self, now: Nanos, id: StreamId, node: &Node) -> Result<(), Refused> {
+    fn join(&mut self, now: Nanos, id: StreamId, node: &Node) -> Result<(), RequestError> {
         if !self.names.has_zone(&node.locality.zone) {
-            return Err(Refused::UnknownZone(node.locality.zone.clone()));
+            return Err(RequestError::UnknownZone(node.locality.zone.clone()));
         }
         match self.charge(now, &node.id) {
             Charge::Mine(_) => {}
             Charge::Elsewhere(to) => {
                 self.sent_on += 1;
-                return Err(Refused::Elsewhere(to.to_string()));
+                return Err(RequestError::Elsewhere(to.to_string()));
             }
-            Charge::Unknown => return Err(Refused::NoCharge),
+            Charge::Unknown => return Err(RequestError::NoKnownOwner),
         }
         let zone = self.names.zone(&node.locality.zone);
-        let proxy = self.ids.join(&node.id).ok_or(Refused::NoNumberLeft)?;
+        let proxy = self.ids.join(&node.id).ok_or(RequestError::NoProxyIdLeft)?;
         if let Some(old) = self.of_proxy.get(&proxy).copied() {
-            self.leave(now, old);
-            self.outputs.push(Output::Break { stream: old, cause: "its proxy has joined anew".into() });
+            self.end_stream(now, old);
+            self.outputs.push(Output::CloseStream { stream: old, cause: "its proxy has joined anew".into() });
         }
         let holds = node.metadata.get("prints").filter(|_| self.fleet.is_some());
         let holds = holds.and_then(|prints| serde_json::from_value(prints.clone()).ok()).unwrap_or_default();
@@ -516,7 +520,7 @@
     }
 
     /// A stream has ended, from whichever side.
-    pub fn leave(&mut self, now: Nanos, id: StreamId) {
+    pub fn end_stream(&mut self, now: Nanos, id: StreamId) {
         let Some(stream) = self.streams.remove(&id) else { return };
         self.of_proxy.remove(&stream.proxy);
         self.stirred.remove(&id);
@@ -533,7 +537,7 @@
     }
 
     /// A load report came, by whichever connection; only joined proxies count.
-    pub fn report(&mut self, now: Nanos, report: &LoadStatsRequest) -> Result<(), Unheard> {
+    pub fn handle_load_report(&mut self, now: Nanos, report: &LoadStatsRequest) -> Result<(), ReportError> {
         let node = report.node.as_ref().map_or("", |node| node.id.as_str());
         let stream = self.ids.find(node).and_then(|proxy| self.of_proxy.get(&proxy));
         let Some(stream) = stream.and_then(|id| self.streams.get_mut(id)) else { return Ok(()) };
@@ -541,7 +545,13 @@
         self.intake.take(stream.proxy, stream.zone, report)
     }
 
-    pub fn probed(&mut self, server: ServerId, outcome: ProbeOutcome, took: Nanos, report: LoadReport) {
+    pub fn handle_probe_result(
+        &mut self,
+        server: ServerId,
+        outcome: ProbeOutcome,
+        took: Nanos,
+        report: LoadReport,
+    ) {
         self.events.push(Event::Probed { server, outcome, latency: took, report });
     }
 
@@ -555,7 +565,7 @@
             if !self.accepted.is_empty() {
                 let name = |(proxy, version): (ProxyId, String)| (self.ids.name(proxy).to_owned(), version);
                 let kept = std::mem::take(&mut self.accepted).into_iter().map(name).collect();
-                self.outputs.push(Output::Keep(kept));
+                self.outputs.push(Output::SaveFollowed(kept));
             }
         }
         if self.wake_at.is_some_and(|at| at <= now) {
@@ -579,14 +589,14 @@
         self.moment += 1;
         let mut events = std::mem::take(&mut self.events);
         if let Some(ledger) = &mut self.ledger {
-            ledger.told(now, &events, &self.names);
+            ledger.record_events(now, &events, &self.names);
         }
         if let Some(steer) = &mut self.steer {
             steer.step(now, &mut events);
         }
         let orders = self.decider.step(now, &events);
         if let Some(ledger) = &mut self.ledger {
-            ledger.ordered(now, &orders);
+            ledger.record_orders(now, &orders);
         }
         for order in &orders {
             match order {
@@ -619,7 +629,7 @@
             return;
         };
         let (mut lines, mut bytes, mut parts) = (0.0, 0, 0);
-        let Parts { endpoints, routes, clusters: _ } = &mut message.parts;
+        let ResourceUpdate { endpoints, routes, clusters: _ } = &mut message.parts;
         for (kind, texts) in [(Kind::Endpoints, endpoints), (Kind::Routes, routes)] {
             texts.retain(|table, text| {
                 let held = stream.holds(&self.book.name_of(*table), kind, || print_of(text));
@@ -657,10 +667,10 @@
             }
             let version = format!("{}/{}", source_in(epoch, &self.source), self.moment);
             for answer in answers {
-                if let Answer::Resources { resources, .. } = &answer {
+                if let Response::Resources { resources, .. } = &answer {
                     self.bytes_sent += resources.iter().map(|text| text.len() as u64).sum::<u64>();
                 }
-                self.outputs.push(Output::Answer { stream: id, answer, version: version.clone() });
+                self.outputs.push(Output::Respond { stream: id, response: answer, version: version.clone() });
             }
         }
     }
@@ -673,8 +683,8 @@
         let period = self.settings.report_period;
         let silent = self.streams.iter().filter(|(_, stream)| stream.session.is_silent(now, period));
         for id in silent.map(|(id, _)| *id).collect::<Vec<StreamId>>() {
-            self.outputs.push(Output::Break { stream: id, cause: "it has been silent".into() });
-            self.leave(now, id);
+            self.outputs.push(Output::CloseStream { stream: id, cause: "it has been silent".into() });
+            self.end_stream(now, id);
         }
         // One that joins from now on cannot be silent before one that spoke just now.
         let earliest = self.streams.values().map(|stream| stream.session.silent_after(period));
@@ -701,7 +711,7 @@
 
     /// Why servers have the weights they have, where these are found here.
     pub fn explain(&self, now: Nanos) -> Option<Explanation> {
-        self.steer.as_ref().map(|steer| explain(steer, now, &weights::Named(&self.names)))
+        self.steer.as_ref().map(|steer| explain(steer, now, &weights::SolverNames(&self.names)))
     }
 
     /// How often the decisions were asked.
@@ -715,7 +725,7 @@
     }
 
     /// When what reports brought goes to the decisions next.
-    pub fn flushes_at(&self) -> Nanos {
+    pub fn next_flush_at(&self) -> Nanos {
         self.flush_at
     }
 
@@ -724,13 +734,13 @@
     }
 
     /// The term in which this one leads a shared fleet; nothing: it does not lead.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leader_term(&self) -> Option<u64> {
         let fleet = self.fleet.as_ref()?;
         (fleet.role() == Role::Leader).then(|| fleet.term())
     }
 
     /// Begins the spans from decision to swap anew.
-    pub fn forget_spans(&mut self) {
+    pub fn reset_spans(&mut self) {
         self.spans.clear();
     }
 
@@ -790,7 +800,7 @@
 }
 
 /// The body of a response, of texts that others share.
-pub fn body(kind: Kind, version: &str, nonce: u64, resources: Vec<Bytes>) -> Vec<Bytes> {
+pub fn response_body(kind: Kind, version: &str, nonce: u64, resources: Vec<Bytes>) -> Vec<Bytes> {
     let version = serde_json::Value::from(version);
     let url = kind.type_url();
     let head =
--- a/crates/craneknot-coordinator/src/ledger.rs
+++ b/crates/craneknot-coordinator/src/ledger.rs
@@ -27,13 +27,13 @@
 
 /// A state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shown {
+pub enum ListedState {
     #[serde(rename = "r")]
     Ready,
     #[serde(rename = "d")]
     Draining,
     #[serde(rename = "g")]
-    Gone,
+    Removed,
 }
 
 /// How a probe ended.
@@ -42,7 +42,7 @@
     #[serde(rename = "a")]
     Answered,
     #[serde(rename = "t")]
-    TurnedAway,
+    Rejected,
     #[serde(rename = "f")]
     Failed,
 }
@@ -55,7 +55,7 @@
     Server(u32, String, String, String),
     /// Moment, server, state, listed weight, start.
     #[serde(rename = "l")]
-    Listed(Micros, u32, Shown, Option<f64>, Option<Micros>),
+    Listed(Micros, u32, ListedState, Option<f64>, Option<Micros>),
     /// Moment: the list could not be had.
     #[serde(rename = "x")]
     ListFailed(Micros),
@@ -66,7 +66,7 @@
     /// Moment, server, zone of the proxies, tries, those without an answer, span and mean time of good answers in
     /// microseconds, and what the server said: busy share, operations held, service time in microseconds.
     #[serde(rename = "h")]
-    Heard(Micros, u32, u16, u64, u64, u64, u64, Option<f64>, Option<f64>, Option<u64>),
+    TriesReported(Micros, u32, u16, u64, u64, u64, u64, Option<f64>, Option<f64>, Option<u64>),
     /// Moment, server, outcome, microseconds.
     #[serde(rename = "p")]
     Probed(Micros, u32, Probe, u64),
@@ -78,7 +78,7 @@
     Ordered(Micros, u32, u32, u32),
     /// So many lines were let go here, since the disk did not take them.
     #[serde(rename = "m")]
-    Missing(u64),
+    Dropped(u64),
 }
 
 /// Whose ledger it is, and the fleet as that coordinator was told of it.
@@ -121,33 +121,33 @@
     servers: BTreeMap<ServerId, (u32, String, String)>,
     zone_of: BTreeMap<ProxyId, ZoneId>,
     lines: Vec<Line>,
-    let_go: u64,
+    dropped: u64,
 }
 
 impl Ledger {
     pub fn new(head: Head) -> Self {
-        Ledger { head, servers: BTreeMap::new(), zone_of: BTreeMap::new(), lines: Vec::new(), let_go: 0 }
+        Ledger { head, servers: BTreeMap::new(), zone_of: BTreeMap::new(), lines: Vec::new(), dropped: 0 }
     }
 
     /// Lines since the last time.
     pub fn take(&mut self) -> Vec<Line> {
         let mut lines = std::mem::take(&mut self.lines);
-        if self.let_go > 0 {
-            lines.push(Line::Missing(std::mem::take(&mut self.let_go)));
+        if self.dropped > 0 {
+            lines.push(Line::Dropped(std::mem::take(&mut self.dropped)));
         }
         lines
     }
 
     /// What could not be written; it is tried again with what comes next, as far as there is room.
-    pub fn give_back(&mut self, mut lines: Vec<Line>) {
+    pub fn requeue(&mut self, mut lines: Vec<Line>) {
         lines.append(&mut self.lines);
         self.lines = lines;
         self.trim();
     }
 
     /// All lines that were not written, as one that reads the file would have them.
-    pub fn finish(&mut self) -> Told {
-        Told { head: self.head.clone(), lines: self.take(), torn: false }
+    pub fn take_contents(&mut self) -> LedgerContents {
+        LedgerContents { head: self.head.clone(), lines: self.take(), torn: false }
     }
 
     fn trim(&mut self) {
@@ -159,7 +159,7 @@
             left -= usize::from(goes);
             !goes
         });
-        self.let_go += (over - left) as u64;
+        self.dropped += (over - left) as u64;
     }
 
     fn number(&mut self, server: &ServerId, zone: &str, kind: &str) -> u32 {
@@ -175,7 +175,7 @@
     }
 
     /// Keeps what the decisions are told now.
-    pub fn told(&mut self, now: Nanos, events: &[Event], names: &Names) {
+    pub fn record_events(&mut self, now: Nanos, events: &[Event], names: &Names) {
         let at = micros(now);
         let mut came: BTreeMap<(ZoneId, ClassId), (u64, u64, u64, u64)> = BTreeMap::new();
         let mut joined = false;
@@ -187,9 +187,9 @@
                         let (zone, kind) = (names.zone_name(entry.zone), names.kind_name(entry.kind));
                         let server = self.number(&entry.server, zone, kind);
                         let shown = match entry.readiness {
-                            Readiness::Ready => Shown::Ready,
-                            Readiness::Draining => Shown::Draining,
-                            Readiness::Removed => Shown::Gone,
+                            Readiness::Ready => ListedState::Ready,
+                            Readiness::Draining => ListedState::Draining,
+                            Readiness::Removed => ListedState::Removed,
                         };
                         let started = entry.started.map(micros);
                         self.lines.push(Line::Listed(at, server, shown, entry.weight, started));
@@ -205,7 +205,7 @@
                 }
                 Event::TriesReported { server, zone, tries, unanswered, span, latency, report } => {
                     let server = self.number(server, "", "");
-                    self.lines.push(Line::Heard(
+                    self.lines.push(Line::TriesReported(
                         at,
                         server,
                         zone.0,
@@ -227,7 +227,7 @@
                     let server = self.number(server, "", "");
                     let outcome = match outcome {
                         ProbeOutcome::Answered => Probe::Answered,
-                        ProbeOutcome::TurnedAway => Probe::TurnedAway,
+                        ProbeOutcome::TurnedAway => Probe::Rejected,
                         ProbeOutcome::Failed => Probe::Failed,
                     };
                     self.lines.push(Line::Probed(at, server, outcome, micros(*took)));
@@ -259,7 +259,7 @@
     }
 
     /// Keeps how much was ordered.
-    pub fn ordered(&mut self, now: Nanos, orders: &[Order]) {
+    pub fn record_orders(&mut self, now: Nanos, orders: &[Order]) {
         let count = |of: fn(&Order) -> bool| orders.iter().filter(|order| of(order)).count() as u32;
         let lines = count(|order| matches!(order, Order::Line { .. }));
         let binds = count(|order| matches!(order, Order::Bind { .. }));
@@ -318,7 +318,7 @@
         if written.is_err() {
             // Half a member may stand there: no more is put behind it.
             self.file = None;
-            ledger.give_back(lines);
+            ledger.requeue(lines);
         }
         written
     }
@@ -349,10 +349,10 @@
 }
 
 /// Writes a whole ledger as one file.
-pub fn write(path: &Path, told: &Told) -> io::Result<()> {
+pub fn write(path: &Path, contents: &LedgerContents) -> io::Result<()> {
     let mut text = Vec::new();
-    push(&mut text, &told.head)?;
-    told.lines.iter().try_for_each(|line| push(&mut text, line))?;
+    push(&mut text, &contents.head)?;
+    contents.lines.iter().try_for_each(|line| push(&mut text, line))?;
     let mut member = GzEncoder::new(Vec::new(), Compression::default());
     member.write_all(&text)?;
     fs::write(path, member.finish()?)
@@ -366,7 +366,7 @@
 
 /// A ledger as read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct LedgerContents {
     pub head: Head,
     pub lines: Vec<Line>,
     /// The last member was cut short: its writer was killed, or still writes.
@@ -413,7 +413,7 @@
 }
 
 /// Reads a ledger. What a kill cut short is left out and said; what is damaged in the middle is refused.
-pub fn read(path: &Path) -> Result<Told, Fault> {
+pub fn read(path: &Path) -> Result<LedgerContents, Fault> {
     let mut input = BufReader::new(File::open(path).map_err(Fault::System)?);
     let mut head: Option<Head> = None;
     let (mut lines, mut number, mut torn) = (Vec::new(), 0, false);
@@ -456,7 +456,7 @@
         }
     }
     let head = head.ok_or(Fault::Format("it is empty".to_owned()))?;
-    Ok(Told { head, lines, torn })
+    Ok(LedgerContents { head, lines, torn })
 }
 
 impl Head {
@@ -468,9 +468,9 @@
                 return Ok(());
             }
             Line::Listed(_, server, ..) | Line::Probed(_, server, ..) => (Some(*server), None, None),
-            Line::Heard(_, server, zone, ..) => (Some(*server), Some(*zone), None),
+            Line::TriesReported(_, server, zone, ..) => (Some(*server), Some(*zone), None),
             Line::Demand(_, zone, class, ..) => (None, Some(*zone), Some(*class)),
-            Line::ListFailed(_) | Line::Joined(..) | Line::Ordered(..) | Line::Missing(_) => {
+            Line::ListFailed(_) | Line::Joined(..) | Line::Ordered(..) | Line::Dropped(_) => {
                 (None, None, None)
             }
         };
@@ -569,18 +569,18 @@
         let (mut ledger, mut file) = (Ledger::new(head()), file(folder.path(), 1 << 20));
         for number in 1..4 {
             let now = Nanos::from_millis(u64::from(number));
-            ledger.told(now, &events(number), &names());
+            ledger.record_events(now, &events(number), &names());
             file.write(&mut ledger, now).unwrap();
         }
-        let told = read(&folder.path().join("l.gz")).unwrap();
-        assert!(!told.torn);
+        let contents = read(&folder.path().join("l.gz")).unwrap();
+        assert!(!contents.torn);
         // All known servers' names; then three times: named when met, its place when listed, the listing, what was heard,
         // arrivals, proxies.
-        assert_eq!(told.lines.len(), 1 + 18);
-        assert_eq!(told.lines[18], Line::Joined(3_000, vec![3]));
-        assert_eq!(told.lines[17], Line::Demand(3_000, 0, 0, 9, 0, 500_000));
+        assert_eq!(contents.lines.len(), 1 + 18);
+        assert_eq!(contents.lines[18], Line::Joined(3_000, vec![3]));
+        assert_eq!(contents.lines[17], Line::Demand(3_000, 0, 0, 9, 0, 500_000));
         let place = Line::Server(0, "127.0.0.1:1".to_owned(), "north".to_owned(), "small".to_owned());
-        assert_eq!((&told.lines[0], &told.lines[3]), (&place, &place));
+        assert_eq!((&contents.lines[0], &contents.lines[3]), (&place, &place));
     }
 
     /// A coordinator killed while it writes must not cost what stood there before.
@@ -589,16 +589,18 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("l.gz");
         let (mut ledger, mut file) = (Ledger::new(head()), file(folder.path(), 1 << 20));
-        ledger.told(Nanos(1), &events(1), &names());
+        ledger.record_events(Nanos(1), &events(1), &names());
         file.write(&mut ledger, Nanos(1)).unwrap();
         let first = fs::read(&path).unwrap().len();
-        ledger.told(Nanos(2), &events(2), &names());
+        ledger.record_events(Nanos(2), &events(2), &names());
         file.write(&mut ledger, Nanos(2)).unwrap();
         let whole = fs::read(&path).unwrap();
         for cut in 0..whole.len() {
             fs::write(&path, &whole[..cut]).unwrap();
             match read(&path) {
-                Ok(told) => assert!(cut >= first && told.lines.len() == 7 && told.torn == (cut > first)),
+                Ok(contents) => {
+                    assert!(cut >= first && contents.lines.len() == 7 && contents.torn == (cut > first))
+                }
                 Err(Fault::Format(_)) => assert!(cut < first),
                 Err(fault) => panic!("cut at {cut}: {fault}"),
             }
@@ -615,7 +617,7 @@
         let folder = tempfile::tempdir().unwrap();
         let (mut ledger, mut file) = (Ledger::new(head()), file(folder.path(), 1));
         for number in 1..6u64 {
-            ledger.told(Nanos(number * 1_000), &events(1), &names());
+            ledger.record_events(Nanos(number * 1_000), &events(1), &names());
             file.write(&mut ledger, Nanos(number * 1_000)).unwrap();
         }
         let read = |name: &str| read(&folder.path().join(name)).unwrap();
@@ -632,14 +634,14 @@
     fn what_the_disk_refuses_waits_and_comes_later() {
         let folder = tempfile::tempdir().unwrap();
         let (mut ledger, mut file) = (Ledger::new(head()), file(&folder.path().join("nowhere"), 1 << 20));
-        ledger.told(Nanos(1), &events(1), &names());
+        ledger.record_events(Nanos(1), &events(1), &names());
         assert!(file.write(&mut ledger, Nanos(1)).is_err());
         fs::create_dir(folder.path().join("nowhere")).unwrap();
         file.write(&mut ledger, Nanos(2)).unwrap();
         assert!(read(&folder.path().join("nowhere/l.gz")).unwrap().lines.len() >= 6);
         let many = vec![Line::ListFailed(1); WAITING_MOST + 5];
-        ledger.give_back(many);
-        assert_eq!(ledger.take().last(), Some(&Line::Missing(5)));
+        ledger.requeue(many);
+        assert_eq!(ledger.take().last(), Some(&Line::Dropped(5)));
     }
 
     #[test]
--- a/crates/craneknot-coordinator/src/lib.rs
+++ b/crates/craneknot-coordinator/src/lib.rs
@@ -5,16 +5,16 @@
 //! report counts ([`intake`]), when a stream is sent something and what a refusal leads to ([`session`]), when a
 //! message leaves the channel ([`channel`]). [`ledger`] keeps what was told. Each is a module of its own, with the clock passed in.
 
-pub mod ask;
-pub mod book;
 pub mod channel;
-pub mod desk;
-pub mod ids;
-pub mod intake;
+pub mod engine;
 pub mod ledger;
 pub mod probes;
+pub mod proxy_ids;
+pub mod report_aggregator;
+pub mod resource_cache;
 pub mod roster;
+pub mod roster_source;
 pub mod session;
 pub mod shell;
-pub mod source;
+pub mod status_client;
 pub mod weights;
--- a/crates/craneknot-coordinator/src/ids.rs
+++ b/crates/craneknot-coordinator/src/proxy_ids.rs
@@ -7,7 +7,7 @@
 /// Numbers are given in order of first sight and kept; once all are given, that of the proxy that has been gone
 /// longest goes to the next newcomer.
 #[derive(Default)]
-pub struct Ids {
+pub struct ProxyIds {
     numbers: HashMap<String, ProxyId>,
     names: Vec<String>,
     gone: VecDeque<ProxyId>,
@@ -15,7 +15,7 @@
 
 const NUMBERS: usize = 1 << 16; // proxies that the decisions can tell apart
 
-impl Ids {
+impl ProxyIds {
     /// The number of a proxy that joins; nothing where all numbers are in use.
     pub fn join(&mut self, name: &str) -> Option<ProxyId> {
         if let Some(id) = self.numbers.get(name) {
@@ -59,7 +59,7 @@
 
     #[test]
     fn a_name_keeps_its_number_until_numbers_run_out() {
-        let mut ids = Ids::default();
+        let mut ids = ProxyIds::default();
         for number in 0..NUMBERS {
             assert_eq!(ids.join(&format!("proxy-{number}")), Some(ProxyId(number as u16)));
         }
--- a/crates/craneknot-coordinator/src/intake.rs
+++ b/crates/craneknot-coordinator/src/report_aggregator.rs
@@ -16,13 +16,13 @@
 
 /// What was not counted, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unheard {
+pub enum ReportError {
     /// Not later than the last one taken.
     Repeated,
     /// Nothing tells when it was closed.
     NoMoment,
     /// Classes that the settings do not have, spans too long, or counts beyond reason: so many parts left out.
-    Parts(usize),
+    ResourceUpdate(usize),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -44,7 +44,7 @@
     span: Nanos,
 }
 
-pub struct Intake {
+pub struct ReportAggregator {
     classes: Vec<String>,
     met: BTreeMap<(ServerId, ZoneId), Met>,
     came: BTreeMap<(ProxyId, ClassId), Came>,
@@ -53,10 +53,10 @@
     left_out: u64,
 }
 
-impl Intake {
+impl ReportAggregator {
     pub fn new(classes: Vec<String>) -> Self {
         let (met, came, last) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Intake { classes, met, came, last, repeated: 0, left_out: 0 }
+        ReportAggregator { classes, met, came, last, repeated: 0, left_out: 0 }
     }
 
     /// Repeats and parts that were not counted so far.
@@ -68,13 +68,18 @@
         self.came.retain(|(of, _), _| *of != proxy);
     }
 
-    pub fn take(&mut self, proxy: ProxyId, zone: ZoneId, report: &LoadStatsRequest) -> Result<(), Unheard> {
+    pub fn take(
+        &mut self,
+        proxy: ProxyId,
+        zone: ZoneId,
+        report: &LoadStatsRequest,
+    ) -> Result<(), ReportError> {
         let moment = report.node.as_ref().and_then(|node| node.metadata.get(CLOSED_AT));
         let moment = moment.and_then(|value| value.as_f64()).filter(|at| *at >= 0.0).map(|at| at as u64);
-        let Some(moment) = moment else { return Err(Unheard::NoMoment) };
+        let Some(moment) = moment else { return Err(ReportError::NoMoment) };
         if self.last.get(&proxy).is_some_and(|last| moment <= *last) {
             self.repeated += 1;
-            return Err(Unheard::Repeated);
+            return Err(ReportError::Repeated);
         }
         self.last.insert(proxy, moment);
         let mut left_out = 0;
@@ -83,7 +88,7 @@
         }
         self.left_out += left_out as u64;
         if left_out > 0 {
-            Err(Unheard::Parts(left_out))
+            Err(ReportError::ResourceUpdate(left_out))
         } else {
             Ok(())
         }
@@ -217,10 +222,10 @@
     /// A report sent again after a broken connection must not count twice: it would look like twice the load.
     #[test]
     fn a_repeated_or_late_report_counts_once() {
-        let mut intake = Intake::new(vec!["read".into()]);
+        let mut intake = ReportAggregator::new(vec!["read".into()]);
         assert_eq!(intake.take(ProxyId(1), ZoneId(0), &report(1_000, 8, 2, 1.0)), Ok(()));
-        assert_eq!(intake.take(ProxyId(1), ZoneId(0), &report(1_000, 8, 2, 1.0)), Err(Unheard::Repeated));
-        assert_eq!(intake.take(ProxyId(1), ZoneId(0), &report(900, 8, 2, 1.0)), Err(Unheard::Repeated));
+        assert_eq!(intake.take(ProxyId(1), ZoneId(0), &report(1_000, 8, 2, 1.0)), Err(ReportError::Repeated));
+        assert_eq!(intake.take(ProxyId(1), ZoneId(0), &report(900, 8, 2, 1.0)), Err(ReportError::Repeated));
         assert_eq!(intake.take(ProxyId(2), ZoneId(0), &report(1_000, 4, 0, 1.0)), Ok(()));
         let events = intake.flush();
         let Event::TriesReported { tries, unanswered, latency, .. } = &events[0] else {
@@ -233,15 +238,18 @@
 
     #[test]
     fn what_is_beyond_reason_is_left_out() {
-        let mut intake = Intake::new(vec!["read".into()]);
+        let mut intake = ReportAggregator::new(vec!["read".into()]);
         let proxy = ProxyId(1);
-        assert_eq!(intake.take(proxy, ZoneId(0), &report(1, u64::MAX, 0, 1.0)), Err(Unheard::Parts(1)));
-        assert_eq!(intake.take(proxy, ZoneId(0), &report(2, 1, 0, 1e9)), Err(Unheard::Parts(1)));
-        assert_eq!(intake.take(proxy, ZoneId(0), &report(3, 1, 0, 0.0)), Err(Unheard::Parts(1)));
+        assert_eq!(
+            intake.take(proxy, ZoneId(0), &report(1, u64::MAX, 0, 1.0)),
+            Err(ReportError::ResourceUpdate(1))
+        );
+        assert_eq!(intake.take(proxy, ZoneId(0), &report(2, 1, 0, 1e9)), Err(ReportError::ResourceUpdate(1)));
+        assert_eq!(intake.take(proxy, ZoneId(0), &report(3, 1, 0, 0.0)), Err(ReportError::ResourceUpdate(1)));
         let mut other = report(4, 1, 0, 1.0);
         other.cluster_stats[0].cluster_name = "unknown".into();
-        assert_eq!(intake.take(proxy, ZoneId(0), &other), Err(Unheard::Parts(1)));
-        assert_eq!(intake.take(proxy, ZoneId(0), &LoadStatsRequest::default()), Err(Unheard::NoMoment));
+        assert_eq!(intake.take(proxy, ZoneId(0), &other), Err(ReportError::ResourceUpdate(1)));
+        assert_eq!(intake.take(proxy, ZoneId(0), &LoadStatsRequest::default()), Err(ReportError::NoMoment));
         assert_eq!(intake.flush(), []);
     }
 }
--- a/crates/craneknot-coordinator/src/book.rs
+++ b/crates/craneknot-coordinator/src/resource_cache.rs
@@ -19,16 +19,16 @@
 
 /// What changed for one proxy, as text that others share.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Parts {
+pub struct ResourceUpdate {
     pub endpoints: BTreeMap<TableId, Bytes>,
     pub routes: BTreeMap<TableId, Bytes>,
     /// All its bindings, where one of them changed.
     pub clusters: Option<Vec<Bytes>>,
 }
 
-impl Parts {
+impl ResourceUpdate {
     /// What comes later takes the place of what was.
-    pub fn absorb(&mut self, later: Parts) {
+    pub fn absorb(&mut self, later: ResourceUpdate) {
         self.endpoints.extend(later.endpoints);
         self.routes.extend(later.routes);
         self.clusters = later.clusters.or(self.clusters.take());
@@ -72,14 +72,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     pub proxy: ProxyId,
-    pub parts: Parts,
+    pub parts: ResourceUpdate,
     pub mark: Option<u16>,
     /// What it costs the channel.
     pub lines: f64,
     pub decided: Nanos,
 }
 
-pub struct Book {
+pub struct ResourceCache {
     /// Part of every table's name. Where coordinators share nothing it names this one's life, so that tables of two are
     /// never taken for one another; where they share a fleet it is the same for all, whose tables are numbered alike.
     source: String,
@@ -113,7 +113,7 @@
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-impl Book {
+impl ResourceCache {
     pub fn new(
         source: String,
         classes: Vec<String>,
@@ -121,7 +121,7 @@
         lines_per_message: f64,
         lb_policy: String,
     ) -> Self {
-        Book {
+        ResourceCache {
             source,
             classes,
             unit,
@@ -217,7 +217,7 @@
         }
         let heads = self.lines_per_message + if mark.is_some() { 1.0 } else { 0.0 };
         let messages = touched.into_iter().map(|(proxy, at)| {
-            let parts = Parts {
+            let parts = ResourceUpdate {
                 endpoints: at.endpoints.iter().map(|table| (*table, self.endpoints(*table))).collect(),
                 routes: at.routes.iter().map(|table| (*table, self.routes(*table))).collect(),
                 clusters: at.clusters.then(|| self.bindings(proxy)),
@@ -228,10 +228,10 @@
     }
 
     /// All that a proxy holds by the orders so far: what a stream gets that cannot go on from where it was.
-    pub fn all_of(&mut self, proxy: ProxyId) -> Parts {
+    pub fn all_of(&mut self, proxy: ProxyId) -> ResourceUpdate {
         let tables: BTreeSet<TableId> =
             self.bound.get(&proxy).into_iter().flatten().flatten().copied().collect();
-        Parts {
+        ResourceUpdate {
             endpoints: tables.iter().map(|table| (*table, self.endpoints(*table))).collect(),
             routes: tables.iter().map(|table| (*table, self.routes(*table))).collect(),
             clusters: Some(self.bindings(proxy)),
@@ -333,7 +333,7 @@
 
     #[test]
     fn a_shared_table_is_made_once_and_costs_a_line_at_each_user() {
-        let mut book = Book::new(
+        let mut book = ResourceCache::new(
             "a-1".into(),
             vec!["read".into(), "write".into()],
             LevelUnit::Rate,
@@ -364,9 +364,12 @@
     #[test]
     fn later_parts_take_the_place_of_earlier_ones() {
         let text = |text: &'static str| Bytes::from_static(text.as_bytes());
-        let mut parts = Parts { endpoints: BTreeMap::from([(TableId(1), text("old"))]), ..Parts::default() };
+        let mut parts = ResourceUpdate {
+            endpoints: BTreeMap::from([(TableId(1), text("old"))]),
+            ..ResourceUpdate::default()
+        };
         let later = BTreeMap::from([(TableId(1), text("new")), (TableId(2), text("two"))]);
-        parts.absorb(Parts { endpoints: later, ..Parts::default() });
+        parts.absorb(ResourceUpdate { endpoints: later, ..ResourceUpdate::default() });
         assert_eq!(parts.take(Kind::Endpoints), Some(vec![text("new"), text("two")]));
         assert!(parts.is_empty() && parts.take(Kind::Endpoints).is_none());
     }
--- a/crates/craneknot-coordinator/src/roster.rs
+++ b/crates/craneknot-coordinator/src/roster.rs
@@ -47,7 +47,7 @@
 
 /// Why a list is not taken.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refusal {
+pub enum RosterError {
     Unreadable(String),
     Stale {
         version: u64,
@@ -61,26 +61,28 @@
     },
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for RosterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Unreadable(cause) => write!(f, "cannot be read: {cause}"),
-            Refusal::Stale { version, held } => write!(f, "version {version} is older than {held}"),
-            Refusal::Short { left, held, .. } => write!(f, "only {left} of {held} servers are left; waiting"),
+            RosterError::Unreadable(cause) => write!(f, "cannot be read: {cause}"),
+            RosterError::Stale { version, held } => write!(f, "version {version} is older than {held}"),
+            RosterError::Short { left, held, .. } => {
+                write!(f, "only {left} of {held} servers are left; waiting")
+            }
         }
     }
 }
 
 /// A list that was taken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct ValidatedRoster {
     pub event: Event,
     /// What was set right, in words.
     pub notes: Vec<String>,
     pub changed: usize,
 }
 
-pub struct Judge {
+pub struct RosterValidator {
     held: Option<BTreeMap<ServerId, Listing>>,
     version: u64,
     /// How long a short list is doubted: within the grace for drains, which it may tell of.
@@ -88,9 +90,9 @@
     doubted: Option<(u64, Nanos)>,
 }
 
-impl Judge {
+impl RosterValidator {
     pub fn new(drain_grace: Nanos) -> Self {
-        Judge { held: None, version: 0, doubt: Nanos(drain_grace.0 / 2), doubted: None }
+        RosterValidator { held: None, version: 0, doubt: Nanos(drain_grace.0 / 2), doubted: None }
     }
 
     pub fn version(&self) -> u64 {
@@ -111,13 +113,18 @@
     }
 
     /// Takes the list as this coordinator kept it before it started.
-    pub fn remember(&mut self, now: Nanos, text: &[u8], names: &mut Names) -> Result<Taken, Refusal> {
+    pub fn remember(
+        &mut self,
+        now: Nanos,
+        text: &[u8],
+        names: &mut Names,
+    ) -> Result<ValidatedRoster, RosterError> {
         let (roster, mut notes) = read(text)?;
         let servers = listings(now, &roster, names, &mut notes);
         let entries: Arc<[Listing]> = servers.values().cloned().collect();
         let changed = entries.len();
         self.held = Some(servers);
-        Ok(Taken { event: Event::List { scope: ListScope::Remembered, entries }, notes, changed })
+        Ok(ValidatedRoster { event: Event::List { scope: ListScope::Remembered, entries }, notes, changed })
     }
 
     /// The source gave nothing of use: a doubted list is looked at again later.
@@ -128,18 +135,23 @@
     }
 
     /// Takes what a source gave.
-    pub fn take(&mut self, now: Nanos, text: &[u8], names: &mut Names) -> Result<Taken, Refusal> {
+    pub fn take(
+        &mut self,
+        now: Nanos,
+        text: &[u8],
+        names: &mut Names,
+    ) -> Result<ValidatedRoster, RosterError> {
         let taken = self.weigh(now, text, names);
-        if matches!(taken, Err(Refusal::Unreadable(_) | Refusal::Stale { .. })) {
+        if matches!(taken, Err(RosterError::Unreadable(_) | RosterError::Stale { .. })) {
             self.put_off(now);
         }
         taken
     }
 
-    fn weigh(&mut self, now: Nanos, text: &[u8], names: &mut Names) -> Result<Taken, Refusal> {
+    fn weigh(&mut self, now: Nanos, text: &[u8], names: &mut Names) -> Result<ValidatedRoster, RosterError> {
         let (roster, mut notes) = read(text)?;
         if roster.version < self.version {
-            return Err(Refusal::Stale { version: roster.version, held: self.version });
+            return Err(RosterError::Stale { version: roster.version, held: self.version });
         }
         let servers = listings(now, &roster, names, &mut notes);
         if let Some(held) = &self.held {
@@ -151,7 +163,7 @@
                 };
                 if now < until {
                     self.doubted = Some((roster.version, until));
-                    return Err(Refusal::Short { left: held.len() - lost, held: held.len(), until });
+                    return Err(RosterError::Short { left: held.len() - lost, held: held.len(), until });
                 }
                 notes.push(format!("{lost} servers are gone, and the list still says so: believed"));
             }
@@ -172,15 +184,15 @@
             _ => 0,
         };
         self.held = Some(servers);
-        Ok(Taken { event, notes, changed })
+        Ok(ValidatedRoster { event, notes, changed })
     }
 }
 
-fn read(text: &[u8]) -> Result<(Roster, Vec<String>), Refusal> {
+fn read(text: &[u8]) -> Result<(Roster, Vec<String>), RosterError> {
     let roster: Roster =
-        serde_json::from_slice(text).map_err(|cause| Refusal::Unreadable(cause.to_string()))?;
+        serde_json::from_slice(text).map_err(|cause| RosterError::Unreadable(cause.to_string()))?;
     if roster.servers.len() > SERVERS_MOST {
-        return Err(Refusal::Unreadable(format!("more than {SERVERS_MOST} servers")));
+        return Err(RosterError::Unreadable(format!("more than {SERVERS_MOST} servers")));
     }
     Ok((roster, Vec::new()))
 }
@@ -253,8 +265,8 @@
         serde_json::to_vec(&Roster { version, servers: servers.map(entry).collect() }).unwrap()
     }
 
-    fn judge() -> (Judge, Names) {
-        let (mut judge, mut names) = (Judge::new(Nanos::from_millis(2_000)), Names::default());
+    fn judge() -> (RosterValidator, Names) {
+        let (mut judge, mut names) = (RosterValidator::new(Nanos::from_millis(2_000)), Names::default());
         let taken = judge.take(Nanos(1), &list(5, 1..=10), &mut names).unwrap();
         assert!(
             matches!(&taken.event, Event::List { scope: ListScope::Whole, entries } if entries.len() == 10)
@@ -277,10 +289,10 @@
         let text = list(6, 1..=3);
         for end in 0..text.len() {
             let refusal = judge.take(Nanos(2), &text[..end], &mut names).unwrap_err();
-            assert!(matches!(refusal, Refusal::Unreadable(_)), "{end}");
+            assert!(matches!(refusal, RosterError::Unreadable(_)), "{end}");
         }
         let stale = judge.take(Nanos(2), &list(4, 1..=10), &mut names);
-        assert_eq!(stale, Err(Refusal::Stale { version: 4, held: 5 }));
+        assert_eq!(stale, Err(RosterError::Stale { version: 4, held: 5 }));
         assert_eq!((judge.servers(), judge.version()), (10, 5));
     }
 
@@ -290,7 +302,7 @@
         let (mut judge, mut names) = judge();
         let second = Nanos::from_millis(1_000);
         let refusal = judge.take(second, &list(6, 1..=2), &mut names).unwrap_err();
-        assert_eq!(refusal, Refusal::Short { left: 2, held: 10, until: second + second });
+        assert_eq!(refusal, RosterError::Short { left: 2, held: 10, until: second + second });
         assert!(judge.take(second, &list(7, 1..=10), &mut names).is_ok());
         assert_eq!(judge.next_at(), None);
         judge.take(second, &list(8, 0..0), &mut names).unwrap_err();
--- a/crates/craneknot-coordinator/src/session.rs
+++ b/crates/craneknot-coordinator/src/session.rs
@@ -13,7 +13,7 @@
 use craneknot::interface::{Nanos, TableId};
 use craneknot_xds::discovery::Kind;
 
-use crate::book::{Message, Parts};
+use crate::resource_cache::{Message, ResourceUpdate};
 
 const AGAIN_FIRST: Nanos = Nanos::from_millis(500); // ms; wait before what was refused is offered again, whole
 const AGAIN_MOST: Nanos = Nanos::from_millis(2_000); // ms; the longest such wait: it may hold up a drain
@@ -63,14 +63,14 @@
 
 /// One answer to one held request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum Response {
     Resources { kind: Kind, nonce: u64, resources: Vec<Bytes> },
     Unchanged { kind: Kind },
 }
 
 /// What a request of the stream says of an earlier response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct StreamRequest {
     pub kind: Kind,
     pub nonce: Option<u64>,
     /// The cause, where the response of that nonce was refused.
@@ -86,7 +86,7 @@
 pub struct Session {
     state: State,
     open: VecDeque<Kind>,
-    due: Parts,
+    due: ResourceUpdate,
     due_lines: f64,
     due_marks: Vec<u16>,
     due_since: Option<Nanos>,
@@ -110,13 +110,13 @@
         marks: Vec<u16>,
         decided: Option<Nanos>,
     },
-    Refused {
+    Rejected {
         kind: Kind,
         cause: String,
         again_at: Nanos,
     },
     /// An answer to nothing that was sent: of an earlier stream, or made up. It counts for nothing.
-    Stray {
+    UnknownNonce {
         kind: Kind,
     },
 }
@@ -126,7 +126,7 @@
         Session {
             state: State::Settled,
             open: VecDeque::new(),
-            due: Parts::default(),
+            due: ResourceUpdate::default(),
             due_lines: 0.0,
             due_marks: Vec::new(),
             due_since: None,
@@ -173,7 +173,7 @@
     }
 
     /// What bindings rest on, where the parts have any.
-    fn note_needs(&mut self, parts: &Parts) {
+    fn note_needs(&mut self, parts: &ResourceUpdate) {
         if parts.clusters.is_some() {
             self.needs.extend(parts.endpoints.keys().map(|table| (Kind::Endpoints, *table)));
             self.needs.extend(parts.routes.keys().map(|table| (Kind::Routes, *table)));
@@ -209,9 +209,9 @@
     }
 
     /// A request has come.
-    pub fn ask(&mut self, now: Nanos, asked: Asked) -> Option<Outcome> {
+    pub fn ask(&mut self, now: Nanos, asked: StreamRequest) -> Option<Outcome> {
         self.hear(now);
-        let Asked { kind, nonce, refused } = asked;
+        let StreamRequest { kind, nonce, refused } = asked;
         if !self.open.contains(&kind) {
             self.open.push_back(kind);
         }
@@ -219,13 +219,13 @@
         let Some(place) = self.owed.iter().position(|owed| owed.kind == kind && owed.nonce == nonce) else {
             // The kind was answered with 304 since: its last nonce comes again.
             let known = nonce < self.next_nonce;
-            return (!known).then_some(Outcome::Stray { kind });
+            return (!known).then_some(Outcome::UnknownNonce { kind });
         };
         let owed = self.owed.remove(place);
         if let Some(cause) = refused {
             self.sign(now, Sign::Refused);
             let again_at = *self.again_at.get_or_insert(now + AGAIN_FIRST);
-            return Some(Outcome::Refused { kind, cause, again_at });
+            return Some(Outcome::Rejected { kind, cause, again_at });
         }
         owed.tables.iter().for_each(|table| {
             self.needs.remove(&(kind, *table));
@@ -238,7 +238,7 @@
     }
 
     /// What is to be sent now. `all` gives everything the proxy shall hold, asked for after a refusal.
-    pub fn answers(&mut self, now: Nanos, all: impl FnOnce() -> Parts) -> Vec<Answer> {
+    pub fn answers(&mut self, now: Nanos, all: impl FnOnce() -> ResourceUpdate) -> Vec<Response> {
         if self.again_at.is_some_and(|at| at <= now) {
             self.sign(now, Sign::Rested);
         }
@@ -264,9 +264,9 @@
                     let nonce = self.next_nonce;
                     self.next_nonce += 1;
                     self.owed.push(Owed { kind, nonce, tables });
-                    answers.push(Answer::Resources { kind, nonce, resources });
+                    answers.push(Response::Resources { kind, nonce, resources });
                 }
-                None => answers.push(Answer::Unchanged { kind }),
+                None => answers.push(Response::Unchanged { kind }),
             }
         }
         if self.due.is_empty() {
@@ -294,7 +294,7 @@
 
     fn message(table: u16, mark: Option<u16>, clusters: bool) -> Message {
         let text = Bytes::from(format!("table {table}"));
-        let parts = Parts {
+        let parts = ResourceUpdate {
             endpoints: BTreeMap::from([(TableId(table), text)]),
             routes: BTreeMap::new(),
             clusters: clusters.then(|| vec![Bytes::from_static(b"cluster")]),
@@ -303,7 +303,7 @@
     }
 
     fn ask(session: &mut Session, kind: Kind, nonce: Option<u64>, refused: Option<&str>) -> Option<Outcome> {
-        session.ask(Nanos(2), Asked { kind, nonce, refused: refused.map(str::to_owned) })
+        session.ask(Nanos(2), StreamRequest { kind, nonce, refused: refused.map(str::to_owned) })
     }
 
     fn asked() -> Session {
@@ -316,19 +316,19 @@
     fn a_mark_is_answered_only_when_every_part_is_accepted() {
         let mut session = asked();
         session.offer(message(1, Some(7), true));
-        let answers = session.answers(Nanos(3), Parts::default);
-        assert!(matches!(&answers[..], [Answer::Resources { kind: Kind::Endpoints, nonce: 1, .. }]));
+        let answers = session.answers(Nanos(3), ResourceUpdate::default);
+        assert!(matches!(&answers[..], [Response::Resources { kind: Kind::Endpoints, nonce: 1, .. }]));
         assert_eq!(session.state(), State::Owing);
-        assert!(session.answers(Nanos(3), Parts::default).is_empty());
+        assert!(session.answers(Nanos(3), ResourceUpdate::default).is_empty());
         let accepted = ask(&mut session, Kind::Endpoints, Some(1), None);
         assert!(matches!(accepted, Some(Outcome::Applied { marks, .. }) if marks.is_empty()));
         // Only now the binding to that table; routes, asked for before it, are told to be as they were.
-        let answers = session.answers(Nanos(3), Parts::default);
+        let answers = session.answers(Nanos(3), ResourceUpdate::default);
         assert!(matches!(
             &answers[..],
             [
-                Answer::Unchanged { kind: Kind::Routes },
-                Answer::Resources { kind: Kind::Clusters, nonce: 2, .. }
+                Response::Unchanged { kind: Kind::Routes },
+                Response::Resources { kind: Kind::Clusters, nonce: 2, .. }
             ]
         ));
         assert_eq!(ask(&mut session, Kind::Routes, None, None), None);
@@ -342,16 +342,16 @@
     fn what_is_due_to_a_proxy_that_stands_still_does_not_grow() {
         let mut session = asked();
         session.offer(message(1, None, false));
-        assert_eq!(session.answers(Nanos(3), Parts::default).len(), 1);
+        assert_eq!(session.answers(Nanos(3), ResourceUpdate::default).len(), 1);
         for _ in 0..1000 {
             session.offer(message(1, None, false));
-            assert!(session.answers(Nanos(4), Parts::default).is_empty());
+            assert!(session.answers(Nanos(4), ResourceUpdate::default).is_empty());
         }
         ask(&mut session, Kind::Endpoints, Some(1), None);
-        let answers = session.answers(Nanos(5), Parts::default);
+        let answers = session.answers(Nanos(5), ResourceUpdate::default);
         // Routes and clusters were still held: endpoints now stand behind them.
         assert_eq!(answers.len(), 3);
-        assert!(matches!(&answers[2], Answer::Resources { resources, .. } if resources.len() == 1));
+        assert!(matches!(&answers[2], Response::Resources { resources, .. } if resources.len() == 1));
         assert_eq!(session.held_lines(), 0.0);
     }
 
@@ -359,19 +359,19 @@
     fn a_refusal_is_followed_by_a_wait_and_by_all_that_the_proxy_shall_hold() {
         let mut session = asked();
         session.offer(message(1, Some(3), false));
-        session.answers(Nanos(3), Parts::default);
+        session.answers(Nanos(3), ResourceUpdate::default);
         let refused = ask(&mut session, Kind::Endpoints, Some(1), Some("disk full"));
         let again = Nanos(2) + AGAIN_FIRST;
         assert_eq!(
             refused,
-            Some(Outcome::Refused { kind: Kind::Endpoints, cause: "disk full".into(), again_at: again })
+            Some(Outcome::Rejected { kind: Kind::Endpoints, cause: "disk full".into(), again_at: again })
         );
         session.offer(message(2, None, false));
-        assert!(session.answers(again - Nanos(1), Parts::default).is_empty());
+        assert!(session.answers(again - Nanos(1), ResourceUpdate::default).is_empty());
         let all = || message(9, None, true).parts;
         let answers = session.answers(again, all);
-        assert!(matches!(&answers[0], Answer::Unchanged { kind: Kind::Routes }));
-        assert!(matches!(&answers[2], Answer::Resources { kind: Kind::Endpoints, nonce: 2, .. }));
+        assert!(matches!(&answers[0], Response::Unchanged { kind: Kind::Routes }));
+        assert!(matches!(&answers[2], Response::Resources { kind: Kind::Endpoints, nonce: 2, .. }));
         assert!(answers.len() == 3 && session.state() == State::Owing);
         for kind in [Kind::Routes, Kind::Clusters] {
             ask(&mut session, kind, None, None);
@@ -379,8 +379,8 @@
         // The mark of what was refused is answered with what took its place.
         let outcome = ask(&mut session, Kind::Endpoints, Some(2), None);
         assert!(matches!(outcome, Some(Outcome::Applied { marks, .. }) if marks == [3]));
-        let answers = session.answers(again, Parts::default);
-        assert!(matches!(answers.last(), Some(Answer::Resources { kind: Kind::Clusters, nonce: 3, .. })));
+        let answers = session.answers(again, ResourceUpdate::default);
+        assert!(matches!(answers.last(), Some(Response::Resources { kind: Kind::Clusters, nonce: 3, .. })));
         ask(&mut session, Kind::Clusters, Some(3), None);
         assert_eq!(session.state(), State::Settled);
     }
@@ -390,7 +390,7 @@
         let mut session = asked();
         assert_eq!(
             ask(&mut session, Kind::Routes, Some(40), None),
-            Some(Outcome::Stray { kind: Kind::Routes })
+            Some(Outcome::UnknownNonce { kind: Kind::Routes })
         );
         assert!(!session.is_silent(Nanos::from_millis(2_000), Nanos::from_millis(100)));
         assert!(session.is_silent(Nanos::from_millis(3_001), Nanos::from_millis(100)));
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -27,13 +27,13 @@
 use http::{header, HeaderName, Method, Request, StatusCode};
 use tracing::{debug, error, info, warn};
 
-use crate::desk::{self, Desk, Output, Refused, StreamId};
-use crate::intake::Unheard;
+use crate::engine::{self, Engine, Output, RequestError, StreamId};
 use crate::ledger::LedgerFile;
 use crate::probes::{self, Probes};
-use crate::roster::Refusal;
-use crate::session::{Answer, Outcome};
-use crate::source::{FileRoster, RosterSource};
+use crate::report_aggregator::ReportError;
+use crate::roster::RosterError;
+use crate::roster_source::{FileRoster, RosterSource};
+use crate::session::{Outcome, Response};
 
 const JSON: (HeaderName, &str) = (header::CONTENT_TYPE, "application/json");
 const SAVED: &str = "fleet/saved"; // the store's record of term, vote and history
@@ -50,15 +50,15 @@
 
 /// What ends the program.
 #[derive(Debug)]
-pub enum Ended {
+pub enum ExitReason {
     /// By a signal, after the streams were closed.
-    Asked,
+    Signalled,
     Failed(io::Error),
 }
 
-impl From<io::Error> for Ended {
+impl From<io::Error> for ExitReason {
     fn from(cause: io::Error) -> Self {
-        Ended::Failed(cause)
+        ExitReason::Failed(cause)
     }
 }
 
@@ -83,7 +83,7 @@
     settings: CoordinatorSettings,
     folder: PathBuf,
     reactor: Reactor<Due>,
-    desk: Desk,
+    engine: Engine,
     listener: ListenerId,
     peers: BTreeMap<ConnId, Peer>,
     conns: BTreeMap<StreamId, ConnId>,
@@ -164,14 +164,14 @@
         let mut reactor = Reactor::new(clock, limits)?;
         let now = reactor.now();
         let seed = settings.seed.unwrap_or(now.0);
-        let mut desk = Desk::new(&settings, seed, now);
+        let mut engine = Engine::new(&settings, seed, now);
         let roster = folder.join(&settings.roster.file);
         let mut watch = FolderWatch::new()?;
         watch.add(roster.parent().unwrap_or(folder))?;
         reactor.watch(&watch, ROSTER)?;
         if let Some(path) = &settings.roster.remembered {
             match fs::read(folder.join(path)) {
-                Ok(text) => match desk.remember(now, &text) {
+                Ok(text) => match engine.load_saved_roster(now, &text) {
                     Ok(()) => info!(file = %path.display(), "took the list kept from before this start"),
                     Err(refusal) => {
                         warn!(file = %path.display(), cause = %refusal, "the kept list is of no use")
@@ -184,11 +184,12 @@
         let mut datagrams = None;
         if let Some(shared) = &shared {
             let saved = shared.saved()?;
-            desk.share(&settings, saved, seed, now);
+            engine.join_fleet(&settings, saved, seed, now);
             for (_, version) in shared.store.with_prefix(FOLLOWED) {
-                desk.note_followed(&String::from_utf8_lossy(version));
+                engine.note_followed_version(&String::from_utf8_lossy(version));
             }
-            if let Some(Err(refusal)) = shared.store.get(LIST).map(|list| desk.remember(now, list)) {
+            if let Some(Err(refusal)) = shared.store.get(LIST).map(|list| engine.load_saved_roster(now, list))
+            {
                 warn!(cause = %refusal, "the list in the store is of no use");
             }
             reactor.watch(&shared.socket, DATAGRAMS)?;
@@ -213,7 +214,7 @@
             folder: folder.to_owned(),
             settings,
             reactor,
-            desk,
+            engine,
             listener,
             peers: BTreeMap::new(),
             conns: BTreeMap::new(),
@@ -235,7 +236,7 @@
     }
 
     /// Tells this count in the status: of log lines that were not written.
-    pub fn tell_dropped_lines(&mut self, dropped: Counter) {
+    pub fn set_dropped_line_counter(&mut self, dropped: Counter) {
         self.log_lines_dropped = dropped;
     }
 
@@ -258,7 +259,7 @@
         if let (Some(shared), Some(news)) = (&mut self.shared, &fresh.shared) {
             let named = news.members.iter().map(|member| (member.name.clone(), member.datagrams));
             shared.members = named.collect();
-            self.desk.set_members(now, news.members.iter().map(|member| member.name.clone()));
+            self.engine.set_members(now, news.members.iter().map(|member| member.name.clone()));
             info!(members = shared.members.len(), "took the members that the settings name");
         }
         let members_aside = |settings: &CoordinatorSettings| {
@@ -277,9 +278,9 @@
     }
 
     /// Runs until a signal ends it.
-    pub fn run(&mut self) -> Ended {
+    pub fn run(&mut self) -> ExitReason {
         loop {
-            match self.round() {
+            match self.run_once() {
                 Ok(true) => {}
                 Ok(false) => {
                     self.write_ledger();
@@ -288,15 +289,15 @@
                     if let Err(cause) = self.reactor.flush(FLUSH_MOST) {
                         warn!(%cause, "the last answers could not be written");
                     }
-                    return Ended::Asked;
+                    return ExitReason::Signalled;
                 }
-                Err(cause) => return Ended::Failed(cause),
+                Err(cause) => return ExitReason::Failed(cause),
             }
         }
     }
 
     /// Waits for what happens, and acts on it; false: a signal asks for the end.
-    pub fn round(&mut self) -> io::Result<bool> {
+    pub fn run_once(&mut self) -> io::Result<bool> {
         self.turn();
         self.reactor.poll(None)?;
         while let Some(happened) = self.reactor.next_event() {
@@ -344,14 +345,14 @@
     /// Lets the desk act, and carries out what it asks for.
     fn turn(&mut self) {
         let now = self.reactor.now();
-        if std::mem::take(&mut self.read_roster) || self.desk.roster_due(now) {
+        if std::mem::take(&mut self.read_roster) || self.engine.roster_due(now) {
             self.take_roster(now);
         }
         let mut unsaved = false;
-        for output in self.desk.turn(now) {
+        for output in self.engine.turn(now) {
             match output {
-                Output::Answer { stream, answer, version } => self.answer(stream, answer, &version),
-                Output::Break { stream, cause } => {
+                Output::Respond { stream, response, version } => self.answer(stream, response, &version),
+                Output::CloseStream { stream, cause } => {
                     if let Some(conn) = self.conns.remove(&stream) {
                         warn!(stream = stream.0, %cause, "breaking a stream");
                         self.peers.remove(&conn);
@@ -360,8 +361,8 @@
                 }
                 Output::Probe { server } => self.begin_probe(now, server),
                 Output::ReadRoster => self.read_roster = true,
-                Output::SendOn { stream, to } => self.send_on(stream, &to),
-                Output::Save(saved) => {
+                Output::Redirect { stream, to } => self.send_on(stream, &to),
+                Output::SaveFleetState(saved) => {
                     let Some(shared) = &mut self.shared else { continue };
                     if let Err(cause) = shared.save(&saved) {
                         // What rests on it must not be sent: the others take this one for silent, and so it is.
@@ -369,7 +370,7 @@
                         unsaved = true;
                     }
                 }
-                Output::Keep(followed) => {
+                Output::SaveFollowed(followed) => {
                     if let Some(Err(cause)) = self.shared.as_mut().map(|shared| shared.keep(&followed)) {
                         warn!(%cause, "what proxies followed cannot be kept");
                     }
@@ -381,7 +382,7 @@
                 }
             }
         }
-        for change in self.desk.weight_changes() {
+        for change in self.engine.weight_changes() {
             info!(
                 server = change.server,
                 from = change.from,
@@ -394,7 +395,7 @@
                 "a weight changed"
             );
         }
-        let at = if self.read_roster { now } else { self.desk.next_at() };
+        let at = if self.read_roster { now } else { self.engine.next_at() };
         if self.turn_at.is_none_or(|set| at < set) {
             self.turn_at = Some(at);
             self.reactor.set_timer(at, Due::Turn);
@@ -411,7 +412,7 @@
 
     fn write_ledger(&mut self) {
         let now = self.reactor.now();
-        if let (Some(file), Some(ledger)) = (&mut self.ledger, self.desk.ledger()) {
+        if let (Some(file), Some(ledger)) = (&mut self.ledger, self.engine.ledger()) {
             if let Err(cause) = file.write(ledger, now) {
                 warn!(%cause, "the ledger cannot be written; it waits in memory for a while");
             }
@@ -423,11 +424,11 @@
             Ok(text) => text,
             Err(cause) => {
                 warn!(source = self.source.name(), %cause, "the list of servers cannot be read");
-                self.desk.roster_failed(now);
+                self.engine.roster_read_failed(now);
                 return;
             }
         };
-        match self.desk.roster(now, &text) {
+        match self.engine.update_roster(now, &text) {
             Ok((0, _)) => {}
             Ok((changed, notes)) => {
                 info!(changed, "took a list of servers");
@@ -443,28 +444,34 @@
                     }
                 }
             }
-            Err(Refusal::Short { until, .. }) if now < until => warn!("the list is suddenly short; waiting"),
+            Err(RosterError::Short { until, .. }) if now < until => {
+                warn!("the list is suddenly short; waiting")
+            }
             Err(refusal) => warn!(cause = %refusal, "the list of servers is refused; the old one stands"),
         }
     }
 
-    fn answer(&mut self, stream: StreamId, answer: Answer, version: &str) {
+    fn answer(&mut self, stream: StreamId, answer: Response, version: &str) {
         let Some(conn) = self.conns.get(&stream).copied() else { return };
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         let chunks = match answer {
-            Answer::Resources { kind, nonce, resources } => {
+            Response::Resources { kind, nonce, resources } => {
                 peer.asked.pop_front();
                 debug!(
-                    proxy = self.desk.proxy_name(stream),
+                    proxy = self.engine.proxy_name(stream),
                     kind = ?kind,
                     resources = resources.len(),
                     version,
                     nonce,
                     "sent"
                 );
-                response_chunks(StatusCode::OK, &[JSON], desk::body(kind, version, nonce, resources))
+                response_chunks(
+                    StatusCode::OK,
+                    &[JSON],
+                    engine::response_body(kind, version, nonce, resources),
+                )
             }
-            Answer::Unchanged { .. } => {
+            Response::Unchanged { .. } => {
                 peer.asked.pop_front();
                 vec![response(StatusCode::NOT_MODIFIED, &[], b"")]
             }
@@ -479,9 +486,9 @@
     fn gone(&mut self, conn: ConnId, cause: &str) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         if peer.joined {
-            info!(proxy = self.desk.proxy_name(peer.stream), cause, "a stream ended");
+            info!(proxy = self.engine.proxy_name(peer.stream), cause, "a stream ended");
             self.conns.remove(&peer.stream);
-            self.desk.leave(self.reactor.now(), peer.stream);
+            self.engine.end_stream(self.reactor.now(), peer.stream);
         }
     }
 
@@ -517,7 +524,7 @@
         } else if path == load::PATH && method == Method::POST {
             self.load_report(conn, now, message.body());
         } else if path == "/status" && method == Method::GET {
-            let mut status = serde_json::to_value(self.desk.status(now)).unwrap_or_default();
+            let mut status = serde_json::to_value(self.engine.status(now)).unwrap_or_default();
             status["log_lines_dropped"] = self.log_lines_dropped.get().into();
             if let Some(shared) = &self.shared {
                 let health = shared.store.health();
@@ -526,11 +533,11 @@
                 });
             }
             if message.uri().query() == Some("weights") {
-                status["weights"] = serde_json::to_value(self.desk.explain(now)).unwrap_or_default();
+                status["weights"] = serde_json::to_value(self.engine.explain(now)).unwrap_or_default();
             }
             let body = serde_json::to_vec(&status).unwrap_or_default();
             if message.uri().query() == Some("spans=anew") {
-                self.desk.forget_spans();
+                self.engine.reset_spans();
             }
             self.reply(conn, StatusCode::OK, &body);
         } else if path == "/healthz" && method == Method::GET {
@@ -570,33 +577,33 @@
         }
         let (stream, first) = (peer.stream, !peer.joined);
         peer.asked.push_back(kind);
-        match self.desk.ask(now, stream, kind, asked) {
+        match self.engine.handle_request(now, stream, kind, asked) {
             Ok(outcome) => {
                 if first {
                     peer.joined = true;
                     self.conns.insert(stream, conn);
-                    info!(proxy = self.desk.proxy_name(stream), stream = stream.0, "a proxy joined");
+                    info!(proxy = self.engine.proxy_name(stream), stream = stream.0, "a proxy joined");
                 }
                 match outcome {
-                    Some(Outcome::Refused { kind, cause, .. }) => {
-                        let proxy = self.desk.proxy_name(stream);
+                    Some(Outcome::Rejected { kind, cause, .. }) => {
+                        let proxy = self.engine.proxy_name(stream);
                         warn!(proxy, ?kind, cause, "a proxy refused what it was sent; its old one stands");
                     }
-                    Some(Outcome::Stray { kind }) => {
+                    Some(Outcome::UnknownNonce { kind }) => {
                         warn!(
-                            proxy = self.desk.proxy_name(stream),
+                            proxy = self.engine.proxy_name(stream),
                             ?kind,
                             "an answer to what was never sent"
                         );
                     }
                     Some(Outcome::Applied { marks, .. }) => {
-                        debug!(proxy = self.desk.proxy_name(stream), ?marks, "applied");
+                        debug!(proxy = self.engine.proxy_name(stream), ?marks, "applied");
                     }
                     None => {}
                 }
             }
-            Err(Refused::Elsewhere(to)) => self.point_to(conn, &to),
-            Err(refused @ Refused::NoCharge) => {
+            Err(RequestError::Elsewhere(to)) => self.point_to(conn, &to),
+            Err(refused @ RequestError::NoKnownOwner) => {
                 let again = [(header::RETRY_AFTER, "1"), (header::CONNECTION, "close")];
                 let text = refused.to_string();
                 let _ = self
@@ -634,7 +641,7 @@
         for _ in 0..DATAGRAMS_A_TURN {
             match shared.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => {
-                    if let Err(cause) = self.desk.datagram(now, &buffer[..length]) {
+                    if let Err(cause) = self.engine.handle_datagram(now, &buffer[..length]) {
                         warn!(%from, cause, "a datagram that is none of ours");
                     }
                 }
@@ -650,14 +657,14 @@
             Ok(report) => report,
             Err(cause) => return self.turn_down(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
-        match self.desk.report(now, &report) {
+        match self.engine.handle_load_report(now, &report) {
             Ok(()) => {}
-            Err(Unheard::Repeated) => debug!("a report came again"),
+            Err(ReportError::Repeated) => debug!("a report came again"),
             Err(unheard) => warn!(?unheard, "a report was not counted whole"),
         }
         let wanted = LoadStatsResponse {
             send_all_clusters: true,
-            load_reporting_interval: Seconds(self.desk.report_period().secs()),
+            load_reporting_interval: Seconds(self.engine.report_period().secs()),
             report_endpoint_granularity: true,
         };
         self.reply(conn, StatusCode::OK, &serde_json::to_vec(&wanted).unwrap_or_default());
@@ -709,7 +716,7 @@
             }
             Err(cause) => {
                 debug!(server = %server.0, %cause, "a probe cannot be sent");
-                self.desk.probed(server, ProbeOutcome::Failed, Nanos(0), Default::default());
+                self.engine.handle_probe_result(server, ProbeOutcome::Failed, Nanos(0), Default::default());
             }
         }
     }
@@ -745,7 +752,7 @@
         self.probe_readers.remove(&conn);
         if let Some((server, took)) = self.probes.end(self.reactor.now(), conn) {
             debug!(server = %server.0, ?outcome, "probed");
-            self.desk.probed(server, outcome, took, probes::load(report));
+            self.engine.handle_probe_result(server, outcome, took, probes::load(report));
         }
     }
 }
--- a/crates/craneknot-coordinator/src/ask.rs
+++ b/crates/craneknot-coordinator/src/status_client.rs
@@ -10,13 +10,13 @@
 
 /// How long to wait for a connection, and for what comes on it.
 #[derive(Clone, Copy)]
-pub struct Within {
+pub struct Timeouts {
     pub connect: Duration,
     pub read: Duration,
 }
 
 /// The JSON that stands at `path`, such as `/status`.
-pub fn ask(address: SocketAddr, path: &str, within: Within) -> io::Result<Value> {
+pub fn fetch_json(address: SocketAddr, path: &str, within: Timeouts) -> io::Result<Value> {
     let mut stream = TcpStream::connect_timeout(&address, within.connect)?;
     stream.set_read_timeout(Some(within.read))?;
     let asked = format!("GET {path} HTTP/1.1\r\nhost: coordinator\r\nconnection: close\r\n\r\n");
--- a/crates/craneknot-coordinator/src/weights.rs
+++ b/crates/craneknot-coordinator/src/weights.rs
@@ -7,14 +7,14 @@
 use craneknot_solver::steer;
 
 /// What a solver is told at its start.
-pub fn of(settings: &CoordinatorSettings, decisions: &Settings) -> steer::Settings {
+pub fn solver_settings(settings: &CoordinatorSettings, decisions: &Settings) -> steer::Settings {
     let solver = settings.solver.clone().unwrap_or_default();
     let (zones, classes) = (&settings.fleet.zones, decisions.classes.clone());
-    settings_of(&solver, zones, classes, &settings.rules, decisions.proxies)
+    solver_settings_for_zones(&solver, zones, classes, &settings.rules, decisions.proxies)
 }
 
 /// The same without a coordinator.
-pub fn settings_of(
+pub fn solver_settings_for_zones(
     solver: &SolverSettings,
     zones: &[String],
     classes: Vec<ClassSettings>,
@@ -33,9 +33,9 @@
 }
 
 /// Names as a coordinator has them.
-pub struct Named<'a>(pub &'a Names);
+pub struct SolverNames<'a>(pub &'a Names);
 
-impl explain::Names for Named<'_> {
+impl explain::Names for SolverNames<'_> {
     fn zone(&self, zone: ZoneId) -> String {
         self.0.zone_name(zone).to_owned()
     }
--- a/crates/craneknot-model/src/feed.rs
+++ b/crates/craneknot-model/src/feed.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use craneknot_coordinator::ledger::{Line, Micros, Shown, Told};
+use craneknot_coordinator::ledger::{LedgerContents, Line, ListedState, Micros};
 use craneknot_rehearsal::recording::{Head, Line as Seen, Recording, FORMAT};
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
@@ -26,7 +26,7 @@
 /// Makes a recording of the ledgers of one span of time, one or several of each coordinator. `script` describes the servers,
 /// proxies and channel, which no ledger tells whole; its length and rate are set to what came. Its troubles are played as they
 /// stand: leave them out, or set them to what the recorded time had.
-pub fn recording(ledgers: &[Told], script: &Script, seed: u64) -> Result<Fed, String> {
+pub fn recording(ledgers: &[LedgerContents], script: &Script, seed: u64) -> Result<Fed, String> {
     let mut arrivals: Vec<(Micros, u16, u16)> = Vec::new();
     let mut changes: Vec<(Micros, String, bool)> = Vec::new();
     let mut rng = Pcg32::seed_from_u64(seed);
@@ -57,14 +57,14 @@
                 }
                 Line::Listed(at, server, shown, _, _) => {
                     let up = match shown {
-                        Shown::Ready => true,
-                        Shown::Draining | Shown::Gone => false,
+                        ListedState::Ready => true,
+                        ListedState::Draining | ListedState::Removed => false,
                     };
                     changes.extend(servers.get(server).map(|name| (*at, name.clone(), up)));
                 }
-                Line::Missing(lines) => missing += lines,
+                Line::Dropped(lines) => missing += lines,
                 Line::ListFailed(_)
-                | Line::Heard(..)
+                | Line::TriesReported(..)
                 | Line::Probed(..)
                 | Line::Joined(..)
                 | Line::Ordered(..) => {}
--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -12,7 +12,7 @@
 
 use craneknot::interface::*;
 use craneknot::Controller;
-use craneknot_coordinator::desk::Decide;
+use craneknot_coordinator::engine::Decider;
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
 
@@ -50,7 +50,7 @@
 
 impl Build {
     /// Starts its decisions.
-    pub fn start(&self, settings: &Settings, seed: u64, now: Nanos, fault: &Fault) -> Box<dyn Decide> {
+    pub fn start(&self, settings: &Settings, seed: u64, now: Nanos, fault: &Fault) -> Box<dyn Decider> {
         match self {
             Build::Own => Box::new(Controller::new(settings.clone(), seed, now)),
             Build::OwnCoarse => Box::new(Coarse(Controller::new(settings.clone(), seed, micros(now)))),
@@ -68,7 +68,7 @@
 /// Decides nothing: the run has failed.
 struct Nothing;
 
-impl Decide for Nothing {
+impl Decider for Nothing {
     fn step(&mut self, _: Nanos, _: &[Event]) -> Vec<Order> {
         Vec::new()
     }
@@ -77,7 +77,7 @@
 /// This program's decisions, told as coarsely as the lines of JSON tell.
 pub struct Coarse(Controller);
 
-impl Decide for Coarse {
+impl Decider for Coarse {
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order> {
         let events: Vec<Event> = events.iter().filter_map(coarse).collect();
         let orders = self.0.step(micros(now), &events).into_iter();
@@ -206,7 +206,7 @@
     }
 }
 
-impl Decide for Hosted {
+impl Decider for Hosted {
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order> {
         if self.failed {
             return Vec::new();
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -9,7 +9,7 @@
             return;
         }
         let coordinator = held.order[held.dial.coordinator()];
-        if self.desks[coordinator].is_none() {
+        if self.engines[coordinator].is_none() {
             held.dial.sign(self.now, Sign::Lost);
             let at = held.dial.next_at().unwrap_or(self.now);
             return self.set(at, Event::Dial(proxy));
@@ -28,11 +28,11 @@
 
     pub(super) fn request(&mut self, proxy: usize, kind: Kind, refused: Option<Status>) {
         if let Some((coordinator, stream)) = self.proxies[proxy].stream {
-            self.set(self.now + HOP, Event::ToDesk { coordinator, stream, proxy, kind, refused });
+            self.set(self.now + HOP, Event::ToEngine { coordinator, stream, proxy, kind, refused });
         }
     }
 
-    pub(super) fn desk_asked(
+    pub(super) fn engine_request(
         &mut self,
         coordinator: usize,
         stream: StreamId,
@@ -44,7 +44,7 @@
             return;
         }
         if self.stalled[coordinator] {
-            return self.set(self.now + STILL, Event::ToDesk { coordinator, stream, proxy, kind, refused });
+            return self.set(self.now + STILL, Event::ToEngine { coordinator, stream, proxy, kind, refused });
         }
         let held = &self.proxies[proxy];
         let usual = self.script.clients.rate / self.proxies.len() as f64;
@@ -66,12 +66,12 @@
             error_detail: refused,
             ..DiscoveryRequest::default()
         };
-        if let Some(desk) = &mut self.desks[coordinator] {
-            let answer = desk.ask(self.now, stream, kind, asked);
-            self.wake_desk(coordinator);
+        if let Some(engine) = &mut self.engines[coordinator] {
+            let answer = engine.handle_request(self.now, stream, kind, asked);
+            self.wake_engine(coordinator);
             match answer {
                 Ok(_) => {}
-                Err(Refused::Elsewhere(to)) => self.point_to(stream, &to),
+                Err(RequestError::Elsewhere(to)) => self.point_to(stream, &to),
                 Err(_) => self.soon(Event::Lost { proxy, stream }),
             }
         }
@@ -124,9 +124,9 @@
         self.under_way[proxy] = START;
         self.owners.remove(&stream);
         self.log.add(self.now, What::Left { proxy, coordinator });
-        if let Some(desk) = &mut self.desks[coordinator] {
-            desk.leave(self.now, stream);
-            self.wake_desk(coordinator);
+        if let Some(engine) = &mut self.engines[coordinator] {
+            engine.end_stream(self.now, stream);
+            self.wake_engine(coordinator);
         }
     }
 
@@ -217,11 +217,11 @@
             let middle = |closed: u64| Nanos(closed.saturating_mul(1_000_000)) - Nanos::from_secs(span / 2.0);
             self.untaken[coordinator].extend(closed.filter(|_| span > 0.0).map(middle));
         }
-        if let Some(desk) = &mut self.desks[coordinator] {
-            let _ = desk.report(self.now, &report);
+        if let Some(engine) = &mut self.engines[coordinator] {
+            let _ = engine.handle_load_report(self.now, &report);
             self.proxies[proxy].unanswered = None;
             self.proxies[proxy].waits.answered();
-            self.wake_desk(coordinator);
+            self.wake_engine(coordinator);
         }
     }
 }
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -11,7 +11,7 @@
     pub(super) fn start_desk(&mut self, coordinator: usize) {
         let mut settings = coordinator_settings(self.script, coordinator);
         // Datagrams go by the members' names here; their places say nothing.
-        let places: Vec<SocketAddr> = (0..self.desks.len()).map(member_address).collect();
+        let places: Vec<SocketAddr> = (0..self.engines.len()).map(member_address).collect();
         settings.ledger = self.ask.ledgers.then(|| LedgerSettings::at("ledger.gz"));
         let shared = self.script.shared.as_ref();
         settings.shared = shared
@@ -19,32 +19,34 @@
         let seed = settings.seed.unwrap_or(0) ^ self.ask.chance;
         let own = Build::Own;
         let (build, fault, now) = (self.ask.build.unwrap_or(&own), &self.fault, self.now);
-        let mut desk = Desk::deciding(&settings, now, |decisions| build.start(decisions, seed, now, fault));
+        let mut engine =
+            Engine::with_decider(&settings, now, |decisions| build.start(decisions, seed, now, fault));
         if settings.shared.is_some() {
             let disk = &self.disks[coordinator];
-            desk.share(&settings, disk.saved.clone(), seed, self.now);
-            disk.followed.values().for_each(|version| desk.note_followed(version));
+            engine.join_fleet(&settings, disk.saved.clone(), seed, self.now);
+            disk.followed.values().for_each(|version| engine.note_followed_version(version));
             if let Some(list) = &disk.list {
-                let _ = desk.remember(self.now, list);
+                let _ = engine.load_saved_roster(self.now, list);
             }
         }
         if let Some(text) = &self.roster {
-            let _ = desk.roster(self.now, text);
+            let _ = engine.update_roster(self.now, text);
         }
-        self.desks[coordinator] = Some(desk);
+        self.engines[coordinator] = Some(engine);
         self.log.add(self.now, What::Coordinator { coordinator, up: true });
-        self.wake_desk(coordinator);
+        self.wake_engine(coordinator);
     }
 
     /// The coordinator that says that it leads, in the latest term; the first that runs where none does.
     pub(super) fn leader(&self) -> Option<usize> {
-        let runs = || self.desks.iter().enumerate().filter_map(|(place, desk)| Some((place, desk.as_ref()?)));
-        let leads = |(place, desk): (usize, &Desk)| Some((desk.leads()?, place));
+        let runs =
+            || self.engines.iter().enumerate().filter_map(|(place, engine)| Some((place, engine.as_ref()?)));
+        let leads = |(place, engine): (usize, &Engine)| Some((engine.leader_term()?, place));
         runs().filter_map(leads).max().map(|(_, place)| place).or(runs().next().map(|(place, _)| place))
     }
 
     pub(super) fn kill_desk(&mut self, coordinator: usize) {
-        if self.desks[coordinator].take().is_none() {
+        if self.engines[coordinator].take().is_none() {
             return;
         }
         self.unread[coordinator].clear();
@@ -58,14 +60,14 @@
         }
     }
 
-    pub(super) fn raise_desk(&mut self, coordinator: usize) {
-        if self.desks[coordinator].is_none() && self.ask.who == Who::Ours {
+    pub(super) fn raise_engine(&mut self, coordinator: usize) {
+        if self.engines[coordinator].is_none() && self.ask.who == Who::Ours {
             self.start_desk(coordinator);
         }
     }
 
     pub(super) fn stall_desk(&mut self, coordinator: usize, on: bool) {
-        if self.desks[coordinator].is_none() {
+        if self.engines[coordinator].is_none() {
             return;
         }
         self.stalled[coordinator] = on;
@@ -73,7 +75,7 @@
         if !on {
             let texts = std::mem::take(&mut self.unread[coordinator]);
             texts.iter().for_each(|text| self.mail(coordinator, text));
-            self.wake_desk(coordinator);
+            self.wake_engine(coordinator);
         }
     }
 
@@ -82,38 +84,38 @@
         if self.stalled[to] {
             return self.unread[to].push(text.to_vec());
         }
-        if let Some(desk) = &mut self.desks[to] {
-            let _ = desk.datagram(self.now, text);
-            self.wake_desk(to);
+        if let Some(engine) = &mut self.engines[to] {
+            let _ = engine.handle_datagram(self.now, text);
+            self.wake_engine(to);
         }
     }
 
     fn post(&mut self, from: usize, to: &str, text: Vec<u8>) {
-        let Some(to) = coordinator_named(to).filter(|to| *to < self.desks.len()) else { return };
+        let Some(to) = coordinator_named(to).filter(|to| *to < self.engines.len()) else { return };
         if !self.cuts.lose(from, to) {
             self.soon(Event::Mail { to, text });
         }
     }
 
-    pub(super) fn wake_desk(&mut self, coordinator: usize) {
+    pub(super) fn wake_engine(&mut self, coordinator: usize) {
         let at = if self.stalled[coordinator] { Nanos(u64::MAX) } else { self.now };
-        if at < Nanos(u64::MAX) && self.desk_at[coordinator] != at {
-            self.desk_at[coordinator] = at;
-            self.set(at, Event::Desk(coordinator));
+        if at < Nanos(u64::MAX) && self.engine_at[coordinator] != at {
+            self.engine_at[coordinator] = at;
+            self.set(at, Event::Engine(coordinator));
         }
     }
 
     pub(super) fn turn(&mut self, coordinator: usize) {
-        self.desk_at[coordinator] = Nanos(u64::MAX);
+        self.engine_at[coordinator] = Nanos(u64::MAX);
         if self.stalled[coordinator] {
             return;
         }
-        let Some(desk) = &mut self.desks[coordinator] else { return };
+        let Some(engine) = &mut self.engines[coordinator] else { return };
         let begun = Instant::now();
-        let (flushes, steps) = (desk.flushes_at() <= self.now, desk.steps());
-        let outputs = desk.turn(self.now);
+        let (flushes, steps) = (engine.next_flush_at() <= self.now, engine.steps());
+        let outputs = engine.turn(self.now);
         if self.ask.cost {
-            if desk.steps() > steps {
+            if engine.steps() > steps {
                 self.cost.turns.push(begun.elapsed());
             }
             if flushes {
@@ -121,17 +123,17 @@
                 self.cost.ages.extend(middles.into_iter().map(|middle| self.now - middle));
             }
         }
-        let at = desk.next_at().max(self.now + Nanos(1_000));
-        self.desk_at[coordinator] = at;
-        self.set(at, Event::Desk(coordinator));
+        let at = engine.next_at().max(self.now + Nanos(1_000));
+        self.engine_at[coordinator] = at;
+        self.set(at, Event::Engine(coordinator));
         for output in outputs {
             match output {
-                Output::Answer { stream, answer, version } => {
+                Output::Respond { stream, response: answer, version } => {
                     let Some(proxy) = self.owners.get(&stream).copied() else { continue };
                     let (kind, response) = match answer {
-                        Told::Unchanged { kind } => (kind, None),
-                        Told::Resources { kind, nonce, resources } => {
-                            let text = body(kind, &version, nonce, resources).concat();
+                        StreamResponse::Unchanged { kind } => (kind, None),
+                        StreamResponse::Resources { kind, nonce, resources } => {
+                            let text = response_body(kind, &version, nonce, resources).concat();
                             let Ok(response) = serde_json::from_slice(&text) else { continue };
                             (kind, Some(Box::new(response)))
                         }
@@ -142,7 +144,7 @@
                     self.under_way[proxy] = at;
                     self.set(at, Event::ToAgent { proxy, stream, kind, response });
                 }
-                Output::Break { stream, .. } => {
+                Output::CloseStream { stream, .. } => {
                     if let Some(proxy) = self.owners.get(&stream).copied() {
                         self.set(self.now + NOTICE, Event::Lost { proxy, stream });
                     }
@@ -152,9 +154,9 @@
                     self.soon(Event::Probed { coordinator, server, since });
                 }
                 Output::ReadRoster => self.read_roster(coordinator),
-                Output::SendOn { stream, to } => self.point_to(stream, &to),
-                Output::Save(saved) => self.disks[coordinator].saved = saved,
-                Output::Keep(followed) => self.disks[coordinator].followed.extend(followed),
+                Output::Redirect { stream, to } => self.point_to(stream, &to),
+                Output::SaveFleetState(saved) => self.disks[coordinator].saved = saved,
+                Output::SaveFollowed(followed) => self.disks[coordinator].followed.extend(followed),
                 Output::Datagram { to, text } => self.post(coordinator, &to, text),
             }
         }
@@ -171,23 +173,23 @@
         }
         let outcome = if held.up && !mute { ProbeOutcome::Answered } else { ProbeOutcome::Failed };
         let report = LoadReport { busy: Some(held.machine.busy(self.now)), ..LoadReport::default() };
-        if let Some(desk) = &mut self.desks[coordinator] {
-            desk.probed(server, outcome, self.now - since, report);
-            self.wake_desk(coordinator);
+        if let Some(engine) = &mut self.engines[coordinator] {
+            engine.handle_probe_result(server, outcome, self.now - since, report);
+            self.wake_engine(coordinator);
         }
     }
 
     pub(super) fn read_roster(&mut self, coordinator: usize) {
-        let Some(desk) = &mut self.desks[coordinator] else { return };
+        let Some(engine) = &mut self.engines[coordinator] else { return };
         match &self.roster {
             Some(text) => {
-                if desk.roster(self.now, text).is_ok_and(|(changed, _)| changed > 0) {
+                if engine.update_roster(self.now, text).is_ok_and(|(changed, _)| changed > 0) {
                     self.disks[coordinator].list = Some(text.clone());
                 }
             }
-            None => desk.roster_failed(self.now),
+            None => engine.roster_read_failed(self.now),
         }
-        self.wake_desk(coordinator);
+        self.wake_engine(coordinator);
     }
 
     pub(super) fn list(&mut self) {
@@ -198,6 +200,6 @@
         };
         self.roster = serde_json::to_vec(&roster).ok();
         self.log.add(self.now, What::Rostered { servers: listed });
-        (0..self.desks.len()).for_each(|coordinator| self.read_roster(coordinator));
+        (0..self.engines.len()).for_each(|coordinator| self.read_roster(coordinator));
     }
 }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -13,9 +13,9 @@
 use craneknot::interface::{LoadReport, Nanos, ProbeOutcome, ServerId};
 use craneknot_agent::dial::{Dial, Effect, Sign, State};
 use craneknot_agent::hold::{Holding, Verdict};
-use craneknot_coordinator::desk::{body, Desk, Output, Refused, StreamId};
-use craneknot_coordinator::ledger::{Ledger, Told as LedgerTold};
-use craneknot_coordinator::session::Answer as Told;
+use craneknot_coordinator::engine::{response_body, Engine, Output, RequestError, StreamId};
+use craneknot_coordinator::ledger::{Ledger, LedgerContents};
+use craneknot_coordinator::session::Response as StreamResponse;
 use craneknot_fleet::raft::Saved;
 use craneknot_rehearsal::auditor;
 use craneknot_rehearsal::caller::{Answer, Caller, Next, Operation};
@@ -49,8 +49,8 @@
 const NOTICE: Nanos = Nanos::from_millis(1); // ms; until the end of a process shows at the other end
 
 enum Event {
-    Desk(usize),
-    ToDesk {
+    Engine(usize),
+    ToEngine {
         coordinator: usize,
         stream: StreamId,
         proxy: usize,
@@ -183,8 +183,8 @@
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: BTreeMap<u64, Event>,
     next: u64,
-    desks: Vec<Option<Desk>>,
-    desk_at: Vec<Nanos>,
+    engines: Vec<Option<Engine>>,
+    engine_at: Vec<Nanos>,
     stalled: Vec<bool>,
     /// What each coordinator has on its disk.
     disks: Vec<Disk>,
@@ -285,7 +285,7 @@
     pub fault: Option<String>,
     pub cost: Cost,
     /// Of each coordinator that kept one until the end.
-    pub ledgers: Vec<LedgerTold>,
+    pub ledgers: Vec<LedgerContents>,
 }
 
 /// What turns cost, and how old their knowledge was.
@@ -310,12 +310,17 @@
     let mut world = World::new(script, plan, caller, ask);
     let (stop, end) = (world.begin + script.length.0, world.begin + script.length.0 + SETTLE);
     world.run(stop, end);
-    let status = world.desks.iter().flatten().map(|desk| serde_json::json!(desk.status(world.now))).collect();
+    let status =
+        world.engines.iter().flatten().map(|engine| serde_json::json!(engine.status(world.now))).collect();
     let records = merge(vec![world.log]);
     let judgement = auditor::judge(&terms, &records);
     let report = Report::new(script, script.length.0.secs(), judgement, status);
-    let ledgers =
-        world.desks.iter_mut().flatten().filter_map(|desk| desk.ledger().map(Ledger::finish)).collect();
+    let ledgers = world
+        .engines
+        .iter_mut()
+        .flatten()
+        .filter_map(|engine| engine.ledger().map(Ledger::take_contents))
+        .collect();
     Played { report, records, asked: world.asked, begin, fault: world.fault.get(), cost: world.cost, ledgers }
 }
 
@@ -360,8 +365,8 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next: 0,
-            desks: (0..count).map(|_| None).collect(),
-            desk_at: vec![Nanos(u64::MAX); count],
+            engines: (0..count).map(|_| None).collect(),
+            engine_at: vec![Nanos(u64::MAX); count],
             stalled: vec![false; count],
             disks: (0..count).map(|_| Disk::default()).collect(),
             unread: vec![Vec::new(); count],
@@ -459,13 +464,13 @@
 
     fn happen(&mut self, event: Event, stop: Nanos) {
         match event {
-            Event::Desk(coordinator) => {
-                if self.desk_at[coordinator] <= self.now {
+            Event::Engine(coordinator) => {
+                if self.engine_at[coordinator] <= self.now {
                     self.turn(coordinator);
                 }
             }
-            Event::ToDesk { coordinator, stream, proxy, kind, refused } => {
-                self.desk_asked(coordinator, stream, proxy, kind, refused);
+            Event::ToEngine { coordinator, stream, proxy, kind, refused } => {
+                self.engine_request(coordinator, stream, proxy, kind, refused);
             }
             Event::ToAgent { proxy, stream, kind, response } => {
                 self.agent_told(proxy, stream, kind, response)
@@ -501,7 +506,7 @@
             Event::TryOver(number) => self.ended(number, Tried::Failed),
             Event::ClientOver(number) => self.answered(number, Answer::Silent),
             Event::Answered { number, answer } => self.answered(number, answer),
-            Event::Raise(coordinator) => self.raise_desk(coordinator),
+            Event::Raise(coordinator) => self.raise_engine(coordinator),
             Event::ServerAct(place) => self.server_act(place),
             Event::ProxyAct(place) => self.proxy_act(place),
             Event::FleetAct(place) => self.fleet_act(self.plan.fleet_acts[place].1.clone()),
@@ -512,9 +517,9 @@
                 self.set(self.now + self.script.report_period.0, Event::LookAtQueues);
             }
             Event::Queue => {
-                for (coordinator, desk) in self.desks.iter().enumerate() {
-                    let Some(desk) = desk else { continue };
-                    let status = desk.status(self.now);
+                for (coordinator, engine) in self.engines.iter().enumerate() {
+                    let Some(engine) = engine else { continue };
+                    let status = engine.status(self.now);
                     let (lines, most) = (status.channel_lines, status.channel_most);
                     self.log.add(self.now, What::Queue { coordinator, lines, most });
                 }
--- a/crates/craneknot-model/src/world/troubles.rs
+++ b/crates/craneknot-model/src/world/troubles.rs
@@ -73,7 +73,7 @@
             FleetAct::RosterOut(true) => {
                 self.roster = None;
                 self.log.add(self.now, What::RosterGone);
-                (0..self.desks.len()).for_each(|coordinator| self.read_roster(coordinator));
+                (0..self.engines.len()).for_each(|coordinator| self.read_roster(coordinator));
             }
             FleetAct::RosterOut(false) => self.list(),
             FleetAct::BreakStreams(proxies) => proxies.into_iter().for_each(|proxy| {
@@ -88,11 +88,11 @@
                 }
             }
             FleetAct::KillCoordinator(coordinator) => self.kill_desk(coordinator),
-            FleetAct::StartCoordinator(coordinator) => self.raise_desk(coordinator),
+            FleetAct::StartCoordinator(coordinator) => self.raise_engine(coordinator),
             FleetAct::StallCoordinator(coordinator, on) => self.stall_desk(coordinator, on),
             FleetAct::UpgradeCoordinator(coordinator) => {
                 self.kill_desk(coordinator);
-                self.raise_desk(coordinator);
+                self.raise_engine(coordinator);
             }
             FleetAct::UpgradeAgent(proxy) => {
                 self.end_stream(proxy);
--- a/crates/craneknot-rehearsal/src/measure.rs
+++ b/crates/craneknot-rehearsal/src/measure.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use craneknot::interface::Nanos;
-use craneknot_coordinator::ask::{ask, Within};
 use craneknot_coordinator::roster::{Entry, Roster, ServerState};
+use craneknot_coordinator::status_client::{fetch_json, Timeouts};
 use craneknot_reactor::{Clock, SteadyClock};
 use craneknot_settings::{
     AgentSettings, ChannelSettings, ClassSettings, CoordinatorAddress, CoordinatorSettings, FleetSettings,
@@ -187,8 +187,8 @@
 
 /// Asks a coordinator for its status; the spans it keeps begin anew.
 fn status(address: SocketAddr) -> io::Result<serde_json::Value> {
-    let within = Within { connect: Duration::from_secs(5), read: Duration::from_secs(10) };
-    ask(address, "/status?spans=anew", within)
+    let within = Timeouts { connect: Duration::from_secs(5), read: Duration::from_secs(10) };
+    fetch_json(address, "/status?spans=anew", within)
 }
 
 /// CPU of a process so far, in seconds of one core.
