--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -28,10 +28,10 @@
 use crate::session::{Outcome, Response, Session, StreamRequest};
 use crate::weights;
 
-const NAMES_MOST: usize = 1_024; // resources one request may name: more than any proxy follows
-const RATE_MOST: f64 = 1e6; // operations a second that a proxy may say it usually gets
-const UNSURE: Nanos = Nanos::from_millis(1_000); // ms; a stream no one knows to be in our charge ends after it: elsewhere it may be served
-const SPANS_KEPT: usize = 65_536; // spans from decision to swap kept for the figures
+const MAX_RESOURCE_NAMES: usize = 1_024; // resources one request may name: more than any proxy follows
+const MAX_USUAL_RATE: f64 = 1e6; // operations a second that a proxy may say it usually gets
+const OWNER_UNKNOWN_TIMEOUT: Nanos = Nanos::from_millis(1_000); // ms; a stream no one knows to be in our charge ends after it: elsewhere it may be served
+const MAX_APPLY_DELAYS: usize = 65_536; // spans from decision to swap kept for the figures
 
 /// A stream, by the owner's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -103,7 +103,9 @@
         match self {
             RequestError::NoNode => write!(f, "the first request of a stream must name its node"),
             RequestError::UnknownZone(zone) => write!(f, "zone {zone:?} is not one of the fleet's"),
-            RequestError::TooManyNames(count) => write!(f, "{count} resource names; {NAMES_MOST} at most"),
+            RequestError::TooManyNames(count) => {
+                write!(f, "{count} resource names; {MAX_RESOURCE_NAMES} at most")
+            }
             RequestError::NoProxyIdLeft => write!(f, "no more proxies can be told apart"),
             RequestError::Elsewhere(to) => write!(f, "{to} is in charge of this proxy"),
             RequestError::NoKnownOwner => {
@@ -119,15 +121,15 @@
     zone: ZoneId,
     session: Session,
     /// Since when it is not known to be in our charge.
-    unsure: Option<Nanos>,
+    owner_unknown_since: Option<Nanos>,
     /// Prints of what the proxy held when it joined, until we have ordered it: by table its lines and levels.
-    holds: BTreeMap<String, (String, String)>,
+    held_prints: BTreeMap<String, (String, String)>,
 }
 
 impl Stream {
     /// Whether the proxy holds that text already; asked once, since from then on it holds what we sent.
-    fn holds(&mut self, table: &str, kind: Kind, print: impl FnOnce() -> String) -> bool {
-        let Some(prints) = self.holds.get_mut(table) else { return false };
+    fn already_holds(&mut self, table: &str, kind: Kind, print: impl FnOnce() -> String) -> bool {
+        let Some(prints) = self.held_prints.get_mut(table) else { return false };
         let held = match kind {
             Kind::Endpoints => std::mem::take(&mut prints.0),
             Kind::Routes => std::mem::take(&mut prints.1),
@@ -197,37 +199,37 @@
     names: Names,
     name: String,
     source: String,
-    ids: ProxyIds,
-    book: ResourceCache,
+    proxy_ids: ProxyIds,
+    resources: ResourceCache,
     channel: Channel<(StreamId, Message)>,
-    intake: ReportAggregator,
+    reports: ReportAggregator,
     ledger: Option<Ledger>,
     steer: Option<Steer>,
-    judge: RosterValidator,
+    roster: RosterValidator,
     streams: BTreeMap<StreamId, Stream>,
-    of_proxy: BTreeMap<ProxyId, StreamId>,
+    stream_by_proxy: BTreeMap<ProxyId, StreamId>,
     events: Vec<Event>,
     outputs: Vec<Output>,
     wake_at: Option<Nanos>,
     flush_at: Nanos,
     /// Streams that something may be due to.
-    stirred: BTreeSet<StreamId>,
-    moment: u64,
-    spans: VecDeque<Nanos>,
+    ready_streams: BTreeSet<StreamId>,
+    step_count: u64,
+    apply_delays: VecDeque<Nanos>,
     messages: u64,
     lines: f64,
     refusals: u64,
     /// Streams not known to be in our charge, and the view by which all were looked at last.
-    unsure: usize,
-    looked: Option<Epoch>,
+    unowned_streams: usize,
+    checked_epoch: Option<Epoch>,
     /// Until then no stream can count as silent.
     silent_after: Nanos,
     bytes_sent: u64,
     fleet: Option<Member>,
     /// What proxies have accepted since it was last kept.
-    accepted: BTreeMap<ProxyId, String>,
+    accepted_versions: BTreeMap<ProxyId, String>,
     /// Parts, lines and bytes that proxies held already.
-    spared: (u64, f64, u64),
+    skipped: (u64, f64, u64),
     datagrams: u64,
     saves: u64,
     sent_on: u64,
@@ -250,7 +252,7 @@
             settings.solver.as_ref().map(|_| Steer::new(weights::solver_settings(settings, &decisions), now));
         let channel = Channel::new(decisions.channel_lines_per_second);
         let source = format!("{}-{}", settings.name, now.0 / 1_000_000);
-        let book = ResourceCache::new(
+        let resources = ResourceCache::new(
             source.clone(),
             names.classes.clone(),
             decisions.level_unit,
@@ -261,35 +263,35 @@
             decider: decider(&decisions),
             name: settings.name.clone(),
             source,
-            ids: ProxyIds::default(),
-            book,
+            proxy_ids: ProxyIds::default(),
+            resources,
             channel,
-            intake: ReportAggregator::new(names.classes.clone()),
+            reports: ReportAggregator::new(names.classes.clone()),
             ledger: settings.ledger.as_ref().map(|_| Ledger::new(Head::of(settings, now))),
-            judge: RosterValidator::new(decisions.drain_grace),
+            roster: RosterValidator::new(decisions.drain_grace),
             steer,
             names,
             flush_at: now + decisions.report_period,
             settings: decisions,
             streams: BTreeMap::new(),
-            of_proxy: BTreeMap::new(),
+            stream_by_proxy: BTreeMap::new(),
             events: Vec::new(),
             outputs: Vec::new(),
             // The decisions ask to be woken once they have been called.
             wake_at: Some(now),
-            stirred: BTreeSet::new(),
-            moment: 0,
-            spans: VecDeque::new(),
+            ready_streams: BTreeSet::new(),
+            step_count: 0,
+            apply_delays: VecDeque::new(),
             messages: 0,
             lines: 0.0,
             refusals: 0,
-            unsure: 0,
-            looked: None,
+            unowned_streams: 0,
+            checked_epoch: None,
             silent_after: now,
             bytes_sent: 0,
             fleet: None,
-            accepted: BTreeMap::new(),
-            spared: (0, 0.0, 0),
+            accepted_versions: BTreeMap::new(),
+            skipped: (0, 0.0, 0),
             datagrams: 0,
             saves: 0,
             sent_on: 0,
@@ -302,7 +304,7 @@
         let members = shared.members.iter().map(|member| MemberId::new(&member.name)).collect();
         // Placements within a proxy's own zone are numbered as they are met: such tables are not numbered alike.
         if !settings.fleet.classes.iter().any(|class| class.home_only) {
-            self.book.set_source("fleet".to_owned());
+            self.resources.set_source("fleet".to_owned());
         }
         let timing = member::Timing::of_lease(shared.lease.0, shared.drift);
         // The date in milliseconds: later than that of any earlier life, and refuted where it is not.
@@ -329,11 +331,11 @@
     pub fn handle_datagram(&mut self, now: Nanos, text: &[u8]) -> Result<(), String> {
         let datagram = Datagram::read(text)?;
         let outputs = self.fleet.as_mut().map(|fleet| fleet.take(now, datagram));
-        self.carry(outputs.unwrap_or_default());
+        self.apply_fleet_outputs(outputs.unwrap_or_default());
         Ok(())
     }
 
-    fn carry(&mut self, outputs: Vec<member::Output>) {
+    fn apply_fleet_outputs(&mut self, outputs: Vec<member::Output>) {
         for output in outputs {
             match output {
                 member::Output::Save(saved) => {
@@ -346,8 +348,8 @@
                 }
                 // What may be sent has changed.
                 member::Output::Changed => {
-                    self.looked = None;
-                    self.stirred.extend(self.streams.keys());
+                    self.checked_epoch = None;
+                    self.ready_streams.extend(self.streams.keys());
                 }
             }
         }
@@ -359,30 +361,30 @@
     }
 
     /// Streams of proxies that are another one's charge are sent on; those of which no one is known to be end.
-    fn look_after_charges(&mut self, now: Nanos) {
+    fn check_stream_owners(&mut self, now: Nanos) {
         let Some(fleet) = &mut self.fleet else { return };
         let steps = fleet.tick(now);
-        self.carry(steps);
+        self.apply_fleet_outputs(steps);
         // Whose charge a proxy is changes with the view and the lease alone; each look costs a hash a stream.
         let view = self.fleet.as_ref().map(|fleet| fleet.view().epoch);
-        if self.unsure == 0 && view.is_some() && self.looked == view {
+        if self.unowned_streams == 0 && view.is_some() && self.checked_epoch == view {
             return;
         }
-        (self.looked, self.unsure) = (view, 0);
+        (self.checked_epoch, self.unowned_streams) = (view, 0);
         for id in self.streams.keys().copied().collect::<Vec<StreamId>>() {
             let charge = self.charge(now, self.proxy_name(id));
             let Some(stream) = self.streams.get_mut(&id) else { continue };
             match charge {
-                Charge::Mine(_) => stream.unsure = None,
+                Charge::Mine(_) => stream.owner_unknown_since = None,
                 Charge::Elsewhere(to) => {
                     self.sent_on += 1;
                     self.outputs.push(Output::Redirect { stream: id, to: to.to_string() });
                     self.end_stream(now, id);
                 }
                 Charge::Unknown => {
-                    self.unsure += 1;
-                    let since = *stream.unsure.get_or_insert(now);
-                    if now - since >= UNSURE {
+                    self.unowned_streams += 1;
+                    let since = *stream.owner_unknown_since.get_or_insert(now);
+                    if now - since >= OWNER_UNKNOWN_TIMEOUT {
                         let cause = "no one is known to be in charge of its proxy".to_owned();
                         self.outputs.push(Output::CloseStream { stream: id, cause });
                         self.end_stream(now, id);
@@ -394,20 +396,20 @@
 
     /// Takes the list kept from before this start.
     pub fn load_saved_roster(&mut self, now: Nanos, text: &[u8]) -> Result<(), RosterError> {
-        let taken = self.judge.remember(now, text, &mut self.names)?;
-        self.take_list(taken.event);
+        let validated = self.roster.load_saved(now, text, &mut self.names)?;
+        self.add_list_event(validated.event);
         Ok(())
     }
 
     /// Takes a list of servers; what was set right in it is told. Entries that changed are counted.
     pub fn update_roster(&mut self, now: Nanos, text: &[u8]) -> Result<(usize, Vec<String>), RosterError> {
-        match self.judge.take(now, text, &mut self.names) {
-            Ok(taken) => {
-                let told = (taken.changed, taken.notes);
-                if taken.changed > 0 {
-                    self.take_list(taken.event);
+        match self.roster.update(now, text, &mut self.names) {
+            Ok(validated) => {
+                let result = (validated.changed, validated.notes);
+                if validated.changed > 0 {
+                    self.add_list_event(validated.event);
                 }
-                Ok(told)
+                Ok(result)
             }
             Err(refusal) => {
                 if let RosterError::Unreadable(_) = refusal {
@@ -420,14 +422,14 @@
 
     /// The roster's source cannot be read at all.
     pub fn roster_read_failed(&mut self, now: Nanos) {
-        self.judge.put_off(now);
+        self.roster.postpone_recheck(now);
         self.events.push(Event::List { scope: ListScope::Failed, entries: Arc::from([]) });
     }
 
-    fn take_list(&mut self, event: Event) {
+    fn add_list_event(&mut self, event: Event) {
         if let Event::List { entries, .. } = &event {
             for entry in entries.iter() {
-                self.book.place(&entry.server, self.names.zone_name(entry.zone));
+                self.resources.set_server_zone(&entry.server, self.names.zone_name(entry.zone));
             }
         }
         self.events.push(event);
@@ -442,7 +444,7 @@
         kind: Kind,
         request: DiscoveryRequest,
     ) -> Result<Option<Outcome>, RequestError> {
-        if request.resource_names.len() > NAMES_MOST {
+        if request.resource_names.len() > MAX_RESOURCE_NAMES {
             return Err(RequestError::TooManyNames(request.resource_names.len()));
         }
         if !request.type_url.is_empty() && Kind::of_type(&request.type_url) != Some(kind) {
@@ -457,22 +459,22 @@
             self.join(now, id, node)?;
         }
         let Some(stream) = self.streams.get_mut(&id) else { return Ok(None) };
-        self.stirred.insert(id);
+        self.ready_streams.insert(id);
         let nonce = request.response_nonce.parse().ok();
-        let refused = request.error_detail.map(|status| status.message);
-        let outcome = stream.session.ask(now, StreamRequest { kind, nonce, refused });
+        let rejected = request.error_detail.map(|status| status.message);
+        let outcome = stream.session.handle_request(now, StreamRequest { kind, nonce, rejected });
         let proxy = stream.proxy;
         match &outcome {
             Some(Outcome::Applied { marks, decided }) => {
                 if self.fleet.is_some() {
-                    self.accepted.insert(proxy, request.version_info);
+                    self.accepted_versions.insert(proxy, request.version_info);
                 }
                 self.events.extend(marks.iter().map(|mark| Event::Applied { proxy, mark: *mark }));
                 if let Some(decided) = decided {
-                    if self.spans.len() == SPANS_KEPT {
-                        self.spans.pop_front();
+                    if self.apply_delays.len() == MAX_APPLY_DELAYS {
+                        self.apply_delays.pop_front();
                     }
-                    self.spans.push_back(now - *decided);
+                    self.apply_delays.push_back(now - *decided);
                 }
             }
             Some(Outcome::Rejected { .. }) => self.refusals += 1,
@@ -494,18 +496,22 @@
             Charge::Unknown => return Err(RequestError::NoKnownOwner),
         }
         let zone = self.names.zone(&node.locality.zone);
-        let proxy = self.ids.join(&node.id).ok_or(RequestError::NoProxyIdLeft)?;
-        if let Some(old) = self.of_proxy.get(&proxy).copied() {
+        let proxy = self.proxy_ids.acquire(&node.id).ok_or(RequestError::NoProxyIdLeft)?;
+        if let Some(old) = self.stream_by_proxy.get(&proxy).copied() {
             self.end_stream(now, old);
             self.outputs.push(Output::CloseStream { stream: old, cause: "its proxy has joined anew".into() });
         }
-        let holds = node.metadata.get("prints").filter(|_| self.fleet.is_some());
-        let holds = holds.and_then(|prints| serde_json::from_value(prints.clone()).ok()).unwrap_or_default();
+        let held_prints = node.metadata.get("prints").filter(|_| self.fleet.is_some());
+        let held_prints =
+            held_prints.and_then(|prints| serde_json::from_value(prints.clone()).ok()).unwrap_or_default();
         let rate = node.metadata.get("usual_rate").and_then(|value| value.as_f64());
-        let usual_rate = rate.filter(|rate| rate.is_finite()).unwrap_or(1.0).clamp(0.0, RATE_MOST);
-        self.book.join(proxy);
-        self.streams.insert(id, Stream { proxy, zone, session: Session::new(now), unsure: None, holds });
-        self.of_proxy.insert(proxy, id);
+        let usual_rate = rate.filter(|rate| rate.is_finite()).unwrap_or(1.0).clamp(0.0, MAX_USUAL_RATE);
+        self.resources.join(proxy);
+        self.streams.insert(
+            id,
+            Stream { proxy, zone, session: Session::new(now), owner_unknown_since: None, held_prints },
+        );
+        self.stream_by_proxy.insert(proxy, id);
         self.events.push(Event::ProxyJoined { proxy, zone, usual_rate });
         // Tables of a former coordinator of this fleet are numbered as ours are: its bindings can stand.
         let bound = node.metadata.get("bound").and_then(|bound| bound.as_object()).into_iter().flatten();
@@ -522,27 +528,27 @@
     /// A stream has ended, from whichever side.
     pub fn end_stream(&mut self, now: Nanos, id: StreamId) {
         let Some(stream) = self.streams.remove(&id) else { return };
-        self.of_proxy.remove(&stream.proxy);
-        self.stirred.remove(&id);
-        self.ids.leave(stream.proxy);
-        self.intake.leave(stream.proxy);
-        self.book.leave(stream.proxy);
+        self.stream_by_proxy.remove(&stream.proxy);
+        self.ready_streams.remove(&id);
+        self.proxy_ids.release(stream.proxy);
+        self.reports.remove_proxy(stream.proxy);
+        self.resources.leave(stream.proxy);
         self.channel.discard(now, |(of, _)| *of == id);
         self.events.push(Event::ProxyLeft { proxy: stream.proxy });
     }
 
     /// The name of a stream's proxy.
     pub fn proxy_name(&self, id: StreamId) -> &str {
-        self.streams.get(&id).map_or("", |stream| self.ids.name(stream.proxy))
+        self.streams.get(&id).map_or("", |stream| self.proxy_ids.name(stream.proxy))
     }
 
     /// A load report came, by whichever connection; only joined proxies count.
     pub fn handle_load_report(&mut self, now: Nanos, report: &LoadStatsRequest) -> Result<(), ReportError> {
         let node = report.node.as_ref().map_or("", |node| node.id.as_str());
-        let stream = self.ids.find(node).and_then(|proxy| self.of_proxy.get(&proxy));
+        let stream = self.proxy_ids.find(node).and_then(|proxy| self.stream_by_proxy.get(&proxy));
         let Some(stream) = stream.and_then(|id| self.streams.get_mut(id)) else { return Ok(()) };
-        stream.session.hear(now);
-        self.intake.take(stream.proxy, stream.zone, report)
+        stream.session.record_activity(now);
+        self.reports.add_report(stream.proxy, stream.zone, report)
     }
 
     pub fn handle_probe_result(
@@ -557,14 +563,15 @@
 
     /// Lets the decisions act on what has come, carries out what they order, and gives what the owner is to do.
     pub fn turn(&mut self, now: Nanos) -> Vec<Output> {
-        self.break_silent(now);
-        self.look_after_charges(now);
+        self.close_silent_streams(now);
+        self.check_stream_owners(now);
         if now >= self.flush_at {
             self.flush_at = now + self.settings.report_period;
-            self.events.extend(self.intake.flush());
-            if !self.accepted.is_empty() {
-                let name = |(proxy, version): (ProxyId, String)| (self.ids.name(proxy).to_owned(), version);
-                let kept = std::mem::take(&mut self.accepted).into_iter().map(name).collect();
+            self.events.extend(self.reports.flush());
+            if !self.accepted_versions.is_empty() {
+                let name =
+                    |(proxy, version): (ProxyId, String)| (self.proxy_ids.name(proxy).to_owned(), version);
+                let kept = std::mem::take(&mut self.accepted_versions).into_iter().map(name).collect();
                 self.outputs.push(Output::SaveFollowed(kept));
             }
         }
@@ -575,18 +582,18 @@
         if !self.events.is_empty() {
             self.step(now);
         }
-        while let Some((id, message)) = self.channel.release(now) {
+        while let Some((id, message)) = self.channel.pop_sent(now) {
             if let Some(stream) = self.streams.get_mut(&id) {
-                stream.session.offer(message);
-                self.stirred.insert(id);
+                stream.session.enqueue(message);
+                self.ready_streams.insert(id);
             }
         }
-        self.answer(now);
+        self.send_responses(now);
         std::mem::take(&mut self.outputs)
     }
 
     fn step(&mut self, now: Nanos) {
-        self.moment += 1;
+        self.step_count += 1;
         let mut events = std::mem::take(&mut self.events);
         if let Some(ledger) = &mut self.ledger {
             ledger.record_events(now, &events, &self.names);
@@ -609,9 +616,9 @@
                 Order::Line { .. } | Order::Bind { .. } | Order::Level { .. } | Order::Mark { .. } => {}
             }
         }
-        for mut message in self.book.apply(now, &orders) {
-            let Some(id) = self.of_proxy.get(&message.proxy).copied() else { continue };
-            self.spare(id, &mut message);
+        for mut message in self.resources.apply_orders(now, &orders) {
+            let Some(id) = self.stream_by_proxy.get(&message.proxy).copied() else { continue };
+            self.drop_held_parts(id, &mut message);
             if message.parts.is_empty() {
                 // All of it is there: a mark is as good as answered.
                 self.events.extend(message.mark.map(|mark| Event::Applied { proxy: message.proxy, mark }));
@@ -619,22 +626,22 @@
             }
             self.messages += 1;
             self.lines += message.lines;
-            self.channel.offer(now, message.lines, (id, message));
+            self.channel.push(now, message.lines, (id, message));
         }
     }
 
     /// Takes out of a message what the proxy holds already, from a former coordinator of this fleet.
-    fn spare(&mut self, id: StreamId, message: &mut Message) {
-        let Some(stream) = self.streams.get_mut(&id).filter(|stream| !stream.holds.is_empty()) else {
+    fn drop_held_parts(&mut self, id: StreamId, message: &mut Message) {
+        let Some(stream) = self.streams.get_mut(&id).filter(|stream| !stream.held_prints.is_empty()) else {
             return;
         };
         let (mut lines, mut bytes, mut parts) = (0.0, 0, 0);
         let ResourceUpdate { endpoints, routes, clusters: _ } = &mut message.parts;
         for (kind, texts) in [(Kind::Endpoints, endpoints), (Kind::Routes, routes)] {
             texts.retain(|table, text| {
-                let held = stream.holds(&self.book.name_of(*table), kind, || print_of(text));
+                let held = stream.already_holds(&self.resources.name_of(*table), kind, || print_of(text));
                 if held {
-                    lines += self.book.lines_of(kind, *table);
+                    lines += self.resources.line_count(kind, *table);
                     bytes += text.len() as u64;
                     parts += 1;
                 }
@@ -643,29 +650,30 @@
         }
         // Bindings are always sent: with them the proxy learns the epoch, and follows none before it.
         message.lines = (message.lines - lines).max(1.0);
-        self.spared = (self.spared.0 + parts, self.spared.1 + lines, self.spared.2 + bytes);
+        self.skipped = (self.skipped.0 + parts, self.skipped.1 + lines, self.skipped.2 + bytes);
     }
 
-    fn answer(&mut self, now: Nanos) {
-        for id in std::mem::take(&mut self.stirred) {
+    fn send_responses(&mut self, now: Nanos) {
+        for id in std::mem::take(&mut self.ready_streams) {
             let Some(stream) = self.streams.get_mut(&id) else { continue };
             // Clusters are always told whole: a class left out would lose its binding at the proxy.
-            if !self.book.is_complete(stream.proxy) {
+            if !self.resources.has_all_bindings(stream.proxy) {
                 continue;
             }
-            let charge = self.fleet.as_ref().map(|fleet| fleet.charge(now, self.ids.name(stream.proxy)));
+            let charge =
+                self.fleet.as_ref().map(|fleet| fleet.charge(now, self.proxy_ids.name(stream.proxy)));
             let epoch = match charge {
                 None => 0,
                 Some(Charge::Mine(epoch)) => epoch.0,
                 // It waits; a change of what may be done stirs all streams.
                 Some(Charge::Elsewhere(_) | Charge::Unknown) => continue,
             };
-            let (book, proxy) = (&mut self.book, stream.proxy);
-            let answers = stream.session.answers(now, || book.all_of(proxy));
+            let (resources, proxy) = (&mut self.resources, stream.proxy);
+            let answers = stream.session.responses(now, || resources.full_state(proxy));
             if stream.session.next_at().is_some() {
-                self.stirred.insert(id);
+                self.ready_streams.insert(id);
             }
-            let version = format!("{}/{}", source_in(epoch, &self.source), self.moment);
+            let version = format!("{}/{}", source_in(epoch, &self.source), self.step_count);
             for answer in answers {
                 if let Response::Resources { resources, .. } = &answer {
                     self.bytes_sent += resources.iter().map(|text| text.len() as u64).sum::<u64>();
@@ -676,7 +684,7 @@
     }
 
     /// Looks at all streams only once one of them can have become silent: a turn comes with every report.
-    fn break_silent(&mut self, now: Nanos) {
+    fn close_silent_streams(&mut self, now: Nanos) {
         if now <= self.silent_after {
             return;
         }
@@ -693,15 +701,15 @@
 
     /// When the next turn is due though nothing comes in.
     pub fn next_at(&self) -> Nanos {
-        let streams = self.stirred.iter().filter_map(|id| self.streams.get(id)?.session.next_at());
+        let streams = self.ready_streams.iter().filter_map(|id| self.streams.get(id)?.session.next_at());
         let fleet = self.fleet.as_ref().map(Member::next_at);
-        let times = [fleet, self.wake_at, self.channel.next_at(), self.judge.next_at(), Some(self.flush_at)];
+        let times = [fleet, self.wake_at, self.channel.next_at(), self.roster.next_at(), Some(self.flush_at)];
         times.into_iter().flatten().chain(streams).min().unwrap_or(self.flush_at)
     }
 
     /// A list that was doubted is to be read again.
     pub fn roster_due(&self, now: Nanos) -> bool {
-        self.judge.next_at().is_some_and(|at| at <= now)
+        self.roster.next_at().is_some_and(|at| at <= now)
     }
 
     /// Weights that have changed since the last time.
@@ -716,7 +724,7 @@
 
     /// How often the decisions were asked.
     pub fn steps(&self) -> u64 {
-        self.moment
+        self.step_count
     }
 
     /// What is to be kept of what the decisions were told.
@@ -741,29 +749,32 @@
 
     /// Begins the spans from decision to swap anew.
     pub fn reset_spans(&mut self) {
-        self.spans.clear();
+        self.apply_delays.clear();
     }
 
     pub fn status(&self, now: Nanos) -> Status {
-        let (tables, texts, bytes_made) = self.book.counts();
+        let (tables, texts, bytes_made) = self.resources.counts();
         let sessions = || self.streams.values().map(|stream| &stream.session);
         let count = |state| sessions().filter(|session| session.state() == state).count();
-        let (reports_repeated, reports_left_out) = self.intake.unheard();
-        let mut spans: Vec<Nanos> = self.spans.iter().copied().collect();
-        spans.sort();
-        let at =
-            |part: f64| spans.get(((spans.len() as f64 - 1.0) * part) as usize).map(|span| span.secs() * 1e3);
+        let (reports_repeated, reports_left_out) = self.reports.skip_counts();
+        let mut apply_delays: Vec<Nanos> = self.apply_delays.iter().copied().collect();
+        apply_delays.sort();
+        let at = |part: f64| {
+            apply_delays
+                .get(((apply_delays.len() as f64 - 1.0) * part) as usize)
+                .map(|span| span.secs() * 1e3)
+        };
         Status {
             name: self.name.clone(),
             source: self.source.clone(),
             streams: self.streams.len(),
-            owing: count(crate::session::State::Owing),
-            refusing: count(crate::session::State::Refusing),
-            servers: self.judge.servers(),
-            roster_version: self.judge.version(),
+            owing: count(crate::session::State::AwaitingAck),
+            refusing: count(crate::session::State::BackingOff),
+            servers: self.roster.servers(),
+            roster_version: self.roster.version(),
             tables,
             channel_lines: self.channel.lines(),
-            channel_most: self.channel.most(),
+            channel_most: self.channel.max_lines(),
             channel_limit: self.settings.channel_lines_limit,
             held_lines: sessions().map(Session::held_lines).sum(),
             messages: self.messages,
@@ -771,7 +782,7 @@
             texts,
             bytes_made,
             bytes_sent: self.bytes_sent,
-            steps: self.moment,
+            steps: self.step_count,
             refusals: self.refusals,
             reports_repeated,
             reports_left_out,
@@ -789,12 +800,12 @@
                 datagrams_sent: self.datagrams,
                 saves: self.saves,
                 sent_on: self.sent_on,
-                spared: self.spared,
+                spared: self.skipped,
             }),
             decided_to_swapped_ms: at(0.5)
                 .zip(at(0.99))
                 .zip(at(1.0))
-                .map(|((p50, p99), most)| (p50, p99, most)),
+                .map(|((p50, p99), max)| (p50, p99, max)),
         }
     }
 }
--- a/crates/craneknot-coordinator/src/lib.rs
+++ b/crates/craneknot-coordinator/src/lib.rs
@@ -1,9 +1,10 @@
-//! The running coordinator: it feeds the decisions (`craneknot::Controller`) what occurs and carries out their
-//! orders. [`desk`] is the whole of it without I/O; [`shell`] puts it on sockets and files.
+//! The running coordinator: passes events to the decisions (`craneknot::Controller`) and carries out their orders.
+//! [`engine`] is the coordinator without I/O; [`shell`] connects it to sockets and files.
 //!
-//! What is decided here is the program's own: what a list of servers that came is worth ([`roster`]), what a
-//! report counts ([`intake`]), when a stream is sent something and what a refusal leads to ([`session`]), when a
-//! message leaves the channel ([`channel`]). [`ledger`] keeps what was told. Each is a module of its own, with the clock passed in.
+//! The remaining modules hold the program's own rules: which server lists are accepted ([`roster`]), which load
+//! reports count ([`report_aggregator`]), when a stream is sent resources and how a rejection is handled
+//! ([`session`]), and when a message leaves the channel ([`channel`]). [`ledger`] records the events given to the
+//! decisions. Each takes the current time as an argument.
 
 pub mod channel;
 pub mod engine;
--- a/crates/craneknot-coordinator/src/probes.rs
+++ b/crates/craneknot-coordinator/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes under way: one at a time to a server, each with a time-out.
+//! Probes in flight: at most one per server, each with a timeout.
 
 use std::collections::BTreeMap;
 
@@ -6,51 +6,51 @@
 use craneknot_xds::orca;
 use http::StatusCode;
 
-/// Connections by the owner's key.
+/// Probes in flight by the owner's key of their connections.
 pub struct Probes<K> {
-    under_way: BTreeMap<K, (ServerId, Nanos)>,
-    time_out: Nanos,
+    in_flight: BTreeMap<K, (ServerId, Nanos)>,
+    timeout: Nanos,
 }
 
 impl<K: Ord + Copy> Probes<K> {
-    pub fn new(time_out: Nanos) -> Self {
-        Probes { under_way: BTreeMap::new(), time_out }
+    pub fn new(timeout: Nanos) -> Self {
+        Probes { in_flight: BTreeMap::new(), timeout }
     }
 
     pub fn is_probed(&self, server: &ServerId) -> bool {
-        self.under_way.values().any(|(of, _)| of == server)
+        self.in_flight.values().any(|(probed, _)| probed == server)
     }
 
-    pub fn begin(&mut self, now: Nanos, key: K, server: ServerId) {
-        self.under_way.insert(key, (server, now));
+    pub fn start(&mut self, now: Nanos, key: K, server: ServerId) {
+        self.in_flight.insert(key, (server, now));
     }
 
-    pub fn has(&self, key: K) -> bool {
-        self.under_way.contains_key(&key)
+    pub fn contains(&self, key: K) -> bool {
+        self.in_flight.contains_key(&key)
     }
 
     pub fn server(&self, key: K) -> Option<&ServerId> {
-        self.under_way.get(&key).map(|(server, _)| server)
+        self.in_flight.get(&key).map(|(server, _)| server)
     }
 
-    /// Ends a probe; how long it took.
-    pub fn end(&mut self, now: Nanos, key: K) -> Option<(ServerId, Nanos)> {
-        self.under_way.remove(&key).map(|(server, since)| (server, now - since))
+    /// Ends a probe and returns its server and duration.
+    pub fn finish(&mut self, now: Nanos, key: K) -> Option<(ServerId, Nanos)> {
+        self.in_flight.remove(&key).map(|(server, started_at)| (server, now - started_at))
     }
 
-    /// Those that have waited too long.
+    /// Probes that have reached their timeout.
     pub fn overdue(&self, now: Nanos) -> Vec<K> {
-        let late = self.under_way.iter().filter(|(_, (_, since))| now - *since >= self.time_out);
-        late.map(|(key, _)| *key).collect()
+        let expired = self.in_flight.iter().filter(|(_, (_, started_at))| now - *started_at >= self.timeout);
+        expired.map(|(key, _)| *key).collect()
     }
 
     pub fn next_at(&self) -> Option<Nanos> {
-        self.under_way.values().map(|(_, since)| *since + self.time_out).min()
+        self.in_flight.values().map(|(_, started_at)| *started_at + self.timeout).min()
     }
 }
 
-/// What an answer to a probe says.
-pub fn outcome(status: StatusCode) -> ProbeOutcome {
+/// The probe outcome that a response status stands for.
+pub fn outcome_of(status: StatusCode) -> ProbeOutcome {
     match status.as_u16() {
         200..=299 => ProbeOutcome::Answered,
         429 | 503 => ProbeOutcome::TurnedAway,
@@ -58,8 +58,8 @@
     }
 }
 
-/// What a server says of its load, as the decisions hear it.
-pub fn load(header: Option<&str>) -> LoadReport {
+/// Converts a server's load report header into the decisions' form.
+pub fn load_report(header: Option<&str>) -> LoadReport {
     let Some(report) = header.and_then(orca::LoadReport::read) else { return LoadReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
     LoadReport {
@@ -75,16 +75,16 @@
     use std::sync::Arc;
 
     #[test]
-    fn probes_end_by_answer_or_by_time() {
+    fn probes_end_by_response_or_by_timeout() {
         let mut probes = Probes::new(Nanos(10));
         let server = ServerId(Arc::from("127.0.0.1:1"));
-        probes.begin(Nanos(5), 1, server.clone());
+        probes.start(Nanos(5), 1, server.clone());
         assert!(probes.is_probed(&server) && probes.overdue(Nanos(14)).is_empty());
         assert_eq!((probes.overdue(Nanos(15)), probes.next_at()), (vec![1], Some(Nanos(15))));
-        assert_eq!(probes.end(Nanos(15), 1), Some((server, Nanos(10))));
-        assert_eq!(probes.end(Nanos(15), 1), None);
-        let outcomes = [200, 503, 500].map(|code| outcome(StatusCode::from_u16(code).unwrap()));
+        assert_eq!(probes.finish(Nanos(15), 1), Some((server, Nanos(10))));
+        assert_eq!(probes.finish(Nanos(15), 1), None);
+        let outcomes = [200, 503, 500].map(|code| outcome_of(StatusCode::from_u16(code).unwrap()));
         assert_eq!(outcomes, [ProbeOutcome::Answered, ProbeOutcome::TurnedAway, ProbeOutcome::Failed]);
-        assert_eq!(load(Some("TEXT cpu_utilization=0.5")).busy, Some(0.5));
+        assert_eq!(load_report(Some("TEXT cpu_utilization=0.5")).busy, Some(0.5));
     }
 }
--- a/crates/craneknot-coordinator/src/proxy_ids.rs
+++ b/crates/craneknot-coordinator/src/proxy_ids.rs
@@ -1,51 +1,51 @@
-//! Proxies' names to the numbers by which the decisions know them.
+//! Maps proxies' names to the numeric ids that the decisions use.
 
 use std::collections::{HashMap, VecDeque};
 
 use craneknot::interface::ProxyId;
 
-/// Numbers are given in order of first sight and kept; once all are given, that of the proxy that has been gone
-/// longest goes to the next newcomer.
+/// Ids are assigned in order of first arrival and kept. Once all are assigned, a new proxy gets the id of the proxy
+/// that left longest ago.
 #[derive(Default)]
 pub struct ProxyIds {
-    numbers: HashMap<String, ProxyId>,
+    ids_by_name: HashMap<String, ProxyId>,
     names: Vec<String>,
-    gone: VecDeque<ProxyId>,
+    released: VecDeque<ProxyId>,
 }
 
-const NUMBERS: usize = 1 << 16; // proxies that the decisions can tell apart
+const MAX_PROXY_IDS: usize = 1 << 16; // the range of `ProxyId`
 
 impl ProxyIds {
-    /// The number of a proxy that joins; nothing where all numbers are in use.
-    pub fn join(&mut self, name: &str) -> Option<ProxyId> {
-        if let Some(id) = self.numbers.get(name) {
-            self.gone.retain(|gone| gone != id);
+    /// The id of a proxy that joins, or `None` where all ids are in use.
+    pub fn acquire(&mut self, name: &str) -> Option<ProxyId> {
+        if let Some(id) = self.ids_by_name.get(name) {
+            self.released.retain(|released| released != id);
             return Some(*id);
         }
         let id = match u16::try_from(self.names.len()) {
-            Ok(number) if self.names.len() < NUMBERS => {
+            Ok(number) if self.names.len() < MAX_PROXY_IDS => {
                 self.names.push(name.to_owned());
                 ProxyId(number)
             }
             Ok(_) | Err(_) => {
-                let id = self.gone.pop_front()?;
-                let old = std::mem::replace(&mut self.names[usize::from(id.0)], name.to_owned());
-                self.numbers.remove(&old);
+                let id = self.released.pop_front()?;
+                let old_name = std::mem::replace(&mut self.names[usize::from(id.0)], name.to_owned());
+                self.ids_by_name.remove(&old_name);
                 id
             }
         };
-        self.numbers.insert(name.to_owned(), id);
+        self.ids_by_name.insert(name.to_owned(), id);
         Some(id)
     }
 
-    pub fn leave(&mut self, id: ProxyId) {
-        if !self.gone.contains(&id) {
-            self.gone.push_back(id);
+    pub fn release(&mut self, id: ProxyId) {
+        if !self.released.contains(&id) {
+            self.released.push_back(id);
         }
     }
 
     pub fn find(&self, name: &str) -> Option<ProxyId> {
-        self.numbers.get(name).copied()
+        self.ids_by_name.get(name).copied()
     }
 
     pub fn name(&self, id: ProxyId) -> &str {
@@ -58,16 +58,16 @@
     use super::*;
 
     #[test]
-    fn a_name_keeps_its_number_until_numbers_run_out() {
+    fn a_name_keeps_its_id_until_ids_run_out() {
         let mut ids = ProxyIds::default();
-        for number in 0..NUMBERS {
-            assert_eq!(ids.join(&format!("proxy-{number}")), Some(ProxyId(number as u16)));
+        for number in 0..MAX_PROXY_IDS {
+            assert_eq!(ids.acquire(&format!("proxy-{number}")), Some(ProxyId(number as u16)));
         }
-        assert_eq!(ids.join("one-more"), None);
-        ids.leave(ProxyId(7));
-        ids.leave(ProxyId(3));
-        assert_eq!(ids.join("proxy-7"), Some(ProxyId(7)));
-        assert_eq!(ids.join("one-more"), Some(ProxyId(3)));
+        assert_eq!(ids.acquire("one-more"), None);
+        ids.release(ProxyId(7));
+        ids.release(ProxyId(3));
+        assert_eq!(ids.acquire("proxy-7"), Some(ProxyId(7)));
+        assert_eq!(ids.acquire("one-more"), Some(ProxyId(3)));
         assert_eq!((ids.find("proxy-3"), ids.name(ProxyId(3))), (None, "one-more"));
     }
 }
--- a/crates/craneknot-coordinator/src/resource_cache.rs
+++ b/crates/craneknot-coordinator/src/resource_cache.rs
@@ -9,7 +9,7 @@
 use craneknot_xds::resources::HealthStatus;
 
 #[derive(Default)]
-struct Table {
+struct TableState {
     lines: BTreeMap<ServerId, f64>,
     levels: BTreeMap<usize, (f64, Retries)>,
     users: BTreeMap<ProxyId, u32>,
@@ -28,7 +28,7 @@
 
 impl ResourceUpdate {
     /// What comes later takes the place of what was.
-    pub fn absorb(&mut self, later: ResourceUpdate) {
+    pub fn merge(&mut self, later: ResourceUpdate) {
         self.endpoints.extend(later.endpoints);
         self.routes.extend(later.routes);
         self.clusters = later.clusters.or(self.clusters.take());
@@ -84,20 +84,20 @@
     /// never taken for one another; where they share a fleet it is the same for all, whose tables are numbered alike.
     source: String,
     classes: Vec<String>,
-    unit: LevelUnit,
+    level_unit: LevelUnit,
     lines_per_message: f64,
     lb_policy: String,
-    tables: BTreeMap<TableId, Table>,
-    bound: BTreeMap<ProxyId, Vec<Option<TableId>>>,
+    tables: BTreeMap<TableId, TableState>,
+    bound_tables: BTreeMap<ProxyId, Vec<Option<TableId>>>,
     zones: BTreeMap<ServerId, String>,
     clusters: BTreeMap<(usize, TableId), Bytes>,
-    encoded: u64,
+    texts_encoded: u64,
     bytes: u64,
 }
 
 /// What a moment's orders touch at one proxy.
 #[derive(Default)]
-struct Touched {
+struct ProxyChanges {
     lines: f64,
     endpoints: BTreeSet<TableId>,
     routes: BTreeSet<TableId>,
@@ -117,120 +117,120 @@
     pub fn new(
         source: String,
         classes: Vec<String>,
-        unit: LevelUnit,
+        level_unit: LevelUnit,
         lines_per_message: f64,
         lb_policy: String,
     ) -> Self {
         ResourceCache {
             source,
             classes,
-            unit,
+            level_unit,
             lines_per_message,
             lb_policy,
             tables: BTreeMap::new(),
-            bound: BTreeMap::new(),
+            bound_tables: BTreeMap::new(),
             zones: BTreeMap::new(),
             clusters: BTreeMap::new(),
-            encoded: 0,
+            texts_encoded: 0,
             bytes: 0,
         }
     }
 
     /// Where a server stands; it shows in the tables.
-    pub fn place(&mut self, server: &ServerId, zone: &str) {
+    pub fn set_server_zone(&mut self, server: &ServerId, zone: &str) {
         self.zones.insert(server.clone(), zone.to_owned());
     }
 
     pub fn join(&mut self, proxy: ProxyId) {
         self.leave(proxy);
-        self.bound.insert(proxy, vec![None; self.classes.len()]);
+        self.bound_tables.insert(proxy, vec![None; self.classes.len()]);
     }
 
     pub fn leave(&mut self, proxy: ProxyId) {
-        for table in self.bound.remove(&proxy).into_iter().flatten().flatten() {
+        for table in self.bound_tables.remove(&proxy).into_iter().flatten().flatten() {
             self.release(table, proxy);
         }
     }
 
     fn release(&mut self, table: TableId, proxy: ProxyId) {
-        let Some(held) = self.tables.get_mut(&table) else { return };
-        if let Some(classes) = held.users.get_mut(&proxy) {
+        let Some(state) = self.tables.get_mut(&table) else { return };
+        if let Some(classes) = state.users.get_mut(&proxy) {
             *classes -= 1;
             if *classes == 0 {
-                held.users.remove(&proxy);
+                state.users.remove(&proxy);
             }
         }
     }
 
     /// Takes in a moment's orders and gives the messages to the proxies concerned, in order of their numbers.
-    pub fn apply(&mut self, now: Nanos, orders: &[Order]) -> Vec<Message> {
-        let mut touched: BTreeMap<ProxyId, Touched> = BTreeMap::new();
+    pub fn apply_orders(&mut self, now: Nanos, orders: &[Order]) -> Vec<Message> {
+        let mut changes_by_proxy: BTreeMap<ProxyId, ProxyChanges> = BTreeMap::new();
         let mut mark = None;
         for order in orders {
             match order {
                 Order::Line { table, server, weight } => {
-                    let held = self.tables.entry(*table).or_default();
-                    held.endpoints = None;
+                    let state = self.tables.entry(*table).or_default();
+                    state.endpoints = None;
                     if *weight > 0.0 {
-                        held.lines.insert(server.clone(), *weight);
+                        state.lines.insert(server.clone(), *weight);
                     } else {
-                        held.lines.remove(server);
+                        state.lines.remove(server);
                     }
-                    for proxy in held.users.keys() {
-                        let at = touched.entry(*proxy).or_default();
-                        at.lines += 1.0;
-                        at.endpoints.insert(*table);
+                    for proxy in state.users.keys() {
+                        let changes = changes_by_proxy.entry(*proxy).or_default();
+                        changes.lines += 1.0;
+                        changes.endpoints.insert(*table);
                     }
                 }
                 Order::Level { table, classes, level, retries: tries } => {
-                    let held = self.tables.entry(*table).or_default();
-                    held.routes = None;
+                    let state = self.tables.entry(*table).or_default();
+                    state.routes = None;
                     for class in (0..self.classes.len()).filter(|class| classes.has(ClassId(*class as u8))) {
-                        held.levels.insert(class, (*level, *tries));
+                        state.levels.insert(class, (*level, *tries));
                     }
-                    for proxy in held.users.keys() {
-                        let at = touched.entry(*proxy).or_default();
-                        at.lines += 1.0;
-                        at.routes.insert(*table);
+                    for proxy in state.users.keys() {
+                        let changes = changes_by_proxy.entry(*proxy).or_default();
+                        changes.lines += 1.0;
+                        changes.routes.insert(*table);
                     }
                 }
                 Order::Bind { proxy, classes, table } => {
-                    let Some(bound) = self.bound.get_mut(proxy) else { continue };
+                    let Some(bound_tables) = self.bound_tables.get_mut(proxy) else { continue };
                     let mut freed = Vec::new();
-                    for (class, to) in bound.iter_mut().enumerate() {
+                    for (class, to) in bound_tables.iter_mut().enumerate() {
                         if classes.has(ClassId(class as u8)) && *to != Some(*table) {
                             freed.extend(to.replace(*table));
                             *self.tables.entry(*table).or_default().users.entry(*proxy).or_insert(0) += 1;
                         }
                     }
                     freed.into_iter().for_each(|old| self.release(old, *proxy));
-                    let held = self.tables.entry(*table).or_default();
-                    let at = touched.entry(*proxy).or_default();
-                    at.lines += 1.0 + (held.lines.len() + held.levels.len()) as f64;
-                    at.endpoints.insert(*table);
-                    at.routes.insert(*table);
-                    at.clusters = true;
+                    let state = self.tables.entry(*table).or_default();
+                    let changes = changes_by_proxy.entry(*proxy).or_default();
+                    changes.lines += 1.0 + (state.lines.len() + state.levels.len()) as f64;
+                    changes.endpoints.insert(*table);
+                    changes.routes.insert(*table);
+                    changes.clusters = true;
                 }
                 Order::Mark { mark: number } => mark = Some(*number),
                 Order::Probe { .. } | Order::WatchList | Order::Wake { .. } => {}
             }
         }
-        let heads = self.lines_per_message + if mark.is_some() { 1.0 } else { 0.0 };
-        let messages = touched.into_iter().map(|(proxy, at)| {
+        let message_overhead = self.lines_per_message + if mark.is_some() { 1.0 } else { 0.0 };
+        let messages = changes_by_proxy.into_iter().map(|(proxy, changes)| {
             let parts = ResourceUpdate {
-                endpoints: at.endpoints.iter().map(|table| (*table, self.endpoints(*table))).collect(),
-                routes: at.routes.iter().map(|table| (*table, self.routes(*table))).collect(),
-                clusters: at.clusters.then(|| self.bindings(proxy)),
+                endpoints: changes.endpoints.iter().map(|table| (*table, self.endpoints(*table))).collect(),
+                routes: changes.routes.iter().map(|table| (*table, self.routes(*table))).collect(),
+                clusters: changes.clusters.then(|| self.bindings(proxy)),
             };
-            Message { proxy, parts, mark, lines: at.lines + heads, decided: now }
+            Message { proxy, parts, mark, lines: changes.lines + message_overhead, decided: now }
         });
         messages.collect()
     }
 
     /// All that a proxy holds by the orders so far: what a stream gets that cannot go on from where it was.
-    pub fn all_of(&mut self, proxy: ProxyId) -> ResourceUpdate {
+    pub fn full_state(&mut self, proxy: ProxyId) -> ResourceUpdate {
         let tables: BTreeSet<TableId> =
-            self.bound.get(&proxy).into_iter().flatten().flatten().copied().collect();
+            self.bound_tables.get(&proxy).into_iter().flatten().flatten().copied().collect();
         ResourceUpdate {
             endpoints: tables.iter().map(|table| (*table, self.endpoints(*table))).collect(),
             routes: tables.iter().map(|table| (*table, self.routes(*table))).collect(),
@@ -239,10 +239,10 @@
     }
 
     /// Lines that a part of a table costs.
-    pub fn lines_of(&self, kind: Kind, table: TableId) -> f64 {
-        let lines = self.tables.get(&table).map_or(0, |held| match kind {
-            Kind::Endpoints => held.lines.len(),
-            Kind::Routes => held.levels.len(),
+    pub fn line_count(&self, kind: Kind, table: TableId) -> f64 {
+        let lines = self.tables.get(&table).map_or(0, |state| match kind {
+            Kind::Endpoints => state.lines.len(),
+            Kind::Routes => state.levels.len(),
             Kind::Clusters => 0,
         });
         lines as f64
@@ -259,61 +259,62 @@
     }
 
     /// Every class of the proxy has a table: only then can all its bindings be told as one.
-    pub fn is_complete(&self, proxy: ProxyId) -> bool {
-        self.bound.get(&proxy).is_some_and(|bound| bound.iter().all(Option::is_some))
+    pub fn has_all_bindings(&self, proxy: ProxyId) -> bool {
+        self.bound_tables.get(&proxy).is_some_and(|bound_tables| bound_tables.iter().all(Option::is_some))
     }
 
     fn endpoints(&mut self, table: TableId) -> Bytes {
-        let held = self.tables.entry(table).or_default();
-        if let Some(text) = &held.endpoints {
+        let state = self.tables.entry(table).or_default();
+        if let Some(text) = &state.endpoints {
             return text.clone();
         }
-        self.encoded += 1;
+        self.texts_encoded += 1;
         let line = |(server, weight): (&'_ ServerId, &f64)| meaning::Line {
             server: self.zones.get_key_value(server).map_or("", |(server, _)| &server.0),
             zone: self.zones.get(server).map_or("", String::as_str),
             weight: *weight,
             health: HealthStatus::Healthy,
         };
-        let lines: Vec<_> = held.lines.iter().map(line).collect();
-        let made = text(&meaning::table(&table_name(&self.source, table), &lines));
-        self.bytes += made.len() as u64;
-        held.endpoints = Some(made.clone());
-        made
+        let lines: Vec<_> = state.lines.iter().map(line).collect();
+        let resource = text(&meaning::table(&table_name(&self.source, table), &lines));
+        self.bytes += resource.len() as u64;
+        state.endpoints = Some(resource.clone());
+        resource
     }
 
     fn routes(&mut self, table: TableId) -> Bytes {
-        let (unit, classes) = (self.unit, &self.classes);
-        let held = self.tables.entry(table).or_default();
-        if let Some(text) = &held.routes {
+        let (level_unit, classes) = (self.level_unit, &self.classes);
+        let state = self.tables.entry(table).or_default();
+        if let Some(text) = &state.routes {
             return text.clone();
         }
-        self.encoded += 1;
+        self.texts_encoded += 1;
         let admission = |(class, (level, tries)): (&usize, &(f64, Retries))| {
-            (classes[*class].as_str(), Admission { level: Some(*level), unit, tries: *tries })
+            (classes[*class].as_str(), Admission { level: Some(*level), unit: level_unit, tries: *tries })
         };
-        let made =
-            text(&meaning::routes(&table_name(&self.source, table), held.levels.iter().map(admission)));
-        self.bytes += made.len() as u64;
-        held.routes = Some(made.clone());
-        made
+        let resource =
+            text(&meaning::routes(&table_name(&self.source, table), state.levels.iter().map(admission)));
+        self.bytes += resource.len() as u64;
+        state.routes = Some(resource.clone());
+        resource
     }
 
     fn bindings(&mut self, proxy: ProxyId) -> Vec<Bytes> {
-        let bound = self.bound.get(&proxy).cloned().unwrap_or_default();
-        let bound = bound.into_iter().enumerate().filter_map(|(class, table)| Some((class, table?)));
-        let mut made = Vec::new();
-        for (class, table) in bound {
+        let bound_tables = self.bound_tables.get(&proxy).cloned().unwrap_or_default();
+        let bound_tables =
+            bound_tables.into_iter().enumerate().filter_map(|(class, table)| Some((class, table?)));
+        let mut resources = Vec::new();
+        for (class, table) in bound_tables {
             let (classes, policy, source) = (&self.classes, &self.lb_policy, &self.source);
-            let one = || text(&meaning::cluster(&classes[class], &table_name(source, table), policy));
-            made.push(self.clusters.entry((class, table)).or_insert_with(one).clone());
+            let encode = || text(&meaning::cluster(&classes[class], &table_name(source, table), policy));
+            resources.push(self.clusters.entry((class, table)).or_insert_with(encode).clone());
         }
-        made
+        resources
     }
 
     /// Tables, texts made so far, and their bytes.
     pub fn counts(&self) -> (usize, u64, u64) {
-        (self.tables.len(), self.encoded, self.bytes)
+        (self.tables.len(), self.texts_encoded, self.bytes)
     }
 
     /// The tables with their lines' count and their users' count.
@@ -333,32 +334,32 @@
 
     #[test]
     fn a_shared_table_is_made_once_and_costs_a_line_at_each_user() {
-        let mut book = ResourceCache::new(
+        let mut cache = ResourceCache::new(
             "a-1".into(),
             vec!["read".into(), "write".into()],
             LevelUnit::Rate,
             3.0,
             "RANDOM".into(),
         );
-        book.place(&server("127.0.0.1:1"), "north");
+        cache.set_server_zone(&server("127.0.0.1:1"), "north");
         let mut orders = vec![Order::Line { table: TableId(1), server: server("127.0.0.1:1"), weight: 1.0 }];
         for proxy in 0..50 {
-            book.join(ProxyId(proxy));
+            cache.join(ProxyId(proxy));
             orders.push(Order::Bind { proxy: ProxyId(proxy), classes: ClassSet(3), table: TableId(1) });
         }
-        let messages = book.apply(Nanos(5), &orders);
-        assert_eq!((messages.len(), book.counts().1), (50, 2));
+        let messages = cache.apply_orders(Nanos(5), &orders);
+        assert_eq!((messages.len(), cache.counts().1), (50, 2));
         // One for the bind, one for the line, three for the head.
         assert!(messages.iter().all(|message| message.lines == 5.0 && message.decided == Nanos(5)));
-        assert!((0..50).all(|proxy| book.is_complete(ProxyId(proxy))));
+        assert!((0..50).all(|proxy| cache.has_all_bindings(ProxyId(proxy))));
         let change = Order::Line { table: TableId(1), server: server("127.0.0.1:1"), weight: 0.5 };
-        let messages = book.apply(Nanos(6), &[change, Order::Mark { mark: 9 }]);
-        assert_eq!((messages.len(), book.counts().1), (50, 3));
+        let messages = cache.apply_orders(Nanos(6), &[change, Order::Mark { mark: 9 }]);
+        assert_eq!((messages.len(), cache.counts().1), (50, 3));
         assert!(messages.iter().all(|message| message.lines == 5.0 && message.mark == Some(9)));
         // One that has left gets nothing more.
-        book.leave(ProxyId(0));
+        cache.leave(ProxyId(0));
         let change = Order::Line { table: TableId(1), server: server("127.0.0.1:1"), weight: 0.0 };
-        assert_eq!(book.apply(Nanos(7), &[change]).len(), 49);
+        assert_eq!(cache.apply_orders(Nanos(7), &[change]).len(), 49);
     }
 
     #[test]
@@ -369,7 +370,7 @@
             ..ResourceUpdate::default()
         };
         let later = BTreeMap::from([(TableId(1), text("new")), (TableId(2), text("two"))]);
-        parts.absorb(ResourceUpdate { endpoints: later, ..ResourceUpdate::default() });
+        parts.merge(ResourceUpdate { endpoints: later, ..ResourceUpdate::default() });
         assert_eq!(parts.take(Kind::Endpoints), Some(vec![text("new"), text("two")]));
         assert!(parts.is_empty() && parts.take(Kind::Endpoints).is_none());
     }
--- a/crates/craneknot-coordinator/src/roster.rs
+++ b/crates/craneknot-coordinator/src/roster.rs
@@ -1,8 +1,8 @@
-//! What a list of servers that came is worth: torn, stale, contradictory or suddenly short lists.
+//! Validation of server lists: truncated, stale, contradictory or suddenly short lists.
 //!
 //! A file of servers is JSON: `{"version": 12, "servers": [{"address": "127.0.0.1:9001", "zone": "north", "kind":
 //! "small", "cell": 1, "weight": 1.5, "started": 1764600000.5, "state": "up"}]}`. `started` is in seconds since the
-//! Unix epoch (left out: long ago), `state` is `up` or `draining`; a server that is gone is left out.
+//! Unix epoch (omitted: long ago), `state` is `up` or `draining`; a removed server is omitted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,8 +12,8 @@
 use craneknot_settings::Names;
 use serde::{Deserialize, Serialize};
 
-const SHORT: f64 = 0.75; // share of servers gone at one go from which a list is doubted: a registry begun anew
-const SERVERS_MOST: usize = 20_000; // in one list: more than any deployment
+const SHRINK_THRESHOLD: f64 = 0.75; // share of servers missing at once that needs confirmation: a restarted registry
+const MAX_SERVERS: usize = 20_000; // more than any deployment has
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -45,18 +45,18 @@
     pub servers: Vec<Entry>,
 }
 
-/// Why a list is not taken.
+/// Why a list is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RosterError {
     Unreadable(String),
     Stale {
         version: u64,
-        held: u64,
+        current: u64,
     },
-    /// Most of the servers are gone at one go: believed only if it still stands at the moment told.
-    Short {
-        left: usize,
-        held: usize,
+    /// Most servers are missing at once: accepted only if the list is unchanged at `until`.
+    Shrunk {
+        remaining: usize,
+        current: usize,
         until: Nanos,
     },
 }
@@ -65,34 +65,42 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RosterError::Unreadable(cause) => write!(f, "cannot be read: {cause}"),
-            RosterError::Stale { version, held } => write!(f, "version {version} is older than {held}"),
-            RosterError::Short { left, held, .. } => {
-                write!(f, "only {left} of {held} servers are left; waiting")
+            RosterError::Stale { version, current } => {
+                write!(f, "version {version} is older than the current version {current}")
+            }
+            RosterError::Shrunk { remaining, current, .. } => {
+                write!(f, "only {remaining} of {current} servers are left; waiting for confirmation")
             }
         }
     }
 }
 
-/// A list that was taken.
+/// A list that was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidatedRoster {
     pub event: Event,
-    /// What was set right, in words.
+    /// Descriptions of what was corrected in the list.
     pub notes: Vec<String>,
     pub changed: usize,
 }
 
+/// Holds the current server list and decides whether a new one replaces it.
 pub struct RosterValidator {
-    held: Option<BTreeMap<ServerId, Listing>>,
+    current: Option<BTreeMap<ServerId, Listing>>,
     version: u64,
-    /// How long a short list is doubted: within the grace for drains, which it may tell of.
-    doubt: Nanos,
-    doubted: Option<(u64, Nanos)>,
+    /// How long a suddenly short list stays unconfirmed: less than the drain grace, since it may announce drains.
+    confirmation_delay: Nanos,
+    unconfirmed: Option<(u64, Nanos)>,
 }
 
 impl RosterValidator {
     pub fn new(drain_grace: Nanos) -> Self {
-        RosterValidator { held: None, version: 0, doubt: Nanos(drain_grace.0 / 2), doubted: None }
+        RosterValidator {
+            current: None,
+            version: 0,
+            confirmation_delay: Nanos(drain_grace.0 / 2),
+            unconfirmed: None,
+        }
     }
 
     pub fn version(&self) -> u64 {
@@ -100,20 +108,20 @@
     }
 
     pub fn servers(&self) -> usize {
-        self.held.as_ref().map_or(0, BTreeMap::len)
+        self.current.as_ref().map_or(0, BTreeMap::len)
     }
 
     pub fn zone_of(&self, server: &ServerId) -> Option<ZoneId> {
-        self.held.as_ref()?.get(server).map(|listing| listing.zone)
+        self.current.as_ref()?.get(server).map(|listing| listing.zone)
     }
 
-    /// When a doubted list must be read again.
+    /// When an unconfirmed list must be read again.
     pub fn next_at(&self) -> Option<Nanos> {
-        self.doubted.map(|(_, until)| until)
+        self.unconfirmed.map(|(_, until)| until)
     }
 
-    /// Takes the list as this coordinator kept it before it started.
-    pub fn remember(
+    /// Loads the list that this coordinator saved before its start.
+    pub fn load_saved(
         &mut self,
         now: Nanos,
         text: &[u8],
@@ -123,67 +131,79 @@
         let servers = listings(now, &roster, names, &mut notes);
         let entries: Arc<[Listing]> = servers.values().cloned().collect();
         let changed = entries.len();
-        self.held = Some(servers);
+        self.current = Some(servers);
         Ok(ValidatedRoster { event: Event::List { scope: ListScope::Remembered, entries }, notes, changed })
     }
 
-    /// The source gave nothing of use: a doubted list is looked at again later.
-    pub fn put_off(&mut self, now: Nanos) {
-        if let Some((_, until)) = &mut self.doubted {
-            *until = now + self.doubt;
+    /// The source returned nothing usable: an unconfirmed list is checked again later.
+    pub fn postpone_recheck(&mut self, now: Nanos) {
+        if let Some((_, until)) = &mut self.unconfirmed {
+            *until = now + self.confirmation_delay;
         }
     }
 
-    /// Takes what a source gave.
-    pub fn take(
+    /// Validates a list from the source and makes it the current one.
+    pub fn update(
         &mut self,
         now: Nanos,
         text: &[u8],
         names: &mut Names,
     ) -> Result<ValidatedRoster, RosterError> {
-        let taken = self.weigh(now, text, names);
-        if matches!(taken, Err(RosterError::Unreadable(_) | RosterError::Stale { .. })) {
-            self.put_off(now);
+        let accepted = self.validate(now, text, names);
+        if matches!(accepted, Err(RosterError::Unreadable(_) | RosterError::Stale { .. })) {
+            self.postpone_recheck(now);
         }
-        taken
+        accepted
     }
 
-    fn weigh(&mut self, now: Nanos, text: &[u8], names: &mut Names) -> Result<ValidatedRoster, RosterError> {
+    fn validate(
+        &mut self,
+        now: Nanos,
+        text: &[u8],
+        names: &mut Names,
+    ) -> Result<ValidatedRoster, RosterError> {
         let (roster, mut notes) = read(text)?;
         if roster.version < self.version {
-            return Err(RosterError::Stale { version: roster.version, held: self.version });
+            return Err(RosterError::Stale { version: roster.version, current: self.version });
         }
         let servers = listings(now, &roster, names, &mut notes);
-        if let Some(held) = &self.held {
-            let lost = held.keys().filter(|server| !servers.contains_key(*server)).count();
-            if !held.is_empty() && lost as f64 >= SHORT * held.len() as f64 {
-                let until = match self.doubted {
+        if let Some(current) = &self.current {
+            let removed_count = current.keys().filter(|server| !servers.contains_key(*server)).count();
+            if !current.is_empty() && removed_count as f64 >= SHRINK_THRESHOLD * current.len() as f64 {
+                let until = match self.unconfirmed {
                     Some((version, until)) if version == roster.version => until,
-                    Some(_) | None => now + self.doubt,
+                    Some(_) | None => now + self.confirmation_delay,
                 };
                 if now < until {
-                    self.doubted = Some((roster.version, until));
-                    return Err(RosterError::Short { left: held.len() - lost, held: held.len(), until });
+                    self.unconfirmed = Some((roster.version, until));
+                    return Err(RosterError::Shrunk {
+                        remaining: current.len() - removed_count,
+                        current: current.len(),
+                        until,
+                    });
                 }
-                notes.push(format!("{lost} servers are gone, and the list still says so: believed"));
+                notes.push(format!(
+                    "accepted the removal of {removed_count} servers after the confirmation delay"
+                ));
             }
         }
-        self.doubted = None;
+        self.unconfirmed = None;
         self.version = roster.version;
-        let event = match &self.held {
+        let event = match &self.current {
             None => Event::List { scope: ListScope::Whole, entries: servers.values().cloned().collect() },
-            Some(held) => {
-                let news = servers.values().filter(|entry| held.get(&entry.server) != Some(entry)).cloned();
-                let gone = held.values().filter(|entry| !servers.contains_key(&entry.server));
-                let gone = gone.map(|entry| Listing { readiness: Readiness::Removed, ..entry.clone() });
-                Event::List { scope: ListScope::Changes, entries: news.chain(gone).collect() }
+            Some(current) => {
+                let changed_entries =
+                    servers.values().filter(|entry| current.get(&entry.server) != Some(entry)).cloned();
+                let removed = current.values().filter(|entry| !servers.contains_key(&entry.server));
+                let removed = removed.map(|entry| Listing { readiness: Readiness::Removed, ..entry.clone() });
+                Event::List { scope: ListScope::Changes, entries: changed_entries.chain(removed).collect() }
             }
         };
         let changed = match &event {
             Event::List { entries, .. } => entries.len(),
             _ => 0,
         };
-        self.held = Some(servers);
+        self.current = Some(servers);
         Ok(ValidatedRoster { event, notes, changed })
     }
 }
@@ -191,13 +211,13 @@
 fn read(text: &[u8]) -> Result<(Roster, Vec<String>), RosterError> {
     let roster: Roster =
         serde_json::from_slice(text).map_err(|cause| RosterError::Unreadable(cause.to_string()))?;
-    if roster.servers.len() > SERVERS_MOST {
-        return Err(RosterError::Unreadable(format!("more than {SERVERS_MOST} servers")));
+    if roster.servers.len() > MAX_SERVERS {
+        return Err(RosterError::Unreadable(format!("more than {MAX_SERVERS} servers")));
     }
     Ok((roster, Vec::new()))
 }
 
-/// The servers by name. Where one is listed twice, what keeps the rules wins: draining over up, the later start.
+/// The listed servers. Of duplicate entries the safer values win: draining over up, and the later start.
 fn listings(
     now: Nanos,
     roster: &Roster,
@@ -207,14 +227,14 @@
     let mut servers: BTreeMap<ServerId, Listing> = BTreeMap::new();
     for entry in &roster.servers {
         if entry.address.rsplit_once(':').is_none_or(|(_, port)| port.parse::<u16>().is_err()) {
-            notes.push(format!("{:?} is no address:port: left out", entry.address));
+            notes.push(format!("{:?} is not address:port; entry ignored", entry.address));
             continue;
         }
         let mut started = entry.started.filter(|at| at.is_finite() && *at > 0.0).map(Nanos::from_secs);
-        // Its clock is ahead of ours, or ours is behind: it can have started now at the latest, and long ago as well.
+        // The clocks differ: the server started now at the latest, but possibly long ago.
         let is_start_certain = started.is_none_or(|started| started <= now);
         if !is_start_certain {
-            notes.push(format!("{} starts in the future: its age is not known", entry.address));
+            notes.push(format!("{} has a start time in the future; its age is unknown", entry.address));
             started = Some(now);
         }
         let server = ServerId(Arc::from(entry.address.as_str()));
@@ -236,7 +256,10 @@
                 servers.insert(server, listing);
             }
             Some(first) => {
-                notes.push(format!("{} is listed twice: draining and the later start win", entry.address));
+                notes.push(format!(
+                    "{} is listed twice; draining and the later start take precedence",
+                    entry.address
+                ));
                 if listing.readiness == Readiness::Draining {
                     first.readiness = Readiness::Draining;
                 }
@@ -265,55 +288,57 @@
         serde_json::to_vec(&Roster { version, servers: servers.map(entry).collect() }).unwrap()
     }
 
-    fn judge() -> (RosterValidator, Names) {
-        let (mut judge, mut names) = (RosterValidator::new(Nanos::from_millis(2_000)), Names::default());
-        let taken = judge.take(Nanos(1), &list(5, 1..=10), &mut names).unwrap();
+    fn validator() -> (RosterValidator, Names) {
+        let (mut validator, mut names) = (RosterValidator::new(Nanos::from_millis(2_000)), Names::default());
+        let accepted = validator.update(Nanos(1), &list(5, 1..=10), &mut names).unwrap();
         assert!(
-            matches!(&taken.event, Event::List { scope: ListScope::Whole, entries } if entries.len() == 10)
+            matches!(&accepted.event, Event::List { scope: ListScope::Whole, entries } if entries.len() == 10)
         );
-        (judge, names)
+        (validator, names)
     }
 
     #[test]
-    fn news_are_told_as_changes() {
-        let (mut judge, mut names) = judge();
-        let taken = judge.take(Nanos(2), &list(6, 2..=11), &mut names).unwrap();
-        let Event::List { scope: ListScope::Changes, entries } = &taken.event else { panic!("{taken:?}") };
-        let told: Vec<_> = entries.iter().map(|entry| (&*entry.server.0, entry.readiness)).collect();
-        assert_eq!(told, [("127.0.0.1:11", Readiness::Ready), ("127.0.0.1:1", Readiness::Removed)]);
+    fn a_newer_list_is_reported_as_changes() {
+        let (mut validator, mut names) = validator();
+        let accepted = validator.update(Nanos(2), &list(6, 2..=11), &mut names).unwrap();
+        let Event::List { scope: ListScope::Changes, entries } = &accepted.event else {
+            panic!("{accepted:?}")
+        };
+        let reported: Vec<_> = entries.iter().map(|entry| (&*entry.server.0, entry.readiness)).collect();
+        assert_eq!(reported, [("127.0.0.1:11", Readiness::Ready), ("127.0.0.1:1", Readiness::Removed)]);
     }
 
     #[test]
-    fn torn_and_stale_lists_are_refused_and_the_held_one_stays() {
-        let (mut judge, mut names) = judge();
+    fn truncated_and_stale_lists_are_rejected_and_the_current_one_stays() {
+        let (mut validator, mut names) = validator();
         let text = list(6, 1..=3);
         for end in 0..text.len() {
-            let refusal = judge.take(Nanos(2), &text[..end], &mut names).unwrap_err();
+            let refusal = validator.update(Nanos(2), &text[..end], &mut names).unwrap_err();
             assert!(matches!(refusal, RosterError::Unreadable(_)), "{end}");
         }
-        let stale = judge.take(Nanos(2), &list(4, 1..=10), &mut names);
-        assert_eq!(stale, Err(RosterError::Stale { version: 4, held: 5 }));
-        assert_eq!((judge.servers(), judge.version()), (10, 5));
+        let stale = validator.update(Nanos(2), &list(4, 1..=10), &mut names);
+        assert_eq!(stale, Err(RosterError::Stale { version: 4, current: 5 }));
+        assert_eq!((validator.servers(), validator.version()), (10, 5));
     }
 
-    /// A registry that begins anew is empty for a moment; a real loss is told within the grace for drains.
+    /// A restarting registry is empty for a moment; a real loss is still reported within the drain grace.
     #[test]
-    fn a_list_suddenly_short_is_believed_only_if_it_stands() {
-        let (mut judge, mut names) = judge();
+    fn a_suddenly_short_list_is_accepted_only_if_it_is_confirmed() {
+        let (mut validator, mut names) = validator();
         let second = Nanos::from_millis(1_000);
-        let refusal = judge.take(second, &list(6, 1..=2), &mut names).unwrap_err();
-        assert_eq!(refusal, RosterError::Short { left: 2, held: 10, until: second + second });
-        assert!(judge.take(second, &list(7, 1..=10), &mut names).is_ok());
-        assert_eq!(judge.next_at(), None);
-        judge.take(second, &list(8, 0..0), &mut names).unwrap_err();
-        judge.take(second + Nanos(1), &list(8, 0..0), &mut names).unwrap_err();
-        let taken = judge.take(second + second, &list(8, 0..0), &mut names).unwrap();
-        assert_eq!((taken.changed, judge.servers()), (10, 0));
+        let refusal = validator.update(second, &list(6, 1..=2), &mut names).unwrap_err();
+        assert_eq!(refusal, RosterError::Shrunk { remaining: 2, current: 10, until: second + second });
+        assert!(validator.update(second, &list(7, 1..=10), &mut names).is_ok());
+        assert_eq!(validator.next_at(), None);
+        validator.update(second, &list(8, 0..0), &mut names).unwrap_err();
+        validator.update(second + Nanos(1), &list(8, 0..0), &mut names).unwrap_err();
+        let accepted = validator.update(second + second, &list(8, 0..0), &mut names).unwrap();
+        assert_eq!((accepted.changed, validator.servers()), (10, 0));
     }
 
     #[test]
-    fn contradictions_are_settled_by_what_keeps_the_rules() {
-        let (mut judge, mut names) = judge();
+    fn contradictory_entries_resolve_to_the_safer_values() {
+        let (mut validator, mut names) = validator();
         let text = br#"{"version": 9, "servers": [
             {"address": "127.0.0.1:1", "zone": "north", "state": "draining"},
             {"address": "127.0.0.1:1", "zone": "north", "state": "up", "started": 5.0},
@@ -321,10 +346,10 @@
             {"address": "127.0.0.1:3", "zone": "north", "state": "up", "weight": -1},
             {"address": "nowhere", "zone": "north", "state": "up"}]}"#;
         let now = Nanos::from_millis(60_000);
-        judge.take(now, text, &mut names).unwrap();
-        let held = judge.held.unwrap();
-        let of = |port: u16| &held[&ServerId(Arc::from(format!("127.0.0.1:{port}").as_str()))];
+        validator.update(now, text, &mut names).unwrap();
+        let current = validator.current.unwrap();
+        let of = |port: u16| &current[&ServerId(Arc::from(format!("127.0.0.1:{port}").as_str()))];
         assert_eq!((of(1).readiness, of(1).started), (Readiness::Draining, Some(Nanos::from_millis(5_000))));
-        assert_eq!((of(2).started, of(3).weight, held.len()), (Some(now), None, 3));
+        assert_eq!((of(2).started, of(3).weight, current.len()), (Some(now), None, 3));
     }
 }
--- a/crates/craneknot-coordinator/src/roster_source.rs
+++ b/crates/craneknot-coordinator/src/roster_source.rs
@@ -1,21 +1,21 @@
-//! Where lists of servers come from.
+//! Sources of server lists.
 
 use std::io;
 use std::path::PathBuf;
 
 use craneknot_reactor::read_regular_file;
 
-const LARGEST: u64 = 16 * 1024 * 1024; // bytes of a list of servers
+const MAX_ROSTER_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Gives the newest list that a source has, as the roster's text. What it is worth is judged elsewhere.
+/// Reads the newest server list of a source as text; `crate::roster` validates it.
 pub trait RosterSource: Send {
-    /// For logs.
+    /// The name of the source in logs.
     fn name(&self) -> &str;
 
     fn read(&mut self) -> io::Result<Vec<u8>>;
 }
 
-/// A regular file, replaced by a rename.
+/// A regular file that its writer replaces by renaming.
 pub struct FileRoster {
     path: PathBuf,
     name: String,
@@ -34,6 +34,6 @@
     }
 
     fn read(&mut self) -> io::Result<Vec<u8>> {
-        read_regular_file(&self.path, LARGEST)
+        read_regular_file(&self.path, MAX_ROSTER_BYTES)
     }
 }
--- a/crates/craneknot-coordinator/src/session.rs
+++ b/crates/craneknot-coordinator/src/session.rs
@@ -15,50 +15,50 @@
 
 use crate::resource_cache::{Message, ResourceUpdate};
 
-const AGAIN_FIRST: Nanos = Nanos::from_millis(500); // ms; wait before what was refused is offered again, whole
-const AGAIN_MOST: Nanos = Nanos::from_millis(2_000); // ms; the longest such wait: it may hold up a drain
-const SILENT: Nanos = Nanos::from_millis(3_000); // ms; at the least, until a stream that says nothing is broken
-const SILENT_PERIODS: u64 = 6; // report periods that may pass without a word: two lost and two late are borne
+const RETRY_DELAY_MIN: Nanos = Nanos::from_millis(500); // ms; wait before what was refused is offered again, whole
+const RETRY_DELAY_MAX: Nanos = Nanos::from_millis(2_000); // ms; the longest such wait: it may hold up a drain
+const SILENCE_TIMEOUT_MIN: Nanos = Nanos::from_millis(3_000); // ms; at the least, until a stream that says nothing is broken
+const SILENCE_REPORT_PERIODS: u64 = 6; // report periods that may pass without a word: two lost and two late are borne
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// It holds all that was sent.
-    Settled,
+    Synced,
     /// It has not answered all that was sent.
-    Owing,
+    AwaitingAck,
     /// It refused something; all it holds is offered again later.
-    Refusing,
+    BackingOff,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sign {
+enum Trigger {
     /// Something was sent.
     Sent,
     /// The last answer owed came, and none was a refusal.
     Accepted,
-    Refused,
+    Rejected,
     /// The wait after a refusal is over.
-    Rested,
+    BackoffElapsed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
     Nothing,
     /// What was sent counts as applied.
-    Count,
+    Commit,
     /// Wait, twice as long after each refusal in a row.
-    Rest,
+    BackOff,
     /// Offer all again.
-    Renew,
+    ResendAll,
 }
 
 /// State, sign, next state, effect.
-const MOVES: &[(State, Sign, State, Effect)] = &[
-    (State::Settled, Sign::Sent, State::Owing, Effect::Nothing),
-    (State::Owing, Sign::Sent, State::Owing, Effect::Nothing),
-    (State::Owing, Sign::Accepted, State::Settled, Effect::Count),
-    (State::Owing, Sign::Refused, State::Refusing, Effect::Rest),
-    (State::Refusing, Sign::Rested, State::Settled, Effect::Renew),
+const TRANSITIONS: &[(State, Trigger, State, Effect)] = &[
+    (State::Synced, Trigger::Sent, State::AwaitingAck, Effect::Nothing),
+    (State::AwaitingAck, Trigger::Sent, State::AwaitingAck, Effect::Nothing),
+    (State::AwaitingAck, Trigger::Accepted, State::Synced, Effect::Commit),
+    (State::AwaitingAck, Trigger::Rejected, State::BackingOff, Effect::BackOff),
+    (State::BackingOff, Trigger::BackoffElapsed, State::Synced, Effect::ResendAll),
 ];
 
 /// One answer to one held request.
@@ -74,10 +74,10 @@
     pub kind: Kind,
     pub nonce: Option<u64>,
     /// The cause, where the response of that nonce was refused.
-    pub refused: Option<String>,
+    pub rejected: Option<String>,
 }
 
-struct Owed {
+struct UnackedResponse {
     kind: Kind,
     nonce: u64,
     tables: Vec<TableId>,
@@ -85,21 +85,21 @@
 
 pub struct Session {
     state: State,
-    open: VecDeque<Kind>,
-    due: ResourceUpdate,
-    due_lines: f64,
-    due_marks: Vec<u16>,
-    due_since: Option<Nanos>,
-    owed: Vec<Owed>,
+    open_requests: VecDeque<Kind>,
+    pending: ResourceUpdate,
+    pending_lines: f64,
+    pending_marks: Vec<u16>,
+    pending_decided_at: Option<Nanos>,
+    unacked: Vec<UnackedResponse>,
     /// What must be accepted before the bindings that are due may be sent.
-    needs: BTreeSet<(Kind, TableId)>,
-    sent_marks: Vec<u16>,
-    sent_since: Option<Nanos>,
-    refusals: u32,
-    again_at: Option<Nanos>,
-    renew: bool,
+    unmet_dependencies: BTreeSet<(Kind, TableId)>,
+    unacked_marks: Vec<u16>,
+    unacked_decided_at: Option<Nanos>,
+    consecutive_rejections: u32,
+    retry_at: Option<Nanos>,
+    resend_all: bool,
     next_nonce: u64,
-    heard: Nanos,
+    last_activity: Nanos,
 }
 
 /// What the owner is to do or know after an input.
@@ -113,7 +113,7 @@
     Rejected {
         kind: Kind,
         cause: String,
-        again_at: Nanos,
+        retry_at: Nanos,
     },
     /// An answer to nothing that was sent: of an earlier stream, or made up. It counts for nothing.
     UnknownNonce {
@@ -124,21 +124,21 @@
 impl Session {
     pub fn new(now: Nanos) -> Self {
         Session {
-            state: State::Settled,
-            open: VecDeque::new(),
-            due: ResourceUpdate::default(),
-            due_lines: 0.0,
-            due_marks: Vec::new(),
-            due_since: None,
-            owed: Vec::new(),
-            needs: BTreeSet::new(),
-            sent_marks: Vec::new(),
-            sent_since: None,
-            refusals: 0,
-            again_at: None,
-            renew: false,
+            state: State::Synced,
+            open_requests: VecDeque::new(),
+            pending: ResourceUpdate::default(),
+            pending_lines: 0.0,
+            pending_marks: Vec::new(),
+            pending_decided_at: None,
+            unacked: Vec::new(),
+            unmet_dependencies: BTreeSet::new(),
+            unacked_marks: Vec::new(),
+            unacked_decided_at: None,
+            consecutive_rejections: 0,
+            retry_at: None,
+            resend_all: false,
             next_nonce: 1,
-            heard: now,
+            last_activity: now,
         }
     }
 
@@ -149,53 +149,54 @@
     /// Lines that have left the channel and wait for the proxy: of a proxy that stands still these grow no
     /// further than all it can hold.
     pub fn held_lines(&self) -> f64 {
-        self.due_lines
+        self.pending_lines
     }
 
-    fn sign(&mut self, now: Nanos, sign: Sign) -> Effect {
-        let row = MOVES.iter().find(|row| row.0 == self.state && row.1 == sign);
+    fn transition(&mut self, now: Nanos, trigger: Trigger) -> Effect {
+        let row = TRANSITIONS.iter().find(|row| row.0 == self.state && row.1 == trigger);
         let Some((_, _, next, effect)) = row else { return Effect::Nothing };
         self.state = *next;
         match effect {
             Effect::Nothing => {}
-            Effect::Count => self.refusals = 0,
-            Effect::Rest => {
-                let wait = Nanos(AGAIN_FIRST.0 << self.refusals.min(5)).min(AGAIN_MOST);
-                self.refusals += 1;
-                self.again_at = Some(now + wait);
+            Effect::Commit => self.consecutive_rejections = 0,
+            Effect::BackOff => {
+                let wait =
+                    Nanos(RETRY_DELAY_MIN.0 << self.consecutive_rejections.min(5)).min(RETRY_DELAY_MAX);
+                self.consecutive_rejections += 1;
+                self.retry_at = Some(now + wait);
             }
-            Effect::Renew => {
-                self.again_at = None;
-                self.renew = true;
+            Effect::ResendAll => {
+                self.retry_at = None;
+                self.resend_all = true;
             }
         }
         *effect
     }
 
     /// What bindings rest on, where the parts have any.
-    fn note_needs(&mut self, parts: &ResourceUpdate) {
+    fn add_dependencies(&mut self, parts: &ResourceUpdate) {
         if parts.clusters.is_some() {
-            self.needs.extend(parts.endpoints.keys().map(|table| (Kind::Endpoints, *table)));
-            self.needs.extend(parts.routes.keys().map(|table| (Kind::Routes, *table)));
+            self.unmet_dependencies.extend(parts.endpoints.keys().map(|table| (Kind::Endpoints, *table)));
+            self.unmet_dependencies.extend(parts.routes.keys().map(|table| (Kind::Routes, *table)));
         }
     }
 
     fn may_send(&self, kind: Kind) -> bool {
-        self.due.has(kind) && (kind != Kind::Clusters || self.needs.is_empty())
+        self.pending.has(kind) && (kind != Kind::Clusters || self.unmet_dependencies.is_empty())
     }
 
     /// A message is through the channel.
-    pub fn offer(&mut self, message: Message) {
-        self.note_needs(&message.parts);
-        self.due.absorb(message.parts);
-        self.due_lines += message.lines;
-        self.due_marks.extend(message.mark);
-        self.due_since = self.due_since.or(Some(message.decided));
+    pub fn enqueue(&mut self, message: Message) {
+        self.add_dependencies(&message.parts);
+        self.pending.merge(message.parts);
+        self.pending_lines += message.lines;
+        self.pending_marks.extend(message.mark);
+        self.pending_decided_at = self.pending_decided_at.or(Some(message.decided));
     }
 
     /// Any word of the agent shows that the stream stands.
-    pub fn hear(&mut self, now: Nanos) {
-        self.heard = self.heard.max(now);
+    pub fn record_activity(&mut self, now: Nanos) {
+        self.last_activity = self.last_activity.max(now);
     }
 
     /// Nothing came for so long that the stream counts as broken.
@@ -205,84 +206,87 @@
 
     /// Until then it cannot count as silent; a word moves it on.
     pub fn silent_after(&self, report_period: Nanos) -> Nanos {
-        self.heard + SILENT.max(Nanos(report_period.0.saturating_mul(SILENT_PERIODS)))
+        self.last_activity
+            + SILENCE_TIMEOUT_MIN.max(Nanos(report_period.0.saturating_mul(SILENCE_REPORT_PERIODS)))
     }
 
     /// A request has come.
-    pub fn ask(&mut self, now: Nanos, asked: StreamRequest) -> Option<Outcome> {
-        self.hear(now);
-        let StreamRequest { kind, nonce, refused } = asked;
-        if !self.open.contains(&kind) {
-            self.open.push_back(kind);
+    pub fn handle_request(&mut self, now: Nanos, request: StreamRequest) -> Option<Outcome> {
+        self.record_activity(now);
+        let StreamRequest { kind, nonce, rejected } = request;
+        if !self.open_requests.contains(&kind) {
+            self.open_requests.push_back(kind);
         }
         let nonce = nonce?;
-        let Some(place) = self.owed.iter().position(|owed| owed.kind == kind && owed.nonce == nonce) else {
+        let Some(index) =
+            self.unacked.iter().position(|unacked| unacked.kind == kind && unacked.nonce == nonce)
+        else {
             // The kind was answered with 304 since: its last nonce comes again.
             let known = nonce < self.next_nonce;
             return (!known).then_some(Outcome::UnknownNonce { kind });
         };
-        let owed = self.owed.remove(place);
-        if let Some(cause) = refused {
-            self.sign(now, Sign::Refused);
-            let again_at = *self.again_at.get_or_insert(now + AGAIN_FIRST);
-            return Some(Outcome::Rejected { kind, cause, again_at });
+        let unacked = self.unacked.remove(index);
+        if let Some(cause) = rejected {
+            self.transition(now, Trigger::Rejected);
+            let retry_at = *self.retry_at.get_or_insert(now + RETRY_DELAY_MIN);
+            return Some(Outcome::Rejected { kind, cause, retry_at });
         }
-        owed.tables.iter().for_each(|table| {
-            self.needs.remove(&(kind, *table));
+        unacked.tables.iter().for_each(|table| {
+            self.unmet_dependencies.remove(&(kind, *table));
         });
-        if !self.owed.is_empty() || self.sign(now, Sign::Accepted) != Effect::Count {
+        if !self.unacked.is_empty() || self.transition(now, Trigger::Accepted) != Effect::Commit {
             return None;
         }
-        let (marks, decided) = (std::mem::take(&mut self.sent_marks), self.sent_since.take());
+        let (marks, decided) = (std::mem::take(&mut self.unacked_marks), self.unacked_decided_at.take());
         Some(Outcome::Applied { marks, decided })
     }
 
     /// What is to be sent now. `all` gives everything the proxy shall hold, asked for after a refusal.
-    pub fn answers(&mut self, now: Nanos, all: impl FnOnce() -> ResourceUpdate) -> Vec<Response> {
-        if self.again_at.is_some_and(|at| at <= now) {
-            self.sign(now, Sign::Rested);
+    pub fn responses(&mut self, now: Nanos, full_state: impl FnOnce() -> ResourceUpdate) -> Vec<Response> {
+        if self.retry_at.is_some_and(|at| at <= now) {
+            self.transition(now, Trigger::BackoffElapsed);
         }
         // While it refuses, more of the same would be refused too.
-        if self.state == State::Refusing {
+        if self.state == State::BackingOff {
             return Vec::new();
         }
-        if std::mem::take(&mut self.renew) {
+        if std::mem::take(&mut self.resend_all) {
             // What was needed before may be no part of what it shall hold now: it would be waited for in vain.
-            let due = all();
-            self.needs.clear();
-            self.note_needs(&due);
-            self.due = due;
+            let pending = full_state();
+            self.unmet_dependencies.clear();
+            self.add_dependencies(&pending);
+            self.pending = pending;
         }
-        let last = self.open.iter().rposition(|kind| self.may_send(*kind));
+        let last = self.open_requests.iter().rposition(|kind| self.may_send(*kind));
         let Some(last) = last else { return Vec::new() };
-        let mut answers = Vec::new();
-        for kind in self.open.drain(..=last).collect::<Vec<Kind>>() {
-            let tables = self.due.tables(kind);
-            let taken = if self.may_send(kind) { self.due.take(kind) } else { None };
-            match taken {
+        let mut responses = Vec::new();
+        for kind in self.open_requests.drain(..=last).collect::<Vec<Kind>>() {
+            let tables = self.pending.tables(kind);
+            let update = if self.may_send(kind) { self.pending.take(kind) } else { None };
+            match update {
                 Some(resources) => {
                     let nonce = self.next_nonce;
                     self.next_nonce += 1;
-                    self.owed.push(Owed { kind, nonce, tables });
-                    answers.push(Response::Resources { kind, nonce, resources });
+                    self.unacked.push(UnackedResponse { kind, nonce, tables });
+                    responses.push(Response::Resources { kind, nonce, resources });
                 }
-                None => answers.push(Response::Unchanged { kind }),
+                None => responses.push(Response::Unchanged { kind }),
             }
         }
-        if self.due.is_empty() {
+        if self.pending.is_empty() {
             // All of these messages is under way: once accepted, their marks are answered.
-            self.due_lines = 0.0;
-            self.sent_marks.append(&mut self.due_marks);
-            let due_since = self.due_since.take();
-            self.sent_since = self.sent_since.or(due_since);
+            self.pending_lines = 0.0;
+            self.unacked_marks.append(&mut self.pending_marks);
+            let pending_decided_at = self.pending_decided_at.take();
+            self.unacked_decided_at = self.unacked_decided_at.or(pending_decided_at);
         }
-        self.sign(now, Sign::Sent);
-        answers
+        self.transition(now, Trigger::Sent);
+        responses
     }
 
     /// When it must be looked at again without any input.
     pub fn next_at(&self) -> Option<Nanos> {
-        self.again_at
+        self.retry_at
     }
 }
 
@@ -302,94 +306,99 @@
         Message { proxy: ProxyId(0), parts, mark, lines: 4.0, decided: Nanos(1) }
     }
 
-    fn ask(session: &mut Session, kind: Kind, nonce: Option<u64>, refused: Option<&str>) -> Option<Outcome> {
-        session.ask(Nanos(2), StreamRequest { kind, nonce, refused: refused.map(str::to_owned) })
+    fn request(
+        session: &mut Session,
+        kind: Kind,
+        nonce: Option<u64>,
+        rejected: Option<&str>,
+    ) -> Option<Outcome> {
+        session.handle_request(Nanos(2), StreamRequest { kind, nonce, rejected: rejected.map(str::to_owned) })
     }
 
-    fn asked() -> Session {
+    fn session_with_open_requests() -> Session {
         let mut session = Session::new(Nanos(0));
-        Kind::ALL.into_iter().for_each(|kind| assert_eq!(ask(&mut session, kind, None, None), None));
+        Kind::ALL.into_iter().for_each(|kind| assert_eq!(request(&mut session, kind, None, None), None));
         session
     }
 
     #[test]
     fn a_mark_is_answered_only_when_every_part_is_accepted() {
-        let mut session = asked();
-        session.offer(message(1, Some(7), true));
-        let answers = session.answers(Nanos(3), ResourceUpdate::default);
-        assert!(matches!(&answers[..], [Response::Resources { kind: Kind::Endpoints, nonce: 1, .. }]));
-        assert_eq!(session.state(), State::Owing);
-        assert!(session.answers(Nanos(3), ResourceUpdate::default).is_empty());
-        let accepted = ask(&mut session, Kind::Endpoints, Some(1), None);
+        let mut session = session_with_open_requests();
+        session.enqueue(message(1, Some(7), true));
+        let responses = session.responses(Nanos(3), ResourceUpdate::default);
+        assert!(matches!(&responses[..], [Response::Resources { kind: Kind::Endpoints, nonce: 1, .. }]));
+        assert_eq!(session.state(), State::AwaitingAck);
+        assert!(session.responses(Nanos(3), ResourceUpdate::default).is_empty());
+        let accepted = request(&mut session, Kind::Endpoints, Some(1), None);
         assert!(matches!(accepted, Some(Outcome::Applied { marks, .. }) if marks.is_empty()));
         // Only now the binding to that table; routes, asked for before it, are told to be as they were.
-        let answers = session.answers(Nanos(3), ResourceUpdate::default);
+        let responses = session.responses(Nanos(3), ResourceUpdate::default);
         assert!(matches!(
-            &answers[..],
+            &responses[..],
             [
                 Response::Unchanged { kind: Kind::Routes },
                 Response::Resources { kind: Kind::Clusters, nonce: 2, .. }
             ]
         ));
-        assert_eq!(ask(&mut session, Kind::Routes, None, None), None);
+        assert_eq!(request(&mut session, Kind::Routes, None, None), None);
         let applied = Outcome::Applied { marks: vec![7], decided: Some(Nanos(1)) };
-        assert_eq!(ask(&mut session, Kind::Clusters, Some(2), None), Some(applied));
-        assert_eq!(session.state(), State::Settled);
+        assert_eq!(request(&mut session, Kind::Clusters, Some(2), None), Some(applied));
+        assert_eq!(session.state(), State::Synced);
     }
 
     /// A proxy that stands still: what comes meanwhile waits, newer in the place of older.
     #[test]
     fn what_is_due_to_a_proxy_that_stands_still_does_not_grow() {
-        let mut session = asked();
-        session.offer(message(1, None, false));
-        assert_eq!(session.answers(Nanos(3), ResourceUpdate::default).len(), 1);
+        let mut session = session_with_open_requests();
+        session.enqueue(message(1, None, false));
+        assert_eq!(session.responses(Nanos(3), ResourceUpdate::default).len(), 1);
         for _ in 0..1000 {
-            session.offer(message(1, None, false));
-            assert!(session.answers(Nanos(4), ResourceUpdate::default).is_empty());
+            session.enqueue(message(1, None, false));
+            assert!(session.responses(Nanos(4), ResourceUpdate::default).is_empty());
         }
-        ask(&mut session, Kind::Endpoints, Some(1), None);
-        let answers = session.answers(Nanos(5), ResourceUpdate::default);
+        request(&mut session, Kind::Endpoints, Some(1), None);
+        let responses = session.responses(Nanos(5), ResourceUpdate::default);
         // Routes and clusters were still held: endpoints now stand behind them.
-        assert_eq!(answers.len(), 3);
-        assert!(matches!(&answers[2], Response::Resources { resources, .. } if resources.len() == 1));
+        assert_eq!(responses.len(), 3);
+        assert!(matches!(&responses[2], Response::Resources { resources, .. } if resources.len() == 1));
         assert_eq!(session.held_lines(), 0.0);
     }
 
     #[test]
     fn a_refusal_is_followed_by_a_wait_and_by_all_that_the_proxy_shall_hold() {
-        let mut session = asked();
-        session.offer(message(1, Some(3), false));
-        session.answers(Nanos(3), ResourceUpdate::default);
-        let refused = ask(&mut session, Kind::Endpoints, Some(1), Some("disk full"));
-        let again = Nanos(2) + AGAIN_FIRST;
+        let mut session = session_with_open_requests();
+        session.enqueue(message(1, Some(3), false));
+        session.responses(Nanos(3), ResourceUpdate::default);
+        let rejected = request(&mut session, Kind::Endpoints, Some(1), Some("disk full"));
+        let retry_at = Nanos(2) + RETRY_DELAY_MIN;
         assert_eq!(
-            refused,
-            Some(Outcome::Rejected { kind: Kind::Endpoints, cause: "disk full".into(), again_at: again })
+            rejected,
+            Some(Outcome::Rejected { kind: Kind::Endpoints, cause: "disk full".into(), retry_at })
         );
-        session.offer(message(2, None, false));
-        assert!(session.answers(again - Nanos(1), ResourceUpdate::default).is_empty());
-        let all = || message(9, None, true).parts;
-        let answers = session.answers(again, all);
-        assert!(matches!(&answers[0], Response::Unchanged { kind: Kind::Routes }));
-        assert!(matches!(&answers[2], Response::Resources { kind: Kind::Endpoints, nonce: 2, .. }));
-        assert!(answers.len() == 3 && session.state() == State::Owing);
+        session.enqueue(message(2, None, false));
+        assert!(session.responses(retry_at - Nanos(1), ResourceUpdate::default).is_empty());
+        let full_state = || message(9, None, true).parts;
+        let responses = session.responses(retry_at, full_state);
+        assert!(matches!(&responses[0], Response::Unchanged { kind: Kind::Routes }));
+        assert!(matches!(&responses[2], Response::Resources { kind: Kind::Endpoints, nonce: 2, .. }));
+        assert!(responses.len() == 3 && session.state() == State::AwaitingAck);
         for kind in [Kind::Routes, Kind::Clusters] {
-            ask(&mut session, kind, None, None);
+            request(&mut session, kind, None, None);
         }
         // The mark of what was refused is answered with what took its place.
-        let outcome = ask(&mut session, Kind::Endpoints, Some(2), None);
+        let outcome = request(&mut session, Kind::Endpoints, Some(2), None);
         assert!(matches!(outcome, Some(Outcome::Applied { marks, .. }) if marks == [3]));
-        let answers = session.answers(again, ResourceUpdate::default);
-        assert!(matches!(answers.last(), Some(Response::Resources { kind: Kind::Clusters, nonce: 3, .. })));
-        ask(&mut session, Kind::Clusters, Some(3), None);
-        assert_eq!(session.state(), State::Settled);
+        let responses = session.responses(retry_at, ResourceUpdate::default);
+        assert!(matches!(responses.last(), Some(Response::Resources { kind: Kind::Clusters, nonce: 3, .. })));
+        request(&mut session, Kind::Clusters, Some(3), None);
+        assert_eq!(session.state(), State::Synced);
     }
 
     #[test]
     fn an_answer_to_what_was_never_sent_counts_for_nothing() {
-        let mut session = asked();
+        let mut session = session_with_open_requests();
         assert_eq!(
-            ask(&mut session, Kind::Routes, Some(40), None),
+            request(&mut session, Kind::Routes, Some(40), None),
             Some(Outcome::UnknownNonce { kind: Kind::Routes })
         );
         assert!(!session.is_silent(Nanos::from_millis(2_000), Nanos::from_millis(100)));
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -36,17 +36,17 @@
 use crate::session::{Outcome, Response};
 
 const JSON: (HeaderName, &str) = (header::CONTENT_TYPE, "application/json");
-const SAVED: &str = "fleet/saved"; // the store's record of term, vote and history
-const FLUSH_MOST: Duration = Duration::from_millis(500); // ms; for the last answers to be written
-const LIST: &str = "roster"; // the store's record of the last list of servers
-const FOLLOWED: &str = "proxy/"; // the store's records of what each proxy last followed, by its name
-const FOLLOWED_MOST: usize = 65_536; // of these: as many as the decisions can tell proxies apart
-const DATAGRAMS: usize = 2; // the number under which the socket for datagrams is watched
-const DATAGRAMS_A_TURN: usize = 256;
-const ROSTER: usize = 1; // the number under which the roster's folder is watched
-const HANG_UP: i32 = 1; // SIGHUP
-const SETTINGS_MOST: u64 = 8 * 1024 * 1024; // bytes of settings that are read again, as at the start
-const PIPELINE: usize = 16; // requests taken ahead of their answers: three kinds, twice over, and some room
+const FLEET_STATE_RECORD: &str = "fleet/saved"; // the store's record of term, vote and history
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500); // ms; for the last answers to be written
+const ROSTER_RECORD: &str = "roster"; // the store's record of the last list of servers
+const FOLLOWED_PREFIX: &str = "proxy/"; // the store's records of what each proxy last followed, by its name
+const MAX_FOLLOWED_RECORDS: usize = 65_536; // of these: as many as the decisions can tell proxies apart
+const DATAGRAM_TOKEN: usize = 2; // the number under which the socket for datagrams is watched
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+const ROSTER_TOKEN: usize = 1; // the number under which the roster's folder is watched
+const SIGHUP: i32 = 1; // SIGHUP
+const MAX_SETTINGS_BYTES: u64 = 8 * 1024 * 1024; // bytes of settings that are read again, as at the start
+const MAX_PIPELINED_REQUESTS: usize = 16; // requests taken ahead of their answers: three kinds, twice over, and some room
 
 /// What ends the program.
 #[derive(Debug)]
@@ -62,10 +62,10 @@
     }
 }
 
-enum Due {
+enum Timer {
     Turn,
     /// The ledger is written.
-    Keep,
+    WriteLedger,
     Sweep,
 }
 
@@ -76,13 +76,13 @@
     joined: bool,
     from: SocketAddr,
     /// Requests whose answers are still to be written, in order.
-    asked: VecDeque<Kind>,
+    requests: VecDeque<Kind>,
 }
 
 pub struct Shell {
     settings: CoordinatorSettings,
     folder: PathBuf,
-    reactor: Reactor<Due>,
+    reactor: Reactor<Timer>,
     engine: Engine,
     listener: ListenerId,
     peers: BTreeMap<ConnId, Peer>,
@@ -94,7 +94,7 @@
     next_stream: u64,
     turn_at: Option<Nanos>,
     read_roster: bool,
-    shared: Option<SharedEnd>,
+    shared: Option<FleetIo>,
     ledger: Option<LedgerFile>,
     /// Read again when asked to.
     file: Option<PathBuf>,
@@ -102,7 +102,7 @@
 }
 
 /// What a shared fleet needs: the store, and a socket for datagrams.
-struct SharedEnd {
+struct FleetIo {
     store: Store,
     socket: UdpSocket,
     members: BTreeMap<String, SocketAddr>,
@@ -110,17 +110,17 @@
 
 const DISK: RealDisk = RealDisk { sync: true };
 
-impl SharedEnd {
+impl FleetIo {
     fn open(settings: &SharedSettings, folder: &Path) -> io::Result<Self> {
         let store = Store::open(&folder.join(&settings.store)).map_err(io::Error::other)?;
         let socket = UdpSocket::bind(settings.datagrams)?;
         socket.set_nonblocking(true)?;
         let members = settings.members.iter().map(|member| (member.name.clone(), member.datagrams)).collect();
-        Ok(SharedEnd { store, socket, members })
+        Ok(FleetIo { store, socket, members })
     }
 
     fn saved(&self) -> io::Result<Saved> {
-        match self.store.get(SAVED) {
+        match self.store.get(FLEET_STATE_RECORD) {
             Some(text) => serde_json::from_slice(text).map_err(io::Error::other),
             None => Ok(Saved::default()),
         }
@@ -128,20 +128,22 @@
 
     fn save(&mut self, saved: &Saved) -> Result<(), StoreError> {
         let text = serde_json::to_vec(saved).unwrap_or_default();
-        self.store.put(&[(SAVED, Some(&text))])
+        self.store.put(&[(FLEET_STATE_RECORD, Some(&text))])
     }
 
-    fn keep(&mut self, followed: &[(String, String)]) -> Result<(), StoreError> {
-        let known = self.store.with_prefix(FOLLOWED).count();
-        let room = FOLLOWED_MOST.saturating_sub(known);
-        let named: Vec<(String, &str)> =
-            followed.iter().map(|(name, version)| (format!("{FOLLOWED}{name}"), version.as_str())).collect();
-        let fits = named
+    fn save_followed(&mut self, followed: &[(String, String)]) -> Result<(), StoreError> {
+        let record_count = self.store.with_prefix(FOLLOWED_PREFIX).count();
+        let room = MAX_FOLLOWED_RECORDS.saturating_sub(record_count);
+        let named: Vec<(String, &str)> = followed
+            .iter()
+            .map(|(name, version)| (format!("{FOLLOWED_PREFIX}{name}"), version.as_str()))
+            .collect();
+        let retained = named
             .iter()
             .filter(|(name, _)| self.store.get(name).is_some())
             .chain(named.iter().filter(|(name, _)| self.store.get(name).is_none()).take(room));
         let changes: Vec<(&str, Option<&[u8]>)> =
-            fits.map(|(name, version)| (name.as_str(), Some(version.as_bytes()))).collect();
+            retained.map(|(name, version)| (name.as_str(), Some(version.as_bytes()))).collect();
         self.store.put(&changes)
     }
 
@@ -168,7 +170,7 @@
         let roster = folder.join(&settings.roster.file);
         let mut watch = FolderWatch::new()?;
         watch.add(roster.parent().unwrap_or(folder))?;
-        reactor.watch(&watch, ROSTER)?;
+        reactor.watch(&watch, ROSTER_TOKEN)?;
         if let Some(path) = &settings.roster.remembered {
             match fs::read(folder.join(path)) {
                 Ok(text) => match engine.load_saved_roster(now, &text) {
@@ -180,19 +182,20 @@
                 Err(cause) => debug!(file = %path.display(), %cause, "no list is kept"),
             }
         }
-        let shared = settings.shared.as_ref().map(|shared| SharedEnd::open(shared, folder)).transpose()?;
+        let shared = settings.shared.as_ref().map(|shared| FleetIo::open(shared, folder)).transpose()?;
         let mut datagrams = None;
         if let Some(shared) = &shared {
             let saved = shared.saved()?;
             engine.join_fleet(&settings, saved, seed, now);
-            for (_, version) in shared.store.with_prefix(FOLLOWED) {
+            for (_, version) in shared.store.with_prefix(FOLLOWED_PREFIX) {
                 engine.note_followed_version(&String::from_utf8_lossy(version));
             }
-            if let Some(Err(refusal)) = shared.store.get(LIST).map(|list| engine.load_saved_roster(now, list))
+            if let Some(Err(refusal)) =
+                shared.store.get(ROSTER_RECORD).map(|list| engine.load_saved_roster(now, list))
             {
                 warn!(cause = %refusal, "the list in the store is of no use");
             }
-            reactor.watch(&shared.socket, DATAGRAMS)?;
+            reactor.watch(&shared.socket, DATAGRAM_TOKEN)?;
             datagrams = Some(shared.socket.local_addr()?.to_string());
         }
         let (listener, address) = reactor.listen(settings.listen)?;
@@ -202,11 +205,11 @@
             replace(&DISK, &folder.join(path), text.to_string().as_bytes())?;
         }
         info!(coordinator = %settings.name, %address, "listening");
-        reactor.set_timer(now, Due::Sweep);
+        reactor.set_timer(now, Timer::Sweep);
         let ledger = settings.ledger.as_ref();
         let ledger = ledger.map(|ledger| LedgerFile::new(folder.join(&ledger.file), ledger));
         if ledger.is_some() {
-            reactor.set_timer(now, Due::Keep);
+            reactor.set_timer(now, Timer::WriteLedger);
         }
         Ok(Shell {
             ledger,
@@ -247,7 +250,7 @@
 
     fn reload(&mut self) {
         let Some(file) = &self.file else { return };
-        let text = match read_regular_file(file, SETTINGS_MOST) {
+        let text = match read_regular_file(file, MAX_SETTINGS_BYTES) {
             Ok(text) => text,
             Err(cause) => return error!(%cause, "the settings cannot be read; the old ones stand"),
         };
@@ -256,13 +259,13 @@
             Err(problems) => return error!(%problems, "the settings are not in order; the old ones stand"),
         };
         let now = self.reactor.now();
-        if let (Some(shared), Some(news)) = (&mut self.shared, &fresh.shared) {
-            let named = news.members.iter().map(|member| (member.name.clone(), member.datagrams));
+        if let (Some(shared), Some(fresh_shared)) = (&mut self.shared, &fresh.shared) {
+            let named = fresh_shared.members.iter().map(|member| (member.name.clone(), member.datagrams));
             shared.members = named.collect();
-            self.engine.set_members(now, news.members.iter().map(|member| member.name.clone()));
+            self.engine.set_members(now, fresh_shared.members.iter().map(|member| member.name.clone()));
             info!(members = shared.members.len(), "took the members that the settings name");
         }
-        let members_aside = |settings: &CoordinatorSettings| {
+        let without_members = |settings: &CoordinatorSettings| {
             let mut rest = settings.clone();
             rest.fleet.coordinators = 0;
             rest.listen = self.settings.listen;
@@ -271,7 +274,7 @@
             }
             rest
         };
-        if members_aside(&fresh) != members_aside(&self.settings) {
+        if without_members(&fresh) != without_members(&self.settings) {
             warn!("other settings have changed too: they count with the next start");
         }
         self.settings.shared = fresh.shared.or(self.settings.shared.take());
@@ -286,7 +289,7 @@
                     self.write_ledger();
                     self.reactor.close_listener(self.listener);
                     self.peers.keys().for_each(|conn| self.reactor.close_gracefully(*conn));
-                    if let Err(cause) = self.reactor.flush(FLUSH_MOST) {
+                    if let Err(cause) = self.reactor.flush(FLUSH_TIMEOUT) {
                         warn!(%cause, "the last answers could not be written");
                     }
                     return ExitReason::Signalled;
@@ -300,36 +303,36 @@
     pub fn run_once(&mut self) -> io::Result<bool> {
         self.turn();
         self.reactor.poll(None)?;
-        while let Some(happened) = self.reactor.next_event() {
-            match happened {
+        while let Some(event) = self.reactor.next_event() {
+            match event {
                 ReactorEvent::Accepted { conn, from, .. } => {
                     self.next_stream += 1;
                     let limits =
                         HttpLimits { body: self.settings.streams.request_bytes, ..HttpLimits::default() };
                     let reader = RequestReader::new(limits);
-                    let (stream, asked) = (StreamId(self.next_stream), VecDeque::new());
-                    self.peers.insert(conn, Peer { reader, stream, joined: false, from, asked });
+                    let (stream, requests) = (StreamId(self.next_stream), VecDeque::new());
+                    self.peers.insert(conn, Peer { reader, stream, joined: false, from, requests });
                 }
-                ReactorEvent::Connected { conn } => self.ask_probe(conn),
-                ReactorEvent::Received { conn } if self.probes.has(conn) => self.read_probe(conn, false),
+                ReactorEvent::Connected { conn } => self.send_probe(conn),
+                ReactorEvent::Received { conn } if self.probes.contains(conn) => self.read_probe(conn, false),
                 ReactorEvent::Received { conn } => self.read(conn),
                 ReactorEvent::Flushed { .. } => {}
                 ReactorEvent::Closed { conn, cause } => {
-                    if self.probes.has(conn) {
+                    if self.probes.contains(conn) {
                         self.end_probe(conn, ProbeOutcome::Failed, None);
                     } else {
-                        self.gone(conn, &format!("{cause:?}"));
+                        self.drop_peer(conn, &format!("{cause:?}"));
                     }
                 }
-                ReactorEvent::Timer(Due::Turn) => self.turn_at = None,
-                ReactorEvent::Timer(Due::Sweep) => self.sweep(),
-                ReactorEvent::Timer(Due::Keep) => self.keep_ledger(),
-                ReactorEvent::Ready(DATAGRAMS) => self.read_datagrams(),
+                ReactorEvent::Timer(Timer::Turn) => self.turn_at = None,
+                ReactorEvent::Timer(Timer::Sweep) => self.sweep(),
+                ReactorEvent::Timer(Timer::WriteLedger) => self.write_ledger_and_reschedule(),
+                ReactorEvent::Ready(DATAGRAM_TOKEN) => self.read_datagrams(),
                 ReactorEvent::Ready(_) => {
                     self.watch.changes()?;
                     self.read_roster = true;
                 }
-                ReactorEvent::Signal(HANG_UP) => {
+                ReactorEvent::Signal(SIGHUP) => {
                     self.read_roster = true;
                     self.reload();
                 }
@@ -346,12 +349,14 @@
     fn turn(&mut self) {
         let now = self.reactor.now();
         if std::mem::take(&mut self.read_roster) || self.engine.roster_due(now) {
-            self.take_roster(now);
+            self.load_roster(now);
         }
         let mut unsaved = false;
         for output in self.engine.turn(now) {
             match output {
-                Output::Respond { stream, response, version } => self.answer(stream, response, &version),
+                Output::Respond { stream, response, version } => {
+                    self.send_response(stream, response, &version)
+                }
                 Output::CloseStream { stream, cause } => {
                     if let Some(conn) = self.conns.remove(&stream) {
                         warn!(stream = stream.0, %cause, "breaking a stream");
@@ -361,7 +366,7 @@
                 }
                 Output::Probe { server } => self.begin_probe(now, server),
                 Output::ReadRoster => self.read_roster = true,
-                Output::Redirect { stream, to } => self.send_on(stream, &to),
+                Output::Redirect { stream, to } => self.redirect_stream(stream, &to),
                 Output::SaveFleetState(saved) => {
                     let Some(shared) = &mut self.shared else { continue };
                     if let Err(cause) = shared.save(&saved) {
@@ -371,7 +376,9 @@
                     }
                 }
                 Output::SaveFollowed(followed) => {
-                    if let Some(Err(cause)) = self.shared.as_mut().map(|shared| shared.keep(&followed)) {
+                    if let Some(Err(cause)) =
+                        self.shared.as_mut().map(|shared| shared.save_followed(&followed))
+                    {
                         warn!(%cause, "what proxies followed cannot be kept");
                     }
                 }
@@ -398,15 +405,15 @@
         let at = if self.read_roster { now } else { self.engine.next_at() };
         if self.turn_at.is_none_or(|set| at < set) {
             self.turn_at = Some(at);
-            self.reactor.set_timer(at, Due::Turn);
+            self.reactor.set_timer(at, Timer::Turn);
         }
     }
 
-    fn keep_ledger(&mut self) {
+    fn write_ledger_and_reschedule(&mut self) {
         self.write_ledger();
         if let Some(settings) = &self.settings.ledger {
             let at = self.reactor.now() + settings.every.0;
-            self.reactor.set_timer(at, Due::Keep);
+            self.reactor.set_timer(at, Timer::WriteLedger);
         }
     }
 
@@ -419,7 +426,7 @@
         }
     }
 
-    fn take_roster(&mut self, now: Nanos) {
+    fn load_roster(&mut self, now: Nanos) {
         let text = match self.source.read() {
             Ok(text) => text,
             Err(cause) => {
@@ -434,7 +441,7 @@
                 info!(changed, "took a list of servers");
                 notes.iter().for_each(|note| warn!(note, "set right in the list of servers"));
                 if let Some(shared) = &mut self.shared {
-                    if let Err(cause) = shared.store.put(&[(LIST, Some(&text))]) {
+                    if let Err(cause) = shared.store.put(&[(ROSTER_RECORD, Some(&text))]) {
                         warn!(%cause, "the list cannot be kept in the store");
                     }
                 }
@@ -444,19 +451,19 @@
                     }
                 }
             }
-            Err(RosterError::Short { until, .. }) if now < until => {
+            Err(RosterError::Shrunk { until, .. }) if now < until => {
                 warn!("the list is suddenly short; waiting")
             }
             Err(refusal) => warn!(cause = %refusal, "the list of servers is refused; the old one stands"),
         }
     }
 
-    fn answer(&mut self, stream: StreamId, answer: Response, version: &str) {
+    fn send_response(&mut self, stream: StreamId, answer: Response, version: &str) {
         let Some(conn) = self.conns.get(&stream).copied() else { return };
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         let chunks = match answer {
             Response::Resources { kind, nonce, resources } => {
-                peer.asked.pop_front();
+                peer.requests.pop_front();
                 debug!(
                     proxy = self.engine.proxy_name(stream),
                     kind = ?kind,
@@ -472,18 +479,18 @@
                 )
             }
             Response::Unchanged { .. } => {
-                peer.asked.pop_front();
+                peer.requests.pop_front();
                 vec![response(StatusCode::NOT_MODIFIED, &[], b"")]
             }
         };
         if self.reactor.send(conn, chunks).is_err() {
-            self.gone(conn, "more would wait than may");
+            self.drop_peer(conn, "more would wait than may");
             self.reactor.close(conn);
         }
     }
 
     /// A peer's connection is of no more use.
-    fn gone(&mut self, conn: ConnId, cause: &str) {
+    fn drop_peer(&mut self, conn: ConnId, cause: &str) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         if peer.joined {
             info!(proxy = self.engine.proxy_name(peer.stream), cause, "a stream ended");
@@ -493,13 +500,13 @@
     }
 
     /// Answers and closes: what the peer said cannot be gone on from.
-    fn turn_down(&mut self, conn: ConnId, status: StatusCode, cause: &str) {
+    fn reject(&mut self, conn: ConnId, status: StatusCode, cause: &str) {
         if let Some(peer) = self.peers.get(&conn) {
             warn!(from = %peer.from, %status, cause, "turned down");
         }
         let headers = [(header::CONTENT_TYPE, "text/plain"), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(status, &headers, cause.as_bytes())]);
-        self.gone(conn, cause);
+        self.drop_peer(conn, cause);
         self.reactor.close_gracefully(conn);
     }
 
@@ -511,7 +518,7 @@
             match peer.reader.next(input, now) {
                 Ok(Some(message)) => self.serve(conn, now, &message),
                 Ok(None) => break,
-                Err(wrong) => return self.turn_down(conn, wrong.status(), &wrong.to_string()),
+                Err(error) => return self.reject(conn, error.status(), &error.to_string()),
             }
         }
         self.reactor.input_consumed(conn);
@@ -553,31 +560,31 @@
 
     fn reply(&mut self, conn: ConnId, status: StatusCode, body: &[u8]) {
         // Answers come in the order of their requests: one in between held requests would take another's place.
-        if self.peers.get(&conn).is_some_and(|peer| !peer.asked.is_empty()) {
-            return self.turn_down(
+        if self.peers.get(&conn).is_some_and(|peer| !peer.requests.is_empty()) {
+            return self.reject(
                 conn,
                 StatusCode::BAD_REQUEST,
                 "a stream's connection is for discovery alone",
             );
         }
         if self.reactor.send(conn, [response(status, &[JSON], body)]).is_err() {
-            self.gone(conn, "more would wait than may");
+            self.drop_peer(conn, "more would wait than may");
             self.reactor.close(conn);
         }
     }
 
     fn discovery(&mut self, conn: ConnId, now: Nanos, kind: Kind, body: &[u8]) {
         let Some(peer) = self.peers.get_mut(&conn) else { return };
-        let asked: DiscoveryRequest = match serde_json::from_slice(body) {
-            Ok(asked) => asked,
-            Err(cause) => return self.turn_down(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
+        let requests: DiscoveryRequest = match serde_json::from_slice(body) {
+            Ok(requests) => requests,
+            Err(cause) => return self.reject(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
-        if peer.asked.len() >= PIPELINE || peer.asked.contains(&kind) {
-            return self.turn_down(conn, StatusCode::TOO_MANY_REQUESTS, "that kind is asked for already");
+        if peer.requests.len() >= MAX_PIPELINED_REQUESTS || peer.requests.contains(&kind) {
+            return self.reject(conn, StatusCode::TOO_MANY_REQUESTS, "that kind is asked for already");
         }
         let (stream, first) = (peer.stream, !peer.joined);
-        peer.asked.push_back(kind);
-        match self.engine.handle_request(now, stream, kind, asked) {
+        peer.requests.push_back(kind);
+        match self.engine.handle_request(now, stream, kind, requests) {
             Ok(outcome) => {
                 if first {
                     peer.joined = true;
@@ -602,43 +609,43 @@
                     None => {}
                 }
             }
-            Err(RequestError::Elsewhere(to)) => self.point_to(conn, &to),
+            Err(RequestError::Elsewhere(to)) => self.redirect(conn, &to),
             Err(refused @ RequestError::NoKnownOwner) => {
-                let again = [(header::RETRY_AFTER, "1"), (header::CONNECTION, "close")];
+                let headers = [(header::RETRY_AFTER, "1"), (header::CONNECTION, "close")];
                 let text = refused.to_string();
                 let _ = self
                     .reactor
-                    .send(conn, [response(StatusCode::SERVICE_UNAVAILABLE, &again, text.as_bytes())]);
-                self.gone(conn, &text);
+                    .send(conn, [response(StatusCode::SERVICE_UNAVAILABLE, &headers, text.as_bytes())]);
+                self.drop_peer(conn, &text);
                 self.reactor.close_gracefully(conn);
             }
-            Err(refused) => self.turn_down(conn, StatusCode::BAD_REQUEST, &refused.to_string()),
+            Err(refused) => self.reject(conn, StatusCode::BAD_REQUEST, &refused.to_string()),
         }
     }
 
     /// Answers what is asked with the place of the coordinator in charge, by its name, and ends the connection.
-    fn point_to(&mut self, conn: ConnId, to: &str) {
+    fn redirect(&mut self, conn: ConnId, to: &str) {
         let place = format!("http://{to}{}", Kind::Endpoints.path());
         let headers = [(header::LOCATION, place.as_str()), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(StatusCode::TEMPORARY_REDIRECT, &headers, b"")]);
-        self.gone(conn, "another coordinator is in charge");
+        self.drop_peer(conn, "another coordinator is in charge");
         self.reactor.close_gracefully(conn);
     }
 
-    fn send_on(&mut self, stream: StreamId, to: &str) {
+    fn redirect_stream(&mut self, stream: StreamId, to: &str) {
         let Some(conn) = self.conns.remove(&stream) else { return };
         debug!(stream = stream.0, to, "sending on to the one in charge");
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.joined = false;
         }
-        self.point_to(conn, to);
+        self.redirect(conn, to);
     }
 
     fn read_datagrams(&mut self) {
         let now = self.reactor.now();
         let Some(shared) = &self.shared else { return };
         let mut buffer = vec![0; wire::LARGEST + 1];
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match shared.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => {
                     if let Err(cause) = self.engine.handle_datagram(now, &buffer[..length]) {
@@ -655,12 +662,12 @@
     fn load_report(&mut self, conn: ConnId, now: Nanos, body: &[u8]) {
         let report: LoadStatsRequest = match serde_json::from_slice(body) {
             Ok(report) => report,
-            Err(cause) => return self.turn_down(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
+            Err(cause) => return self.reject(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
         match self.engine.handle_load_report(now, &report) {
             Ok(()) => {}
             Err(ReportError::Repeated) => debug!("a report came again"),
-            Err(unheard) => warn!(?unheard, "a report was not counted whole"),
+            Err(error) => warn!(unheard = ?error, "a report was not counted whole"),
         }
         let wanted = LoadStatsResponse {
             send_all_clusters: true,
@@ -681,16 +688,16 @@
             .map(|(c, _)| *c)
             .collect();
         for conn in slow {
-            self.turn_down(conn, StatusCode::REQUEST_TIMEOUT, "the request did not come whole in time");
+            self.reject(conn, StatusCode::REQUEST_TIMEOUT, "the request did not come whole in time");
         }
-        let mute: Vec<ConnId> = self
+        let stalled: Vec<ConnId> = self
             .peers
             .keys()
             .filter(|conn| self.reactor.write_stalled_for(**conn) > stuck)
             .copied()
             .collect();
-        for conn in mute {
-            self.gone(conn, "the peer does not read");
+        for conn in stalled {
+            self.drop_peer(conn, "the peer does not read");
             self.reactor.close(conn);
         }
         for conn in self.probes.overdue(now) {
@@ -698,7 +705,7 @@
             self.reactor.close(conn);
         }
         let next = [Some(now + Nanos(within.0 / 4)), self.probes.next_at()].into_iter().flatten().min();
-        self.reactor.set_timer(next.unwrap_or(now).max(now + Nanos::from_millis(20)), Due::Sweep);
+        self.reactor.set_timer(next.unwrap_or(now).max(now + Nanos::from_millis(20)), Timer::Sweep);
     }
 
     fn begin_probe(&mut self, now: Nanos, server: ServerId) {
@@ -709,10 +716,10 @@
             server.0.parse().map_err(io::Error::other).and_then(|at: SocketAddr| self.reactor.connect(at));
         match conn {
             Ok(conn) => {
-                self.probes.begin(now, conn, server);
+                self.probes.start(now, conn, server);
                 let limits = HttpLimits { body: 64 * 1024, ..HttpLimits::default() };
                 self.probe_readers.insert(conn, ResponseReader::new(limits));
-                self.reactor.set_timer(now + self.settings.probes.time_out.0, Due::Sweep);
+                self.reactor.set_timer(now + self.settings.probes.time_out.0, Timer::Sweep);
             }
             Err(cause) => {
                 debug!(server = %server.0, %cause, "a probe cannot be sent");
@@ -721,11 +728,11 @@
         }
     }
 
-    fn ask_probe(&mut self, conn: ConnId) {
+    fn send_probe(&mut self, conn: ConnId) {
         let Some(server) = self.probes.server(conn) else { return };
         let headers = [(header::CONNECTION, "close")];
-        let asked = request(&Method::GET, &self.settings.probes.path, &server.0, &headers, b"");
-        let _ = self.reactor.send(conn, [asked]);
+        let requests = request(&Method::GET, &self.settings.probes.path, &server.0, &headers, b"");
+        let _ = self.reactor.send(conn, [requests]);
     }
 
     fn read_probe(&mut self, conn: ConnId, ended: bool) {
@@ -737,7 +744,7 @@
         match reader.next(input, ended, now) {
             Ok(Some(answer)) => {
                 let report = answer.headers().get(orca::HEADER).and_then(|value| value.to_str().ok());
-                self.end_probe(conn, probes::outcome(answer.status()), report);
+                self.end_probe(conn, probes::outcome_of(answer.status()), report);
                 self.reactor.close(conn);
             }
             Ok(None) => {}
@@ -750,9 +757,9 @@
 
     fn end_probe(&mut self, conn: ConnId, outcome: ProbeOutcome, report: Option<&str>) {
         self.probe_readers.remove(&conn);
-        if let Some((server, took)) = self.probes.end(self.reactor.now(), conn) {
+        if let Some((server, took)) = self.probes.finish(self.reactor.now(), conn) {
             debug!(server = %server.0, ?outcome, "probed");
-            self.engine.handle_probe_result(server, outcome, took, probes::load(report));
+            self.engine.handle_probe_result(server, outcome, took, probes::load_report(report));
         }
     }
 }
--- a/crates/craneknot-coordinator/src/weights.rs
+++ b/crates/craneknot-coordinator/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weights' solver as the settings have it, and its words for zones, kinds and classes.
+//! Settings of the weight solver, and the names of zones, kinds and classes for its explanations.
 
 use craneknot::interface::{ClassSettings, KindId, Settings, ZoneId};
 use craneknot_settings::{CoordinatorSettings, Names, RuleSettings, SolverSettings};
@@ -6,14 +6,14 @@
 use craneknot_solver::explain;
 use craneknot_solver::steer;
 
-/// What a solver is told at its start.
+/// The solver's settings for a coordinator.
 pub fn solver_settings(settings: &CoordinatorSettings, decisions: &Settings) -> steer::Settings {
     let solver = settings.solver.clone().unwrap_or_default();
     let (zones, classes) = (&settings.fleet.zones, decisions.classes.clone());
     solver_settings_for_zones(&solver, zones, classes, &settings.rules, decisions.proxies)
 }
 
-/// The same without a coordinator.
+/// The solver's settings from their parts, without a coordinator.
 pub fn solver_settings_for_zones(
     solver: &SolverSettings,
     zones: &[String],
@@ -32,7 +32,7 @@
     }
 }
 
-/// Names as a coordinator has them.
+/// A coordinator's names of zones, kinds and classes, for the solver's explanations.
 pub struct SolverNames<'a>(pub &'a Names);
 
 impl explain::Names for SolverNames<'_> {
