--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -1,5 +1,6 @@
-//! The coordinator without I/O: what came in goes to the decisions, their orders to the book, the channel and the
-//! streams. The owner hands in what its sockets brought, calls [`Desk::turn`], and carries out what comes back.
+//! The coordinator without I/O: passes events to the decisions, and their orders to the resource cache, the channel
+//! and the streams. The owner passes in what its sockets received, calls [`Engine::turn`], and carries out the
+//! outputs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -28,18 +29,18 @@
 use crate::session::{Outcome, Response, Session, StreamRequest};
 use crate::weights;
 
-const MAX_RESOURCE_NAMES: usize = 1_024; // resources one request may name: more than any proxy follows
-const MAX_USUAL_RATE: f64 = 1e6; // operations a second that a proxy may say it usually gets
-const OWNER_UNKNOWN_TIMEOUT: Nanos = Nanos::from_millis(1_000); // ms; a stream no one knows to be in our charge ends after it: elsewhere it may be served
-const MAX_APPLY_DELAYS: usize = 65_536; // spans from decision to swap kept for the figures
+const MAX_RESOURCE_NAMES: usize = 1_024; // in one request; more than any proxy subscribes to
+const MAX_USUAL_RATE: f64 = 1e6; // operations a second, as reported by a proxy
+const OWNER_UNKNOWN_TIMEOUT: Nanos = Nanos::from_millis(1_000); // then the stream is closed, since another coordinator may serve it
+const MAX_APPLY_DELAYS: usize = 65_536; // the newest ones, for the percentiles in the status
 
-/// A stream, by the owner's number.
+/// A stream's id, assigned by the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
-/// Who decides: the decisions of this program, or others that are tried in their place.
+/// Makes the decisions: those of this program, or others that are tested in their place.
 pub trait Decider: Send {
-    /// Takes in what has come and gives the orders of this moment.
+    /// Processes the events and returns the orders of this step.
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order>;
 }
 
@@ -49,7 +50,7 @@
     }
 }
 
-/// What the owner is to do.
+/// An action for the owner to carry out.
 #[derive(Debug)]
 pub enum Output {
     Respond {
@@ -57,7 +58,7 @@
         response: Response,
         version: String,
     },
-    /// End the stream.
+    /// Close the stream.
     CloseStream {
         stream: StreamId,
         cause: String,
@@ -65,36 +66,36 @@
     Probe {
         server: ServerId,
     },
-    /// Read the roster again.
+    /// Read the server list again.
     ReadRoster,
-    /// End the stream: that coordinator is in charge of its proxy.
+    /// Close the stream and redirect its proxy to the coordinator responsible for it.
     Redirect {
         stream: StreamId,
         to: String,
     },
-    /// To be on the disk before what follows is sent.
+    /// Save this state durably before any later output is sent.
     SaveFleetState(Saved),
-    /// What proxies have followed, by name: to be kept when there is time.
+    /// The versions that proxies follow, by proxy name; to be saved, with no need to wait for it.
     SaveFollowed(Vec<(String, String)>),
-    /// To a fellow coordinator, by its name.
+    /// Send a datagram to another coordinator, by its name.
     Datagram {
         to: String,
         text: Vec<u8>,
     },
 }
 
-/// Why a request is not taken.
+/// Why a request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// It has a first request without a node.
+    /// The first request of the stream has no node.
     NoNode,
     UnknownZone(String),
     TooManyNames(usize),
     NoProxyIdLeft,
     OtherKind(String),
-    /// That coordinator is in charge of the proxy.
+    /// This coordinator is responsible for the proxy.
     Elsewhere(String),
-    /// No one is known to be in charge of the proxy now.
+    /// No coordinator is currently known to be responsible for the proxy.
     NoKnownOwner,
 }
 
@@ -102,14 +103,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             RequestError::NoNode => write!(f, "the first request of a stream must name its node"),
-            RequestError::UnknownZone(zone) => write!(f, "zone {zone:?} is not one of the fleet's"),
+            RequestError::UnknownZone(zone) => write!(f, "zone {zone:?} is not in the fleet's settings"),
             RequestError::TooManyNames(count) => {
-                write!(f, "{count} resource names; {MAX_RESOURCE_NAMES} at most")
+                write!(f, "{count} resource names exceed the limit of {MAX_RESOURCE_NAMES}")
             }
-            RequestError::NoProxyIdLeft => write!(f, "no more proxies can be told apart"),
-            RequestError::Elsewhere(to) => write!(f, "{to} is in charge of this proxy"),
+            RequestError::NoProxyIdLeft => write!(f, "all proxy ids are in use"),
+            RequestError::Elsewhere(to) => write!(f, "coordinator {to} is responsible for this proxy"),
             RequestError::NoKnownOwner => {
-                write!(f, "no coordinator is known to be in charge of this proxy now")
+                write!(f, "no coordinator is currently known to be responsible for this proxy")
             }
             RequestError::OtherKind(kind) => write!(f, "type {kind:?} does not belong to this path"),
         }
@@ -120,14 +121,15 @@
     proxy: ProxyId,
     zone: ZoneId,
     session: Session,
-    /// Since when it is not known to be in our charge.
+    /// Since when the coordinator responsible for its proxy is unknown.
     owner_unknown_since: Option<Nanos>,
-    /// Prints of what the proxy held when it joined, until we have ordered it: by table its lines and levels.
+    /// Fingerprints of the resources that the proxy held when it joined, each removed at the first order for it: lines
+    /// and levels by table.
     held_prints: BTreeMap<String, (String, String)>,
 }
 
 impl Stream {
-    /// Whether the proxy holds that text already; asked once, since from then on it holds what we sent.
+    /// Whether the proxy already holds that text. Checked only once, since afterwards it holds what we sent.
     fn already_holds(&mut self, table: &str, kind: Kind, print: impl FnOnce() -> String) -> bool {
         let Some(prints) = self.held_prints.get_mut(table) else { return false };
         let held = match kind {
@@ -139,7 +141,7 @@
     }
 }
 
-/// Figures for `status`.
+/// The figures of the status page.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Status {
     pub name: String,
@@ -150,15 +152,15 @@
     pub servers: usize,
     pub roster_version: u64,
     pub tables: usize,
-    /// Lines in the channel, and the most that ever were.
+    /// Lines queued in the channel, their highest number so far, and the limit.
     pub channel_lines: f64,
     pub channel_most: f64,
     pub channel_limit: f64,
-    /// Lines that wait for proxies that have not answered.
+    /// Lines that have left the channel and wait for proxies with unacknowledged responses.
     pub held_lines: f64,
     pub messages: u64,
     pub lines: f64,
-    /// Texts of tables and levels made, their bytes, and the bytes sent of all resources.
+    /// Encoded texts of tables and levels, their bytes, and the bytes of all resources sent.
     pub texts: u64,
     pub bytes_made: u64,
     pub bytes_sent: u64,
@@ -166,33 +168,34 @@
     pub refusals: u64,
     pub reports_repeated: u64,
     pub reports_left_out: u64,
-    /// From decision to accepted answer, ms: half of them, 99 of 100, and the longest.
+    /// From the decision to its acknowledgement, in ms: median, 99th percentile and maximum.
     pub decided_to_swapped_ms: Option<(f64, f64, f64)>,
-    /// Where the fleet is shared.
+    /// Present where coordinators share a fleet.
     pub shared: Option<Shared>,
 }
 
-/// This coordinator's part in a shared fleet.
+/// This coordinator's state in a shared fleet.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Shared {
     pub role: String,
     pub term: u64,
     pub leader: Option<String>,
-    /// The newest view that is certain, and who shares the proxies in it.
+    /// The epoch of the newest committed view, and the members that share the proxies in it.
     pub epoch: u64,
     pub members: Vec<String>,
     pub alive: Vec<String>,
-    /// Those whose votes count.
+    /// The members that vote.
     pub voters: Vec<String>,
-    /// The epoch acted on, whether all of it is settled, and how long the lease lasts, ms.
+    /// The epoch of the lease, whether it is settled completely, and the lease's remaining time in ms.
     pub lease: Option<(u64, bool, f64)>,
     pub datagrams_sent: u64,
     pub saves: u64,
     pub sent_on: u64,
-    /// What proxies held already when they joined, and so was not sent: parts, lines, bytes.
+    /// Not sent, since proxies already held it when they joined: parts, lines, bytes.
     pub spared: (u64, f64, u64),
 }
 
+/// The coordinator's state, without sockets and files.
 pub struct Engine {
     decider: Box<dyn Decider>,
     settings: Settings,
@@ -212,23 +215,23 @@
     outputs: Vec<Output>,
     wake_at: Option<Nanos>,
     flush_at: Nanos,
-    /// Streams that something may be due to.
+    /// Streams that may have something to be sent.
     ready_streams: BTreeSet<StreamId>,
     step_count: u64,
     apply_delays: VecDeque<Nanos>,
     messages: u64,
     lines: f64,
     refusals: u64,
-    /// Streams not known to be in our charge, and the view by which all were looked at last.
+    /// The number of streams whose responsible coordinator is unknown, and the epoch at the last check of all streams.
     unowned_streams: usize,
     checked_epoch: Option<Epoch>,
-    /// Until then no stream can count as silent.
+    /// No stream can count as silent before this time.
     silent_after: Nanos,
     bytes_sent: u64,
     fleet: Option<Member>,
-    /// What proxies have accepted since it was last kept.
+    /// Versions that proxies have accepted since they were last saved.
     accepted_versions: BTreeMap<ProxyId, String>,
-    /// Parts, lines and bytes that proxies held already.
+    /// Parts, lines and bytes not sent, since proxies already held them.
     skipped: (u64, f64, u64),
     datagrams: u64,
     saves: u64,
@@ -236,12 +239,12 @@
 }
 
 impl Engine {
-    /// `seed` is that of the decisions' random numbers; `now` also tells this start from earlier ones.
+    /// `seed` seeds the decisions' random numbers; `now` also distinguishes this start from earlier ones.
     pub fn new(settings: &CoordinatorSettings, seed: u64, now: Nanos) -> Self {
         Self::with_decider(settings, now, |decisions| Box::new(Controller::new(decisions.clone(), seed, now)))
     }
 
-    /// With others to decide, made from what the decisions are told at their start.
+    /// Creates an engine with other decisions, built from the settings of the decisions.
     pub fn with_decider(
         settings: &CoordinatorSettings,
         now: Nanos,
@@ -277,7 +280,7 @@
             stream_by_proxy: BTreeMap::new(),
             events: Vec::new(),
             outputs: Vec::new(),
-            // The decisions ask to be woken once they have been called.
+            // The decisions order their next wake-up only once they have been called.
             wake_at: Some(now),
             ready_streams: BTreeSet::new(),
             step_count: 0,
@@ -298,36 +301,37 @@
         }
     }
 
-    /// From now on the fleet is shared with others; `saved` is what an earlier life saved.
+    /// Shares the fleet with other coordinators from now on; `saved` is the state that an earlier process saved.
     pub fn join_fleet(&mut self, settings: &CoordinatorSettings, saved: Saved, seed: u64, now: Nanos) {
         let Some(shared) = &settings.shared else { return };
         let members = shared.members.iter().map(|member| MemberId::new(&member.name)).collect();
-        // Placements within a proxy's own zone are numbered as they are met: such tables are not numbered alike.
+        // Placements within a proxy's own zone are numbered in order of arrival, so coordinators number their tables
+        // differently.
         if !settings.fleet.classes.iter().any(|class| class.home_only) {
             self.resources.set_source("fleet".to_owned());
         }
         let timing = member::Timing::of_lease(shared.lease.0, shared.drift);
-        // The date in milliseconds: later than that of any earlier life, and refuted where it is not.
+        // The date in milliseconds: higher than that of any earlier process, and refuted by the members where it is not.
         let incarnation = now.0 / 1_000_000;
         let me = MemberId::new(&settings.name);
         self.fleet = Some(Member::new(me, &members, timing, saved, incarnation, seed, now));
     }
 
-    /// Settings name these as members from now on.
+    /// Sets the members that the settings name from now on.
     pub fn set_members(&mut self, now: Nanos, names: impl Iterator<Item = String>) {
         if let Some(fleet) = &mut self.fleet {
             fleet.set_members(now, &names.map(|name| MemberId::new(&name)).collect());
         }
     }
 
-    /// What the store says that a proxy followed: no order of ours may be of an older epoch.
+    /// Notes a version that a proxy followed according to the store: no order of ours may have an older epoch.
     pub fn note_followed_version(&mut self, version: &str) {
         if let Some(fleet) = &mut self.fleet {
             fleet.note_epoch(Epoch(epoch_of(version)));
         }
     }
 
-    /// A datagram of a fellow coordinator came.
+    /// Handles a datagram from another coordinator.
     pub fn handle_datagram(&mut self, now: Nanos, text: &[u8]) -> Result<(), String> {
         let datagram = Datagram::read(text)?;
         let outputs = self.fleet.as_mut().map(|fleet| fleet.take(now, datagram));
@@ -346,7 +350,7 @@
                     self.datagrams += 1;
                     self.outputs.push(Output::Datagram { to: to.to_string(), text: datagram.text() });
                 }
-                // What may be sent has changed.
+                // Which streams may be sent to has changed.
                 member::Output::Changed => {
                     self.checked_epoch = None;
                     self.ready_streams.extend(self.streams.keys());
@@ -355,17 +359,18 @@
         }
     }
 
-    /// The epoch in which a proxy may be ordered now.
+    /// Who is responsible for a proxy now, and the epoch in which orders may be sent to it.
     fn charge(&self, now: Nanos, proxy: &str) -> Charge {
         self.fleet.as_ref().map_or(Charge::Mine(Epoch(0)), |fleet| fleet.charge(now, proxy))
     }
 
-    /// Streams of proxies that are another one's charge are sent on; those of which no one is known to be end.
+    /// Redirects streams of proxies that another coordinator is responsible for, and closes those whose coordinator
+    /// stays unknown.
     fn check_stream_owners(&mut self, now: Nanos) {
         let Some(fleet) = &mut self.fleet else { return };
         let steps = fleet.tick(now);
         self.apply_fleet_outputs(steps);
-        // Whose charge a proxy is changes with the view and the lease alone; each look costs a hash a stream.
+        // Responsibility changes only with the view and the lease; each check costs a hash per stream.
         let view = self.fleet.as_ref().map(|fleet| fleet.view().epoch);
         if self.unowned_streams == 0 && view.is_some() && self.checked_epoch == view {
             return;
@@ -385,7 +390,7 @@
                     self.unowned_streams += 1;
                     let since = *stream.owner_unknown_since.get_or_insert(now);
                     if now - since >= OWNER_UNKNOWN_TIMEOUT {
-                        let cause = "no one is known to be in charge of its proxy".to_owned();
+                        let cause = "no coordinator is known to be responsible for its proxy".to_owned();
                         self.outputs.push(Output::CloseStream { stream: id, cause });
                         self.end_stream(now, id);
                     }
@@ -394,14 +399,14 @@
         }
     }
 
-    /// Takes the list kept from before this start.
+    /// Loads the server list that was saved before this start.
     pub fn load_saved_roster(&mut self, now: Nanos, text: &[u8]) -> Result<(), RosterError> {
         let validated = self.roster.load_saved(now, text, &mut self.names)?;
         self.add_list_event(validated.event);
         Ok(())
     }
 
-    /// Takes a list of servers; what was set right in it is told. Entries that changed are counted.
+    /// Handles a new server list. Returns the number of changed entries and descriptions of corrections.
     pub fn update_roster(&mut self, now: Nanos, text: &[u8]) -> Result<(usize, Vec<String>), RosterError> {
         match self.roster.update(now, text, &mut self.names) {
             Ok(validated) => {
@@ -420,7 +425,7 @@
         }
     }
 
-    /// The roster's source cannot be read at all.
+    /// Handles a failure to read the server list.
     pub fn roster_read_failed(&mut self, now: Nanos) {
         self.roster.postpone_recheck(now);
         self.events.push(Event::List { scope: ListScope::Failed, entries: Arc::from([]) });
@@ -435,8 +440,8 @@
         self.events.push(event);
     }
 
-    /// A discovery request came on a stream. The first one joins its proxy; whoever held that name before is
-    /// held to be gone.
+    /// Handles a discovery request. The first one of a stream joins its proxy and closes any earlier stream of that
+    /// proxy.
     pub fn handle_request(
         &mut self,
         now: Nanos,
@@ -499,7 +504,10 @@
         let proxy = self.proxy_ids.acquire(&node.id).ok_or(RequestError::NoProxyIdLeft)?;
         if let Some(old) = self.stream_by_proxy.get(&proxy).copied() {
             self.end_stream(now, old);
-            self.outputs.push(Output::CloseStream { stream: old, cause: "its proxy has joined anew".into() });
+            self.outputs.push(Output::CloseStream {
+                stream: old,
+                cause: "its proxy has opened a newer stream".into(),
+            });
         }
         let held_prints = node.metadata.get("prints").filter(|_| self.fleet.is_some());
         let held_prints =
@@ -513,7 +521,7 @@
         );
         self.stream_by_proxy.insert(proxy, id);
         self.events.push(Event::ProxyJoined { proxy, zone, usual_rate });
-        // Tables of a former coordinator of this fleet are numbered as ours are: its bindings can stand.
+        // A former coordinator of this fleet numbers tables as we do, so its bindings can be kept.
         let bound = node.metadata.get("bound").and_then(|bound| bound.as_object()).into_iter().flatten();
         for (class, table) in bound.filter(|_| self.fleet.is_some()) {
             let class = self.names.class(class).map(|class| ClassId(class as u8));
@@ -525,7 +533,7 @@
         Ok(())
     }
 
-    /// A stream has ended, from whichever side.
+    /// Removes a stream that either side has closed.
     pub fn end_stream(&mut self, now: Nanos, id: StreamId) {
         let Some(stream) = self.streams.remove(&id) else { return };
         self.stream_by_proxy.remove(&stream.proxy);
@@ -542,7 +550,7 @@
         self.streams.get(&id).map_or("", |stream| self.proxy_ids.name(stream.proxy))
     }
 
-    /// A load report came, by whichever connection; only joined proxies count.
+    /// Handles a load report on any connection; reports of proxies that have not joined are ignored.
     pub fn handle_load_report(&mut self, now: Nanos, report: &LoadStatsRequest) -> Result<(), ReportError> {
         let node = report.node.as_ref().map_or("", |node| node.id.as_str());
         let stream = self.proxy_ids.find(node).and_then(|proxy| self.stream_by_proxy.get(&proxy));
@@ -561,7 +569,7 @@
         self.events.push(Event::Probed { server, outcome, latency: took, report });
     }
 
-    /// Lets the decisions act on what has come, carries out what they order, and gives what the owner is to do.
+    /// Runs the decisions on the collected events, applies their orders, and returns the actions for the owner.
     pub fn turn(&mut self, now: Nanos) -> Vec<Output> {
         self.close_silent_streams(now);
         self.check_stream_owners(now);
@@ -620,7 +628,7 @@
             let Some(id) = self.stream_by_proxy.get(&message.proxy).copied() else { continue };
             self.drop_held_parts(id, &mut message);
             if message.parts.is_empty() {
-                // All of it is there: a mark is as good as answered.
+                // The proxy already holds all of it: the mark counts as applied.
                 self.events.extend(message.mark.map(|mark| Event::Applied { proxy: message.proxy, mark }));
                 continue;
             }
@@ -630,7 +638,7 @@
         }
     }
 
-    /// Takes out of a message what the proxy holds already, from a former coordinator of this fleet.
+    /// Removes from a message what the proxy already holds from a former coordinator of this fleet.
     fn drop_held_parts(&mut self, id: StreamId, message: &mut Message) {
         let Some(stream) = self.streams.get_mut(&id).filter(|stream| !stream.held_prints.is_empty()) else {
             return;
@@ -648,7 +656,7 @@
                 !held
             });
         }
-        // Bindings are always sent: with them the proxy learns the epoch, and follows none before it.
+        // Bindings are always sent: they carry the epoch, after which the proxy follows no older one.
         message.lines = (message.lines - lines).max(1.0);
         self.skipped = (self.skipped.0 + parts, self.skipped.1 + lines, self.skipped.2 + bytes);
     }
@@ -656,7 +664,7 @@
     fn send_responses(&mut self, now: Nanos) {
         for id in std::mem::take(&mut self.ready_streams) {
             let Some(stream) = self.streams.get_mut(&id) else { continue };
-            // Clusters are always told whole: a class left out would lose its binding at the proxy.
+            // Clusters are always sent complete: an omitted class would lose its binding at the proxy.
             if !self.resources.has_all_bindings(stream.proxy) {
                 continue;
             }
@@ -665,7 +673,7 @@
             let epoch = match charge {
                 None => 0,
                 Some(Charge::Mine(epoch)) => epoch.0,
-                // It waits; a change of what may be done stirs all streams.
+                // The stream waits; every change of view or lease marks all streams as ready.
                 Some(Charge::Elsewhere(_) | Charge::Unknown) => continue,
             };
             let (resources, proxy) = (&mut self.resources, stream.proxy);
@@ -683,7 +691,7 @@
         }
     }
 
-    /// Looks at all streams only once one of them can have become silent: a turn comes with every report.
+    /// Checks the streams only once one of them can have become silent, since a turn follows every report.
     fn close_silent_streams(&mut self, now: Nanos) {
         if now <= self.silent_after {
             return;
@@ -691,15 +699,15 @@
         let period = self.settings.report_period;
         let silent = self.streams.iter().filter(|(_, stream)| stream.session.is_silent(now, period));
         for id in silent.map(|(id, _)| *id).collect::<Vec<StreamId>>() {
-            self.outputs.push(Output::CloseStream { stream: id, cause: "it has been silent".into() });
+            self.outputs.push(Output::CloseStream { stream: id, cause: "silence timeout".into() });
             self.end_stream(now, id);
         }
-        // One that joins from now on cannot be silent before one that spoke just now.
+        // A stream that joins later cannot become silent before one that was active just now.
         let earliest = self.streams.values().map(|stream| stream.session.silent_after(period));
         self.silent_after = earliest.chain([Session::new(now).silent_after(period)]).min().unwrap_or(now);
     }
 
-    /// When the next turn is due though nothing comes in.
+    /// When the next turn is due without any input.
     pub fn next_at(&self) -> Nanos {
         let streams = self.ready_streams.iter().filter_map(|id| self.streams.get(id)?.session.next_at());
         let fleet = self.fleet.as_ref().map(Member::next_at);
@@ -707,32 +715,32 @@
         times.into_iter().flatten().chain(streams).min().unwrap_or(self.flush_at)
     }
 
-    /// A list that was doubted is to be read again.
+    /// Whether an unconfirmed server list must be read again.
     pub fn roster_due(&self, now: Nanos) -> bool {
         self.roster.next_at().is_some_and(|at| at <= now)
     }
 
-    /// Weights that have changed since the last time.
+    /// Weights that have changed since the last call.
     pub fn weight_changes(&mut self) -> Vec<Change> {
         self.steer.as_mut().map(Steer::news).unwrap_or_default()
     }
 
-    /// Why servers have the weights they have, where these are found here.
+    /// Why servers have their weights, where this coordinator computes them.
     pub fn explain(&self, now: Nanos) -> Option<Explanation> {
         self.steer.as_ref().map(|steer| explain(steer, now, &weights::SolverNames(&self.names)))
     }
 
-    /// How often the decisions were asked.
+    /// How often the decisions have run.
     pub fn steps(&self) -> u64 {
         self.step_count
     }
 
-    /// What is to be kept of what the decisions were told.
+    /// The ledger of the events given to the decisions, if one is kept.
     pub fn ledger(&mut self) -> Option<&mut Ledger> {
         self.ledger.as_mut()
     }
 
-    /// When what reports brought goes to the decisions next.
+    /// When the totals of the load reports are next passed to the decisions.
     pub fn next_flush_at(&self) -> Nanos {
         self.flush_at
     }
@@ -741,13 +749,13 @@
         self.settings.report_period
     }
 
-    /// The term in which this one leads a shared fleet; nothing: it does not lead.
+    /// The term in which this coordinator leads a shared fleet, or `None` if it does not lead.
     pub fn leader_term(&self) -> Option<u64> {
         let fleet = self.fleet.as_ref()?;
         (fleet.role() == Role::Leader).then(|| fleet.term())
     }
 
-    /// Begins the spans from decision to swap anew.
+    /// Discards the delays from decision to acknowledgement measured so far.
     pub fn reset_spans(&mut self) {
         self.apply_delays.clear();
     }
@@ -810,7 +818,7 @@
     }
 }
 
-/// The body of a response, of texts that others share.
+/// The body of a response in chunks; the resources' texts are shared, not copied.
 pub fn response_body(kind: Kind, version: &str, nonce: u64, resources: Vec<Bytes>) -> Vec<Bytes> {
     let version = serde_json::Value::from(version);
     let url = kind.type_url();
@@ -827,7 +835,7 @@
     chunks
 }
 
-/// The number of a table, by its name at the proxies.
+/// The number of a table from its name at the proxies.
 fn table_of(name: &str) -> Option<u16> {
     name.rsplit_once("/table-")?.1.parse().ok()
 }
--- a/crates/craneknot-coordinator/src/resource_cache.rs
+++ b/crates/craneknot-coordinator/src/resource_cache.rs
@@ -1,4 +1,4 @@
-//! What has been ordered: tables, levels and bindings, each table's text made once however many proxies hold it.
+//! The ordered state: tables, levels and bindings. Each table is encoded once, however many proxies use it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,17 +17,17 @@
     routes: Option<Bytes>,
 }
 
-/// What changed for one proxy, as text that others share.
+/// The changed resources of one proxy, as encoded texts shared among proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUpdate {
     pub endpoints: BTreeMap<TableId, Bytes>,
     pub routes: BTreeMap<TableId, Bytes>,
-    /// All its bindings, where one of them changed.
+    /// All bindings of the proxy, if one of them changed.
     pub clusters: Option<Vec<Bytes>>,
 }
 
 impl ResourceUpdate {
-    /// What comes later takes the place of what was.
+    /// Merges a later update, whose resources replace earlier ones.
     pub fn merge(&mut self, later: ResourceUpdate) {
         self.endpoints.extend(later.endpoints);
         self.routes.extend(later.routes);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes out the resources of one kind.
+    /// Removes and returns the resources of one kind.
     pub fn take(&mut self, kind: Kind) -> Option<Vec<Bytes>> {
         if !self.has(kind) {
             return None;
@@ -68,20 +68,22 @@
     }
 }
 
-/// One message of one moment.
+/// The message to one proxy from the orders of one step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     pub proxy: ProxyId,
     pub parts: ResourceUpdate,
     pub mark: Option<u16>,
-    /// What it costs the channel.
+    /// Its size in the channel.
     pub lines: f64,
     pub decided: Nanos,
 }
 
+/// The ordered tables, levels and bindings with their encoded texts.
 pub struct ResourceCache {
-    /// Part of every table's name. Where coordinators share nothing it names this one's life, so that tables of two are
-    /// never taken for one another; where they share a fleet it is the same for all, whose tables are numbered alike.
+    /// The prefix of every table's name. A coordinator that shares no fleet uses one of its own per process, so that
+    /// tables of two processes are never confused; coordinators of a shared fleet, which number tables identically, use
+    /// the same one.
     source: String,
     classes: Vec<String>,
     level_unit: LevelUnit,
@@ -95,7 +97,7 @@
     bytes: u64,
 }
 
-/// What a moment's orders touch at one proxy.
+/// What the orders of one step change at one proxy.
 #[derive(Default)]
 struct ProxyChanges {
     lines: f64,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Where a server stands; it shows in the tables.
+    /// Sets the zone of a server, which the tables contain.
     pub fn set_server_zone(&mut self, server: &ServerId, zone: &str) {
         self.zones.insert(server.clone(), zone.to_owned());
     }
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Takes in a moment's orders and gives the messages to the proxies concerned, in order of their numbers.
+    /// Applies the orders of one step and returns the messages to the affected proxies, sorted by proxy id.
     pub fn apply_orders(&mut self, now: Nanos, orders: &[Order]) -> Vec<Message> {
         let mut changes_by_proxy: BTreeMap<ProxyId, ProxyChanges> = BTreeMap::new();
         let mut mark = None;
@@ -227,7 +229,7 @@
         messages.collect()
     }
 
-    /// All that a proxy holds by the orders so far: what a stream gets that cannot go on from where it was.
+    /// Everything that a proxy should hold by the orders so far, for a stream that must be sent its state again.
     pub fn full_state(&mut self, proxy: ProxyId) -> ResourceUpdate {
         let tables: BTreeSet<TableId> =
             self.bound_tables.get(&proxy).into_iter().flatten().flatten().copied().collect();
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Lines that a part of a table costs.
+    /// The number of lines of one part of a table.
     pub fn line_count(&self, kind: Kind, table: TableId) -> f64 {
         let lines = self.tables.get(&table).map_or(0, |state| match kind {
             Kind::Endpoints => state.lines.len(),
@@ -253,12 +255,12 @@
         table_name(&self.source, table)
     }
 
-    /// Tables are named anew from now on; to be said before any is made.
+    /// Sets the prefix of the tables' names; must be called before any table is encoded.
     pub fn set_source(&mut self, source: String) {
         self.source = source;
     }
 
-    /// Every class of the proxy has a table: only then can all its bindings be told as one.
+    /// Whether every class of the proxy has a table; only then can its bindings be sent, since they are sent together.
     pub fn has_all_bindings(&self, proxy: ProxyId) -> bool {
         self.bound_tables.get(&proxy).is_some_and(|bound_tables| bound_tables.iter().all(Option::is_some))
     }
@@ -312,12 +314,12 @@
         resources
     }
 
-    /// Tables, texts made so far, and their bytes.
+    /// Numbers of tables, of texts encoded so far, and of their bytes.
     pub fn counts(&self) -> (usize, u64, u64) {
         (self.tables.len(), self.texts_encoded, self.bytes)
     }
 
-    /// The tables with their lines' count and their users' count.
+    /// The tables, each with the numbers of its lines and of the proxies that use it.
     pub fn tables(&self) -> impl Iterator<Item = (TableId, usize, usize)> + '_ {
         self.tables.iter().map(|(id, table)| (*id, table.lines.len(), table.users.len()))
     }
@@ -333,7 +335,7 @@
     }
 
     #[test]
-    fn a_shared_table_is_made_once_and_costs_a_line_at_each_user() {
+    fn a_shared_table_is_encoded_once_and_costs_a_line_per_proxy() {
         let mut cache = ResourceCache::new(
             "a-1".into(),
             vec!["read".into(), "write".into()],
@@ -349,21 +351,21 @@
         }
         let messages = cache.apply_orders(Nanos(5), &orders);
         assert_eq!((messages.len(), cache.counts().1), (50, 2));
-        // One for the bind, one for the line, three for the head.
+        // One for the binding, one for the line, three per message.
         assert!(messages.iter().all(|message| message.lines == 5.0 && message.decided == Nanos(5)));
         assert!((0..50).all(|proxy| cache.has_all_bindings(ProxyId(proxy))));
         let change = Order::Line { table: TableId(1), server: server("127.0.0.1:1"), weight: 0.5 };
         let messages = cache.apply_orders(Nanos(6), &[change, Order::Mark { mark: 9 }]);
         assert_eq!((messages.len(), cache.counts().1), (50, 3));
         assert!(messages.iter().all(|message| message.lines == 5.0 && message.mark == Some(9)));
-        // One that has left gets nothing more.
+        // A proxy that has left gets no further messages.
         cache.leave(ProxyId(0));
         let change = Order::Line { table: TableId(1), server: server("127.0.0.1:1"), weight: 0.0 };
         assert_eq!(cache.apply_orders(Nanos(7), &[change]).len(), 49);
     }
 
     #[test]
-    fn later_parts_take_the_place_of_earlier_ones() {
+    fn later_resources_replace_earlier_ones() {
         let text = |text: &'static str| Bytes::from_static(text.as_bytes());
         let mut parts = ResourceUpdate {
             endpoints: BTreeMap::from([(TableId(1), text("old"))]),
--- a/crates/craneknot-coordinator/src/session.rs
+++ b/crates/craneknot-coordinator/src/session.rs
@@ -1,11 +1,11 @@
-//! One stream: what is due to its proxy, what it was sent and has not answered, and what a refusal leads to.
+//! The state of one stream: resources pending for its proxy, unacknowledged responses, and backoff after a rejection.
 //!
-//! An agent asks for each kind of resource by a request that is held open. As soon as something is due, the
-//! requests at the front are answered, up to the last one that has something: in full where its kind changed, with
-//! 304 where not. The next request of that kind accepts the response of its nonce, or refuses it.
+//! An agent asks for each kind of resource by a long-polling request. As soon as something is pending, requests are
+//! answered in order, up to the last one whose kind can be sent: in full if the kind changed, with 304 if not. The
+//! next request of that kind accepts or rejects the response by its nonce.
 //!
-//! Bindings wait until the tables and levels that came with them are accepted: an agent may still have an old
-//! table of that name, with servers that are long lost, and must not follow a binding to it.
+//! Bindings wait until the tables and levels sent with them are accepted: an agent may still have an old table of the
+//! same name with servers that no longer exist, and must not follow a binding to it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -15,44 +15,44 @@
 
 use crate::resource_cache::{Message, ResourceUpdate};
 
-const RETRY_DELAY_MIN: Nanos = Nanos::from_millis(500); // ms; wait before what was refused is offered again, whole
-const RETRY_DELAY_MAX: Nanos = Nanos::from_millis(2_000); // ms; the longest such wait: it may hold up a drain
-const SILENCE_TIMEOUT_MIN: Nanos = Nanos::from_millis(3_000); // ms; at the least, until a stream that says nothing is broken
-const SILENCE_REPORT_PERIODS: u64 = 6; // report periods that may pass without a word: two lost and two late are borne
+const RETRY_DELAY_MIN: Nanos = Nanos::from_millis(500); // before everything is sent again after a rejection
+const RETRY_DELAY_MAX: Nanos = Nanos::from_millis(2_000); // the maximum, since the delay may hold up a drain
+const SILENCE_TIMEOUT_MIN: Nanos = Nanos::from_millis(3_000); // before an inactive stream is closed
+const SILENCE_REPORT_PERIODS: u64 = 6; // tolerates two lost and two late reports
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It holds all that was sent.
+    /// The agent has accepted everything that was sent.
     Synced,
-    /// It has not answered all that was sent.
+    /// Some responses are not acknowledged yet.
     AwaitingAck,
-    /// It refused something; all it holds is offered again later.
+    /// The agent rejected a response; the full state is sent again after a delay.
     BackingOff,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trigger {
-    /// Something was sent.
+    /// Responses were sent.
     Sent,
-    /// The last answer owed came, and none was a refusal.
+    /// The last outstanding acknowledgement arrived, and none was a rejection.
     Accepted,
     Rejected,
-    /// The wait after a refusal is over.
+    /// The delay after a rejection has elapsed.
     BackoffElapsed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
     Nothing,
-    /// What was sent counts as applied.
+    /// Everything sent counts as applied.
     Commit,
-    /// Wait, twice as long after each refusal in a row.
+    /// Wait, twice as long after each consecutive rejection.
     BackOff,
-    /// Offer all again.
+    /// Send the full state again.
     ResendAll,
 }
 
-/// State, sign, next state, effect.
+/// The transition table: state, trigger, next state, effect.
 const TRANSITIONS: &[(State, Trigger, State, Effect)] = &[
     (State::Synced, Trigger::Sent, State::AwaitingAck, Effect::Nothing),
     (State::AwaitingAck, Trigger::Sent, State::AwaitingAck, Effect::Nothing),
@@ -61,19 +61,19 @@
     (State::BackingOff, Trigger::BackoffElapsed, State::Synced, Effect::ResendAll),
 ];
 
-/// One answer to one held request.
+/// The response to one open request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     Resources { kind: Kind, nonce: u64, resources: Vec<Bytes> },
     Unchanged { kind: Kind },
 }
 
-/// What a request of the stream says of an earlier response.
+/// A request of the stream, with its acknowledgement of an earlier response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamRequest {
     pub kind: Kind,
     pub nonce: Option<u64>,
-    /// The cause, where the response of that nonce was refused.
+    /// The cause, if the response of that nonce was rejected.
     pub rejected: Option<String>,
 }
 
@@ -83,6 +83,7 @@
     tables: Vec<TableId>,
 }
 
+/// The state of one stream.
 pub struct Session {
     state: State,
     open_requests: VecDeque<Kind>,
@@ -91,7 +92,7 @@
     pending_marks: Vec<u16>,
     pending_decided_at: Option<Nanos>,
     unacked: Vec<UnackedResponse>,
-    /// What must be accepted before the bindings that are due may be sent.
+    /// What must be accepted before the pending bindings may be sent.
     unmet_dependencies: BTreeSet<(Kind, TableId)>,
     unacked_marks: Vec<u16>,
     unacked_decided_at: Option<Nanos>,
@@ -102,10 +103,10 @@
     last_activity: Nanos,
 }
 
-/// What the owner is to do or know after an input.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The marks whose messages are applied, and when the oldest of these was decided.
+    /// The marks of the applied messages, and when the oldest of these was decided.
     Applied {
         marks: Vec<u16>,
         decided: Option<Nanos>,
@@ -115,7 +116,7 @@
         cause: String,
         retry_at: Nanos,
     },
-    /// An answer to nothing that was sent: of an earlier stream, or made up. It counts for nothing.
+    /// An acknowledgement of a response never sent, from an earlier stream or forged; it is ignored.
     UnknownNonce {
         kind: Kind,
     },
@@ -146,8 +147,8 @@
         self.state
     }
 
-    /// Lines that have left the channel and wait for the proxy: of a proxy that stands still these grow no
-    /// further than all it can hold.
+    /// Lines that have left the channel and wait for the proxy. They stay bounded by the full state even if the proxy
+    /// stalls.
     pub fn held_lines(&self) -> f64 {
         self.pending_lines
     }
@@ -173,7 +174,7 @@
         *effect
     }
 
-    /// What bindings rest on, where the parts have any.
+    /// Adds the tables and levels that the update's bindings depend on, if it has any.
     fn add_dependencies(&mut self, parts: &ResourceUpdate) {
         if parts.clusters.is_some() {
             self.unmet_dependencies.extend(parts.endpoints.keys().map(|table| (Kind::Endpoints, *table)));
@@ -185,7 +186,7 @@
         self.pending.has(kind) && (kind != Kind::Clusters || self.unmet_dependencies.is_empty())
     }
 
-    /// A message is through the channel.
+    /// Adds a message that has left the channel to the pending resources.
     pub fn enqueue(&mut self, message: Message) {
         self.add_dependencies(&message.parts);
         self.pending.merge(message.parts);
@@ -194,23 +195,23 @@
         self.pending_decided_at = self.pending_decided_at.or(Some(message.decided));
     }
 
-    /// Any word of the agent shows that the stream stands.
+    /// Notes any message of the agent as a sign that the stream is alive.
     pub fn record_activity(&mut self, now: Nanos) {
         self.last_activity = self.last_activity.max(now);
     }
 
-    /// Nothing came for so long that the stream counts as broken.
+    /// Whether nothing has arrived for so long that the stream counts as broken.
     pub fn is_silent(&self, now: Nanos, report_period: Nanos) -> bool {
         now > self.silent_after(report_period)
     }
 
-    /// Until then it cannot count as silent; a word moves it on.
+    /// The time until which the stream cannot count as silent; any activity extends it.
     pub fn silent_after(&self, report_period: Nanos) -> Nanos {
         self.last_activity
             + SILENCE_TIMEOUT_MIN.max(Nanos(report_period.0.saturating_mul(SILENCE_REPORT_PERIODS)))
     }
 
-    /// A request has come.
+    /// Handles a request and its acknowledgement.
     pub fn handle_request(&mut self, now: Nanos, request: StreamRequest) -> Option<Outcome> {
         self.record_activity(now);
         let StreamRequest { kind, nonce, rejected } = request;
@@ -221,7 +222,7 @@
         let Some(index) =
             self.unacked.iter().position(|unacked| unacked.kind == kind && unacked.nonce == nonce)
         else {
-            // The kind was answered with 304 since: its last nonce comes again.
+            // The kind has been answered with 304 since, so its last nonce is repeated.
             let known = nonce < self.next_nonce;
             return (!known).then_some(Outcome::UnknownNonce { kind });
         };
@@ -241,17 +242,18 @@
         Some(Outcome::Applied { marks, decided })
     }
 
-    /// What is to be sent now. `all` gives everything the proxy shall hold, asked for after a refusal.
+    /// The responses to send now. `full_state` returns everything that the proxy should hold; it is called after a
+    /// rejection.
     pub fn responses(&mut self, now: Nanos, full_state: impl FnOnce() -> ResourceUpdate) -> Vec<Response> {
         if self.retry_at.is_some_and(|at| at <= now) {
             self.transition(now, Trigger::BackoffElapsed);
         }
-        // While it refuses, more of the same would be refused too.
+        // Until the delay has elapsed, further responses would be rejected too.
         if self.state == State::BackingOff {
             return Vec::new();
         }
         if std::mem::take(&mut self.resend_all) {
-            // What was needed before may be no part of what it shall hold now: it would be waited for in vain.
+            // A former dependency may not be in the full state, and so would never be acknowledged.
             let pending = full_state();
             self.unmet_dependencies.clear();
             self.add_dependencies(&pending);
@@ -274,7 +276,7 @@
             }
         }
         if self.pending.is_empty() {
-            // All of these messages is under way: once accepted, their marks are answered.
+            // All parts of these messages are sent; their marks are answered once all are accepted.
             self.pending_lines = 0.0;
             self.unacked_marks.append(&mut self.pending_marks);
             let pending_decided_at = self.pending_decided_at.take();
@@ -284,7 +286,7 @@
         responses
     }
 
-    /// When it must be looked at again without any input.
+    /// When the session must be processed again without any input.
     pub fn next_at(&self) -> Option<Nanos> {
         self.retry_at
     }
@@ -331,7 +333,7 @@
         assert!(session.responses(Nanos(3), ResourceUpdate::default).is_empty());
         let accepted = request(&mut session, Kind::Endpoints, Some(1), None);
         assert!(matches!(accepted, Some(Outcome::Applied { marks, .. }) if marks.is_empty()));
-        // Only now the binding to that table; routes, asked for before it, are told to be as they were.
+        // Only now the binding to that table; the earlier request for routes is answered as unchanged.
         let responses = session.responses(Nanos(3), ResourceUpdate::default);
         assert!(matches!(
             &responses[..],
@@ -346,9 +348,9 @@
         assert_eq!(session.state(), State::Synced);
     }
 
-    /// A proxy that stands still: what comes meanwhile waits, newer in the place of older.
+    /// Updates for a stalled proxy wait, and newer ones replace older ones.
     #[test]
-    fn what_is_due_to_a_proxy_that_stands_still_does_not_grow() {
+    fn pending_updates_of_a_stalled_proxy_do_not_grow() {
         let mut session = session_with_open_requests();
         session.enqueue(message(1, None, false));
         assert_eq!(session.responses(Nanos(3), ResourceUpdate::default).len(), 1);
@@ -358,14 +360,14 @@
         }
         request(&mut session, Kind::Endpoints, Some(1), None);
         let responses = session.responses(Nanos(5), ResourceUpdate::default);
-        // Routes and clusters were still held: endpoints now stand behind them.
+        // The requests for routes and clusters are still open, ahead of the one for endpoints.
         assert_eq!(responses.len(), 3);
         assert!(matches!(&responses[2], Response::Resources { resources, .. } if resources.len() == 1));
         assert_eq!(session.held_lines(), 0.0);
     }
 
     #[test]
-    fn a_refusal_is_followed_by_a_wait_and_by_all_that_the_proxy_shall_hold() {
+    fn a_rejection_is_followed_by_a_delay_and_the_full_state() {
         let mut session = session_with_open_requests();
         session.enqueue(message(1, Some(3), false));
         session.responses(Nanos(3), ResourceUpdate::default);
@@ -385,7 +387,7 @@
         for kind in [Kind::Routes, Kind::Clusters] {
             request(&mut session, kind, None, None);
         }
-        // The mark of what was refused is answered with what took its place.
+        // The mark of the rejected message is answered by the response that replaced it.
         let outcome = request(&mut session, Kind::Endpoints, Some(2), None);
         assert!(matches!(outcome, Some(Outcome::Applied { marks, .. }) if marks == [3]));
         let responses = session.responses(retry_at, ResourceUpdate::default);
@@ -395,7 +397,7 @@
     }
 
     #[test]
-    fn an_answer_to_what_was_never_sent_counts_for_nothing() {
+    fn an_acknowledgement_of_a_response_never_sent_is_ignored() {
         let mut session = session_with_open_requests();
         assert_eq!(
             request(&mut session, Kind::Routes, Some(40), None),
