--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -1,6 +1,6 @@
-//! The coordinator without I/O: passes events to the decisions, and their orders to the resource cache, the channel
-//! and the streams. The owner passes in what its sockets received, calls [`Engine::turn`], and carries out the
-//! outputs.
+//! The coordinator without I/O: passes events to the decisions, and their orders to the resource cache, the
+//! channel and the streams. The owner passes in what its sockets received, calls [`Engine::turn`], and
+//! carries out the outputs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use serde::Serialize;
 
 use crate::channel::Channel;
-use crate::ledger::{Head, Ledger};
+use crate::ledger::{Header, Ledger};
 use crate::proxy_ids::ProxyIds;
 use crate::report_aggregator::{ReportAggregator, ReportError};
 use crate::resource_cache::{Message, ResourceCache, ResourceUpdate};
@@ -31,7 +31,9 @@
 
 const MAX_RESOURCE_NAMES: usize = 1_024; // in one request; more than any proxy subscribes to
 const MAX_USUAL_RATE: f64 = 1e6; // operations a second, as reported by a proxy
-const OWNER_UNKNOWN_TIMEOUT: Nanos = Nanos::from_millis(1_000); // then the stream is closed, since another coordinator may serve it
+/// How long a stream may stay open without a coordinator known to be responsible for it; another one may
+/// serve its proxy.
+const OWNER_UNKNOWN_TIMEOUT: Nanos = Nanos::from_millis(1_000);
 const MAX_APPLY_DELAYS: usize = 65_536; // the newest ones, for the percentiles in the status
 
 /// A stream's id, assigned by the owner.
@@ -123,8 +125,8 @@
     session: Session,
     /// Since when the coordinator responsible for its proxy is unknown.
     owner_unknown_since: Option<Nanos>,
-    /// Fingerprints of the resources that the proxy held when it joined, each removed at the first order for it: lines
-    /// and levels by table.
+    /// Fingerprints of the resources that the proxy held when it joined, each removed at the first order for
+    /// it: lines and levels by table.
     held_prints: BTreeMap<String, (String, String)>,
 }
 
@@ -221,8 +223,9 @@
     apply_delays: VecDeque<Nanos>,
     messages: u64,
     lines: f64,
-    refusals: u64,
-    /// The number of streams whose responsible coordinator is unknown, and the epoch at the last check of all streams.
+    rejections: u64,
+    /// The number of streams whose responsible coordinator is unknown, and the epoch at the last check of all
+    /// streams.
     unowned_streams: usize,
     checked_epoch: Option<Epoch>,
     /// No stream can count as silent before this time.
@@ -270,7 +273,7 @@
             resources,
             channel,
             reports: ReportAggregator::new(names.classes.clone()),
-            ledger: settings.ledger.as_ref().map(|_| Ledger::new(Head::of(settings, now))),
+            ledger: settings.ledger.as_ref().map(|_| Ledger::new(Header::of(settings, now))),
             roster: RosterValidator::new(decisions.drain_grace),
             steer,
             names,
@@ -287,7 +290,7 @@
             apply_delays: VecDeque::new(),
             messages: 0,
             lines: 0.0,
-            refusals: 0,
+            rejections: 0,
             unowned_streams: 0,
             checked_epoch: None,
             silent_after: now,
@@ -301,17 +304,19 @@
         }
     }
 
-    /// Shares the fleet with other coordinators from now on; `saved` is the state that an earlier process saved.
+    /// Shares the fleet with other coordinators from now on; `saved` is the state that an earlier process
+    /// saved.
     pub fn join_fleet(&mut self, settings: &CoordinatorSettings, saved: Saved, seed: u64, now: Nanos) {
         let Some(shared) = &settings.shared else { return };
         let members = shared.members.iter().map(|member| MemberId::new(&member.name)).collect();
-        // Placements within a proxy's own zone are numbered in order of arrival, so coordinators number their tables
-        // differently.
+        // Placements within a proxy's own zone are numbered in order of arrival, so coordinators number their
+        // tables differently.
         if !settings.fleet.classes.iter().any(|class| class.home_only) {
             self.resources.set_source("fleet".to_owned());
         }
         let timing = member::Timing::of_lease(shared.lease.0, shared.drift);
-        // The date in milliseconds: higher than that of any earlier process, and refuted by the members where it is not.
+        // The date in milliseconds: higher than that of any earlier process, and refuted by the members where
+        // it is not.
         let incarnation = now.0 / 1_000_000;
         let me = MemberId::new(&settings.name);
         self.fleet = Some(Member::new(me, &members, timing, saved, incarnation, seed, now));
@@ -324,7 +329,8 @@
         }
     }
 
-    /// Notes a version that a proxy followed according to the store: no order of ours may have an older epoch.
+    /// Notes a version that a proxy followed according to the store: no order of ours may have an older
+    /// epoch.
     pub fn note_followed_version(&mut self, version: &str) {
         if let Some(fleet) = &mut self.fleet {
             fleet.note_epoch(Epoch(epoch_of(version)));
@@ -364,8 +370,8 @@
         self.fleet.as_ref().map_or(Charge::Mine(Epoch(0)), |fleet| fleet.charge(now, proxy))
     }
 
-    /// Redirects streams of proxies that another coordinator is responsible for, and closes those whose coordinator
-    /// stays unknown.
+    /// Redirects streams of proxies that another coordinator is responsible for, and closes those whose
+    /// coordinator stays unknown.
     fn check_stream_owners(&mut self, now: Nanos) {
         let Some(fleet) = &mut self.fleet else { return };
         let steps = fleet.tick(now);
@@ -416,11 +422,11 @@
                 }
                 Ok(result)
             }
-            Err(refusal) => {
-                if let RosterError::Unreadable(_) = refusal {
+            Err(error) => {
+                if let RosterError::Unreadable(_) = error {
                     self.events.push(Event::List { scope: ListScope::Failed, entries: Arc::from([]) });
                 }
-                Err(refusal)
+                Err(error)
             }
         }
     }
@@ -440,8 +446,8 @@
         self.events.push(event);
     }
 
-    /// Handles a discovery request. The first one of a stream joins its proxy and closes any earlier stream of that
-    /// proxy.
+    /// Handles a discovery request. The first one of a stream joins its proxy and closes any earlier stream
+    /// of that proxy.
     pub fn handle_request(
         &mut self,
         now: Nanos,
@@ -482,7 +488,7 @@
                     self.apply_delays.push_back(now - *decided);
                 }
             }
-            Some(Outcome::Rejected { .. }) => self.refusals += 1,
+            Some(Outcome::Rejected { .. }) => self.rejections += 1,
             Some(Outcome::UnknownNonce { .. }) | None => {}
         }
         Ok(outcome)
@@ -563,13 +569,14 @@
         &mut self,
         server: ServerId,
         outcome: ProbeOutcome,
-        took: Nanos,
+        duration: Nanos,
         report: LoadReport,
     ) {
-        self.events.push(Event::Probed { server, outcome, latency: took, report });
+        self.events.push(Event::Probed { server, outcome, latency: duration, report });
     }
 
-    /// Runs the decisions on the collected events, applies their orders, and returns the actions for the owner.
+    /// Runs the decisions on the collected events, applies their orders, and returns the actions for the
+    /// owner.
     pub fn turn(&mut self, now: Nanos) -> Vec<Output> {
         self.close_silent_streams(now);
         self.check_stream_owners(now);
@@ -579,8 +586,8 @@
             if !self.accepted_versions.is_empty() {
                 let name =
                     |(proxy, version): (ProxyId, String)| (self.proxy_ids.name(proxy).to_owned(), version);
-                let kept = std::mem::take(&mut self.accepted_versions).into_iter().map(name).collect();
-                self.outputs.push(Output::SaveFollowed(kept));
+                let versions = std::mem::take(&mut self.accepted_versions).into_iter().map(name).collect();
+                self.outputs.push(Output::SaveFollowed(versions));
             }
         }
         if self.wake_at.is_some_and(|at| at <= now) {
@@ -677,16 +684,16 @@
                 Some(Charge::Elsewhere(_) | Charge::Unknown) => continue,
             };
             let (resources, proxy) = (&mut self.resources, stream.proxy);
-            let answers = stream.session.responses(now, || resources.full_state(proxy));
+            let responses = stream.session.responses(now, || resources.full_state(proxy));
             if stream.session.next_at().is_some() {
                 self.ready_streams.insert(id);
             }
             let version = format!("{}/{}", source_in(epoch, &self.source), self.step_count);
-            for answer in answers {
-                if let Response::Resources { resources, .. } = &answer {
+            for response in responses {
+                if let Response::Resources { resources, .. } = &response {
                     self.bytes_sent += resources.iter().map(|text| text.len() as u64).sum::<u64>();
                 }
-                self.outputs.push(Output::Respond { stream: id, response: answer, version: version.clone() });
+                self.outputs.push(Output::Respond { stream: id, response, version: version.clone() });
             }
         }
     }
@@ -791,7 +798,7 @@
             bytes_made,
             bytes_sent: self.bytes_sent,
             steps: self.step_count,
-            refusals: self.refusals,
+            refusals: self.rejections,
             reports_repeated,
             reports_left_out,
             shared: self.fleet.as_ref().map(|fleet| Shared {
--- a/crates/craneknot-coordinator/src/ledger.rs
+++ b/crates/craneknot-coordinator/src/ledger.rs
@@ -1,9 +1,10 @@
-//! What a coordinator was told and what it ordered, kept line by line: JSON lines in gzip members (RFC 8259, RFC 1952). Each
-//! member ends with a whole line, so that a kill at any byte costs at most the member being written. From ledgers the model
-//! plays what was asked for again, and `craneknot solve` explains weights.
+//! The ledger: a record of the events given to a coordinator's decisions and of its orders, as JSON lines in
+//! gzip members (RFC 8259, RFC 1952). Each member ends with a complete line, so that a kill at any byte loses
+//! at most the member being written. The model replays the demand of ledgers, and `craneknot solve` explains
+//! weights from them.
 //!
-//! Nothing of an operation is in it that the coordinator does not see: arrivals by zone and class as reports counted them,
-//! what proxies met at servers, the list as it was taken.
+//! It contains only what the coordinator sees: arrivals by zone and class as reported, the outcomes of tries
+//! as proxies reported them, and the server lists as accepted.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -18,14 +19,14 @@
 use serde::{Deserialize, Serialize};
 
 pub const FORMAT: &str = "craneknot-ledger-1";
-const MEMBER_MOST: u64 = 256 * 1024 * 1024; // bytes of one member unpacked; what waits for the disk at the most is less
-const LINES_MOST: usize = 50_000_000; // of all files read at once: weeks of a fleet of hundreds
-const WAITING_MOST: usize = 1_000_000; // lines that wait for the disk; more are counted and let go
+const MAX_MEMBER_BYTES: u64 = 256 * 1024 * 1024; // unpacked; more than all lines that may wait for the disk
+const MAX_LINES: usize = 50_000_000; // in one ledger; weeks of a fleet of hundreds
+const MAX_PENDING_LINES: usize = 1_000_000; // not yet on disk; excess lines are dropped and counted
 
 /// Microseconds since the Unix epoch, by the coordinator's clock.
 pub type Micros = u64;
 
-/// A state in the list.
+/// A server's state in a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListedState {
     #[serde(rename = "r")]
@@ -47,45 +48,46 @@
     Failed,
 }
 
-/// One thing that was told or ordered.
+/// One line: an event or a summary of orders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Line {
-    /// A server's number in this file, from now on: its address, zone and kind.
+    /// Defines a server's number in this file: number, address, zone and kind.
     #[serde(rename = "s")]
     Server(u32, String, String, String),
-    /// Moment, server, state, listed weight, start.
+    /// Time, server, state, listed weight, start time.
     #[serde(rename = "l")]
     Listed(Micros, u32, ListedState, Option<f64>, Option<Micros>),
-    /// Moment: the list could not be had.
+    /// Time: the server list could not be read.
     #[serde(rename = "x")]
     ListFailed(Micros),
-    /// Moment, zone and class by their places in the head, operations that came, tries without an answer, and the mean span
-    /// in microseconds that proxies' counts are of.
+    /// Time, zone and class as indexes into the header's lists, operations arrived, tries without an answer,
+    /// and the mean interval of the proxies' counts in microseconds.
     #[serde(rename = "d")]
     Demand(Micros, u16, u16, u64, u64, u64),
-    /// Moment, server, zone of the proxies, tries, those without an answer, span and mean time of good answers in
-    /// microseconds, and what the server said: busy share, operations held, service time in microseconds.
+    /// Time, server, zone of the proxies, tries, tries without an answer, interval and mean latency of
+    /// successes in microseconds, and the server's load report: busy share, operations in flight, service
+    /// time in microseconds.
     #[serde(rename = "h")]
     TriesReported(Micros, u32, u16, u64, u64, u64, u64, Option<f64>, Option<f64>, Option<u64>),
-    /// Moment, server, outcome, microseconds.
+    /// Time, server, outcome, duration in microseconds.
     #[serde(rename = "p")]
     Probed(Micros, u32, Probe, u64),
-    /// Moment, proxies joined from now on by zone.
+    /// Time, numbers of joined proxies by zone from now on.
     #[serde(rename = "j")]
     Joined(Micros, Vec<u32>),
-    /// Moment, lines, bindings and levels ordered.
+    /// Time, numbers of lines, bindings and levels ordered.
     #[serde(rename = "o")]
     Ordered(Micros, u32, u32, u32),
-    /// So many lines were let go here, since the disk did not take them.
+    /// The number of lines dropped here, since they could not be written.
     #[serde(rename = "m")]
     Dropped(u64),
 }
 
-/// Whose ledger it is, and the fleet as that coordinator was told of it.
+/// The first line of a file: whose ledger it is, and the fleet in that coordinator's settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Header {
     pub format: String,
-    /// The program that made it.
+    /// The version of the program that wrote it.
     pub version: String,
     pub coordinator: String,
     pub began: Micros,
@@ -95,9 +97,9 @@
     pub report_period: Span,
 }
 
-impl Head {
+impl Header {
     pub fn of(settings: &CoordinatorSettings, now: Nanos) -> Self {
-        Head {
+        Header {
             format: FORMAT.to_owned(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             coordinator: settings.name.clone(),
@@ -114,22 +116,28 @@
     span.0 / 1_000
 }
 
-/// Turns what the decisions are told into lines. No file, no clock of its own.
+/// Converts events and orders into lines, without a file or a clock of its own.
 pub struct Ledger {
-    head: Head,
-    /// Servers' numbers, zones and kinds; they stay over a change of files.
+    head: Header,
+    /// Servers' numbers, zones and kinds; kept when files are rotated.
     servers: BTreeMap<ServerId, (u32, String, String)>,
-    zone_of: BTreeMap<ProxyId, ZoneId>,
+    zone_by_proxy: BTreeMap<ProxyId, ZoneId>,
     lines: Vec<Line>,
     dropped: u64,
 }
 
 impl Ledger {
-    pub fn new(head: Head) -> Self {
-        Ledger { head, servers: BTreeMap::new(), zone_of: BTreeMap::new(), lines: Vec::new(), dropped: 0 }
+    pub fn new(head: Header) -> Self {
+        Ledger {
+            head,
+            servers: BTreeMap::new(),
+            zone_by_proxy: BTreeMap::new(),
+            lines: Vec::new(),
+            dropped: 0,
+        }
     }
 
-    /// Lines since the last time.
+    /// Takes the lines since the last call.
     pub fn take(&mut self) -> Vec<Line> {
         let mut lines = std::mem::take(&mut self.lines);
         if self.dropped > 0 {
@@ -138,35 +146,35 @@
         lines
     }
 
-    /// What could not be written; it is tried again with what comes next, as far as there is room.
+    /// Puts back lines that could not be written, to be written with later ones as far as there is room.
     pub fn requeue(&mut self, mut lines: Vec<Line>) {
         lines.append(&mut self.lines);
         self.lines = lines;
         self.trim();
     }
 
-    /// All lines that were not written, as one that reads the file would have them.
+    /// Takes all lines not yet written, in the form that reading a file gives.
     pub fn take_contents(&mut self) -> LedgerContents {
         LedgerContents { head: self.head.clone(), lines: self.take(), torn: false }
     }
 
     fn trim(&mut self) {
-        let over = self.lines.len().saturating_sub(WAITING_MOST);
-        // The oldest go; names of servers stay, since later lines rest on them.
-        let mut left = over;
+        let excess = self.lines.len().saturating_sub(MAX_PENDING_LINES);
+        // Drops the oldest lines, except definitions of servers, which later lines refer to.
+        let mut to_drop = excess;
         self.lines.retain(|line| {
-            let goes = left > 0 && !matches!(line, Line::Server(..));
-            left -= usize::from(goes);
-            !goes
+            let is_dropped = to_drop > 0 && !matches!(line, Line::Server(..));
+            to_drop -= usize::from(is_dropped);
+            !is_dropped
         });
-        self.dropped += (over - left) as u64;
+        self.dropped += (excess - to_drop) as u64;
     }
 
-    fn number(&mut self, server: &ServerId, zone: &str, kind: &str) -> u32 {
+    fn server_number(&mut self, server: &ServerId, zone: &str, kind: &str) -> u32 {
         let next = self.servers.len() as u32;
         let known = self.servers.get(server);
         let number = known.map_or(next, |known| known.0);
-        // Met before it was listed: its place comes now.
+        // A server reported before it was listed gets its zone and kind now.
         if known.is_none_or(|known| !zone.is_empty() && (known.1 != zone || known.2 != kind)) {
             self.servers.insert(server.clone(), (number, zone.to_owned(), kind.to_owned()));
             self.lines.push(Line::Server(number, server.0.to_string(), zone.to_owned(), kind.to_owned()));
@@ -174,10 +182,10 @@
         number
     }
 
-    /// Keeps what the decisions are told now.
+    /// Records the events given to the decisions at `now`.
     pub fn record_events(&mut self, now: Nanos, events: &[Event], names: &Names) {
         let at = micros(now);
-        let mut came: BTreeMap<(ZoneId, ClassId), (u64, u64, u64, u64)> = BTreeMap::new();
+        let mut demand: BTreeMap<(ZoneId, ClassId), (u64, u64, u64, u64)> = BTreeMap::new();
         let mut joined = false;
         for event in events {
             match event {
@@ -185,26 +193,26 @@
                 Event::List { entries, .. } => {
                     for entry in entries.iter() {
                         let (zone, kind) = (names.zone_name(entry.zone), names.kind_name(entry.kind));
-                        let server = self.number(&entry.server, zone, kind);
-                        let shown = match entry.readiness {
+                        let server = self.server_number(&entry.server, zone, kind);
+                        let state = match entry.readiness {
                             Readiness::Ready => ListedState::Ready,
                             Readiness::Draining => ListedState::Draining,
                             Readiness::Removed => ListedState::Removed,
                         };
                         let started = entry.started.map(micros);
-                        self.lines.push(Line::Listed(at, server, shown, entry.weight, started));
+                        self.lines.push(Line::Listed(at, server, state, entry.weight, started));
                     }
                 }
                 Event::ProxyJoined { proxy, zone, .. } => {
-                    self.zone_of.insert(*proxy, *zone);
+                    self.zone_by_proxy.insert(*proxy, *zone);
                     joined = true;
                 }
                 Event::ProxyLeft { proxy } => {
-                    self.zone_of.remove(proxy);
+                    self.zone_by_proxy.remove(proxy);
                     joined = true;
                 }
                 Event::TriesReported { server, zone, tries, unanswered, span, latency, report } => {
-                    let server = self.number(server, "", "");
+                    let server = self.server_number(server, "", "");
                     self.lines.push(Line::TriesReported(
                         at,
                         server,
@@ -219,18 +227,18 @@
                     ));
                 }
                 Event::Demand { proxy, class, arrived, unanswered, span } => {
-                    let Some(zone) = self.zone_of.get(proxy) else { continue };
-                    let sum = came.entry((*zone, *class)).or_default();
-                    *sum = (sum.0 + arrived, sum.1 + unanswered, sum.2 + micros(*span), sum.3 + 1);
+                    let Some(zone) = self.zone_by_proxy.get(proxy) else { continue };
+                    let total = demand.entry((*zone, *class)).or_default();
+                    *total = (total.0 + arrived, total.1 + unanswered, total.2 + micros(*span), total.3 + 1);
                 }
-                Event::Probed { server, outcome, latency: took, .. } => {
-                    let server = self.number(server, "", "");
+                Event::Probed { server, outcome, latency: duration, .. } => {
+                    let server = self.server_number(server, "", "");
                     let outcome = match outcome {
                         ProbeOutcome::Answered => Probe::Answered,
                         ProbeOutcome::TurnedAway => Probe::Rejected,
                         ProbeOutcome::Failed => Probe::Failed,
                     };
-                    self.lines.push(Line::Probed(at, server, outcome, micros(*took)));
+                    self.lines.push(Line::Probed(at, server, outcome, micros(*duration)));
                 }
                 Event::ExistingBinding { .. }
                 | Event::Applied { .. }
@@ -242,13 +250,13 @@
                 | Event::SliceDemand { .. } => {}
             }
         }
-        for ((zone, class), (arrived, unanswered, span, counts)) in came {
+        for ((zone, class), (arrived, unanswered, span, counts)) in demand {
             let span = span / counts.max(1);
             self.lines.push(Line::Demand(at, zone.0, u16::from(class.0), arrived, unanswered, span));
         }
         if joined {
             let mut counts = vec![0; self.head.zones.len()];
-            for zone in self.zone_of.values() {
+            for zone in self.zone_by_proxy.values() {
                 if let Some(count) = counts.get_mut(usize::from(zone.0)) {
                     *count += 1;
                 }
@@ -258,7 +266,7 @@
         self.trim();
     }
 
-    /// Keeps how much was ordered.
+    /// Records how many orders were given.
     pub fn record_orders(&mut self, now: Nanos, orders: &[Order]) {
         let count = |of: fn(&Order) -> bool| orders.iter().filter(|order| of(order)).count() as u32;
         let lines = count(|order| matches!(order, Order::Line { .. }));
@@ -270,45 +278,45 @@
     }
 }
 
-/// The file that a ledger goes to; it turns to a new one at a size, and keeps some of the old.
+/// The file of a ledger, rotated at a size limit; some of the old files are kept.
 pub struct LedgerFile {
     path: PathBuf,
-    most_bytes: u64,
-    kept: u32,
+    max_bytes: u64,
+    kept_files: u32,
     file: Option<File>,
     bytes: u64,
 }
 
 impl LedgerFile {
     pub fn new(path: PathBuf, settings: &LedgerSettings) -> Self {
-        LedgerFile { path, most_bytes: settings.most_bytes, kept: settings.kept, file: None, bytes: 0 }
+        LedgerFile { path, max_bytes: settings.most_bytes, kept_files: settings.kept, file: None, bytes: 0 }
     }
 
-    fn old(&self, number: u32) -> PathBuf {
+    fn rotated_path(&self, number: u32) -> PathBuf {
         let mut name = self.path.as_os_str().to_owned();
         name.push(format!(".{number}"));
         PathBuf::from(name)
     }
 
-    /// Moves what stands there aside: `.1` is the newest of the old ones.
-    fn turn(&mut self) -> io::Result<()> {
+    /// Rotates the files: `.1` is the newest of the old ones.
+    fn rotate(&mut self) -> io::Result<()> {
         self.file = None;
         if !self.path.try_exists()? {
             return Ok(());
         }
-        if self.kept == 0 {
+        if self.kept_files == 0 {
             return fs::remove_file(&self.path);
         }
-        for number in (1..self.kept).rev() {
-            match fs::rename(self.old(number), self.old(number + 1)) {
+        for number in (1..self.kept_files).rev() {
+            match fs::rename(self.rotated_path(number), self.rotated_path(number + 1)) {
                 Err(cause) if cause.kind() != io::ErrorKind::NotFound => return Err(cause),
                 Ok(()) | Err(_) => {}
             }
         }
-        fs::rename(&self.path, self.old(1))
+        fs::rename(&self.path, self.rotated_path(1))
     }
 
-    /// Writes what the ledger holds as one member, in a file begun anew where none is open or this one is full.
+    /// Writes the ledger's lines as one member, in a new file if none is open or the current one is full.
     pub fn write(&mut self, ledger: &mut Ledger, now: Nanos) -> io::Result<()> {
         let lines = ledger.take();
         if lines.is_empty() {
@@ -316,7 +324,7 @@
         }
         let written = self.write_lines(ledger, &lines, now);
         if written.is_err() {
-            // Half a member may stand there: no more is put behind it.
+            // The file may end in a partial member, so nothing is appended to it.
             self.file = None;
             ledger.requeue(lines);
         }
@@ -325,12 +333,12 @@
 
     fn write_lines(&mut self, ledger: &mut Ledger, lines: &[Line], now: Nanos) -> io::Result<()> {
         let mut text = Vec::new();
-        if self.file.is_none() || self.bytes >= self.most_bytes {
-            self.turn()?;
+        if self.file.is_none() || self.bytes >= self.max_bytes {
+            self.rotate()?;
             let file = OpenOptions::new().create_new(true).append(true).open(&self.path)?;
             ledger.head.began = micros(now);
             push(&mut text, &ledger.head)?;
-            // Each file stands alone: it names all servers known so far.
+            // Each file is self-contained: it defines all servers known so far.
             for (server, (number, zone, kind)) in &ledger.servers {
                 push(&mut text, &Line::Server(*number, server.0.to_string(), zone.clone(), kind.clone()))?;
             }
@@ -348,7 +356,7 @@
     }
 }
 
-/// Writes a whole ledger as one file.
+/// Writes a complete ledger to one file.
 pub fn write(path: &Path, contents: &LedgerContents) -> io::Result<()> {
     let mut text = Vec::new();
     push(&mut text, &contents.head)?;
@@ -364,12 +372,12 @@
     Ok(())
 }
 
-/// A ledger as read.
+/// The contents of a ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LedgerContents {
-    pub head: Head,
+    pub head: Header,
     pub lines: Vec<Line>,
-    /// The last member was cut short: its writer was killed, or still writes.
+    /// The last member is truncated: its writer was killed, or is still writing.
     pub torn: bool,
 }
 
@@ -377,9 +385,9 @@
 #[derive(Debug)]
 pub enum Fault {
     System(io::Error),
-    /// In that line, counted from 1.
+    /// An invalid line, counted from 1.
     Line(usize, String),
-    /// Nothing, or another format.
+    /// The file is empty or has another format.
     Format(String),
 }
 
@@ -396,7 +404,7 @@
     }
 }
 
-/// One member's text; nothing at the end, an error's word where it is cut short or damaged.
+/// The text of the next member; `None` at the end, an error where it is truncated or damaged.
 fn member(input: &mut impl BufRead) -> Option<Result<Vec<u8>, String>> {
     match input.fill_buf() {
         Ok([]) => return None,
@@ -404,28 +412,30 @@
         Err(cause) => return Some(Err(cause.to_string())),
     }
     let mut text = Vec::new();
-    let read = GzDecoder::new(input).take(MEMBER_MOST).read_to_end(&mut text);
+    let read = GzDecoder::new(input).take(MAX_MEMBER_BYTES).read_to_end(&mut text);
     Some(match read {
-        Ok(count) if count as u64 >= MEMBER_MOST => Err(format!("a member of over {MEMBER_MOST} bytes")),
+        Ok(count) if count as u64 >= MAX_MEMBER_BYTES => {
+            Err(format!("a member exceeds {MAX_MEMBER_BYTES} bytes"))
+        }
         Ok(_) => Ok(text),
         Err(cause) => Err(cause.to_string()),
     })
 }
 
-/// Reads a ledger. What a kill cut short is left out and said; what is damaged in the middle is refused.
+/// Reads a ledger. A truncated last member is skipped and noted in `torn`; damage before it is an error.
 pub fn read(path: &Path) -> Result<LedgerContents, Fault> {
     let mut input = BufReader::new(File::open(path).map_err(Fault::System)?);
-    let mut head: Option<Head> = None;
+    let mut head: Option<Header> = None;
     let (mut lines, mut number, mut torn) = (Vec::new(), 0, false);
     let mut servers = 0;
     while let Some(text) = member(&mut input) {
         let text = match text {
             Ok(text) => text,
             Err(cause) if number == 0 => {
-                return Err(Fault::Format(format!("not gzip, or cut short: {cause}")))
+                return Err(Fault::Format(format!("not gzip, or truncated: {cause}")))
             }
             Err(cause) => {
-                // At the end it is a writer's last breath; with more behind it, damage.
+                // At the end of the file it is a truncated write; with more data behind it, damage.
                 let mut rest = Vec::new();
                 let more = input.read_to_end(&mut rest).map_err(Fault::System)?;
                 if more > 0 {
@@ -438,20 +448,20 @@
         for line in text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
             number += 1;
             let Some(head) = &head else {
-                let read: Head = serde_json::from_slice(line)
-                    .map_err(|cause| Fault::Format(format!("its head cannot be read: {cause}")))?;
+                let read: Header = serde_json::from_slice(line)
+                    .map_err(|cause| Fault::Format(format!("its header cannot be read: {cause}")))?;
                 if read.format != FORMAT {
                     return Err(Fault::Format(format!("its format is {:?}", read.format)));
                 }
                 head = Some(read);
                 continue;
             };
-            if lines.len() >= LINES_MOST {
-                return Err(Fault::Line(number, format!("more than {LINES_MOST} lines")));
+            if lines.len() >= MAX_LINES {
+                return Err(Fault::Line(number, format!("more than {MAX_LINES} lines")));
             }
             let line: Line =
                 serde_json::from_slice(line).map_err(|cause| Fault::Line(number, cause.to_string()))?;
-            head.fits(&line, &mut servers).map_err(|what| Fault::Line(number, what))?;
+            head.check_references(&line, &mut servers).map_err(|what| Fault::Line(number, what))?;
             lines.push(line);
         }
     }
@@ -459,9 +469,9 @@
     Ok(LedgerContents { head, lines, torn })
 }
 
-impl Head {
-    /// A line speaks only of zones, classes and servers that were named before.
-    fn fits(&self, line: &Line, servers: &mut u32) -> Result<(), String> {
+impl Header {
+    /// Checks that a line refers only to zones and classes of the header and to servers defined before it.
+    fn check_references(&self, line: &Line, servers: &mut u32) -> Result<(), String> {
         let (server, zone, class) = match line {
             Line::Server(number, ..) => {
                 *servers = (*servers).max(number.saturating_add(1));
@@ -475,13 +485,13 @@
             }
         };
         if let Some(server) = server.filter(|server| *server >= *servers) {
-            return Err(format!("server {server} has no name before it"));
+            return Err(format!("server {server} is not defined before it"));
         }
         if let Some(zone) = zone.filter(|zone| usize::from(*zone) >= self.zones.len()) {
-            return Err(format!("zone {zone} is none of the {} of the head", self.zones.len()));
+            return Err(format!("zone {zone} is not one of the {} in the header", self.zones.len()));
         }
         if let Some(class) = class.filter(|class| usize::from(*class) >= self.classes.len()) {
-            return Err(format!("class {class} is none of the {} of the head", self.classes.len()));
+            return Err(format!("class {class} is not one of the {} in the header", self.classes.len()));
         }
         Ok(())
     }
@@ -498,11 +508,11 @@
         names
     }
 
-    fn head() -> Head {
+    fn head() -> Header {
         let class = serde_json::json!({
             "name": "read", "latency_goal": "400ms", "hard_stop": "1s", "importance": 1, "repeats": "safe"
         });
-        Head {
+        Header {
             format: FORMAT.to_owned(),
             version: "0".to_owned(),
             coordinator: "c".to_owned(),
@@ -564,7 +574,7 @@
     }
 
     #[test]
-    fn what_was_told_is_read_again_member_by_member() {
+    fn recorded_events_are_read_back_member_by_member() {
         let folder = tempfile::tempdir().unwrap();
         let (mut ledger, mut file) = (Ledger::new(head()), file(folder.path(), 1 << 20));
         for number in 1..4 {
@@ -574,8 +584,8 @@
         }
         let contents = read(&folder.path().join("l.gz")).unwrap();
         assert!(!contents.torn);
-        // All known servers' names; then three times: named when met, its place when listed, the listing, what was heard,
-        // arrivals, proxies.
+        // The definitions of all known servers; then three times: a definition when reported, one when
+        // listed, the listing, the reported tries, arrivals, proxies.
         assert_eq!(contents.lines.len(), 1 + 18);
         assert_eq!(contents.lines[18], Line::Joined(3_000, vec![3]));
         assert_eq!(contents.lines[17], Line::Demand(3_000, 0, 0, 9, 0, 500_000));
@@ -583,9 +593,9 @@
         assert_eq!((&contents.lines[0], &contents.lines[3]), (&place, &place));
     }
 
-    /// A coordinator killed while it writes must not cost what stood there before.
+    /// A coordinator killed while writing must not lose what was written before.
     #[test]
-    fn a_cut_at_any_byte_costs_the_last_member_alone_and_is_said() {
+    fn truncation_at_any_byte_loses_only_the_last_member_and_is_reported() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("l.gz");
         let (mut ledger, mut file) = (Ledger::new(head()), file(folder.path(), 1 << 20));
@@ -605,7 +615,7 @@
                 Err(fault) => panic!("cut at {cut}: {fault}"),
             }
         }
-        // Damage in the middle is no end.
+        // Damage in the middle is not taken for the end.
         let mut flipped = whole.clone();
         flipped[first / 2] ^= 0x40;
         fs::write(&path, &flipped).unwrap();
@@ -613,7 +623,7 @@
     }
 
     #[test]
-    fn a_full_file_is_turned_and_each_one_stands_alone() {
+    fn a_full_file_is_rotated_and_each_file_is_self_contained() {
         let folder = tempfile::tempdir().unwrap();
         let (mut ledger, mut file) = (Ledger::new(head()), file(folder.path(), 1));
         for number in 1..6u64 {
@@ -629,9 +639,9 @@
         assert!(matches!(&read("l.gz").lines[0], Line::Server(0, name, ..) if name == "127.0.0.1:1"));
     }
 
-    /// A disk that is full for a while costs nothing while there is room; then the oldest go, and it is said.
+    /// While the disk is full, lines wait in memory; beyond the limit the oldest are dropped and counted.
     #[test]
-    fn what_the_disk_refuses_waits_and_comes_later() {
+    fn lines_that_cannot_be_written_are_written_later() {
         let folder = tempfile::tempdir().unwrap();
         let (mut ledger, mut file) = (Ledger::new(head()), file(&folder.path().join("nowhere"), 1 << 20));
         ledger.record_events(Nanos(1), &events(1), &names());
@@ -639,13 +649,13 @@
         fs::create_dir(folder.path().join("nowhere")).unwrap();
         file.write(&mut ledger, Nanos(2)).unwrap();
         assert!(read(&folder.path().join("nowhere/l.gz")).unwrap().lines.len() >= 6);
-        let many = vec![Line::ListFailed(1); WAITING_MOST + 5];
+        let many = vec![Line::ListFailed(1); MAX_PENDING_LINES + 5];
         ledger.requeue(many);
         assert_eq!(ledger.take().last(), Some(&Line::Dropped(5)));
     }
 
     #[test]
-    fn strange_lines_are_named() {
+    fn invalid_lines_are_named_in_the_error() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("l.gz");
         for (line, word) in [
--- a/crates/craneknot-coordinator/src/lib.rs
+++ b/crates/craneknot-coordinator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The running coordinator: passes events to the decisions (`craneknot::Controller`) and carries out their orders.
-//! [`engine`] is the coordinator without I/O; [`shell`] connects it to sockets and files.
+//! The running coordinator: passes events to the decisions (`craneknot::Controller`) and carries out their
+//! orders. [`engine`] is the coordinator without I/O; [`shell`] connects it to sockets and files.
 //!
-//! The remaining modules hold the program's own rules: which server lists are accepted ([`roster`]), which load
-//! reports count ([`report_aggregator`]), when a stream is sent resources and how a rejection is handled
-//! ([`session`]), and when a message leaves the channel ([`channel`]). [`ledger`] records the events given to the
-//! decisions. Each takes the current time as an argument.
+//! The remaining modules hold the program's own rules: which server lists are accepted ([`roster`]), which
+//! load reports count ([`report_aggregator`]), when a stream is sent resources and how a rejection is handled
+//! ([`session`]), and when a message leaves the channel ([`channel`]). [`ledger`] records the events given to
+//! the decisions. Each takes the current time as an argument.
 
 pub mod channel;
 pub mod engine;
--- a/crates/craneknot-coordinator/src/proxy_ids.rs
+++ b/crates/craneknot-coordinator/src/proxy_ids.rs
@@ -4,8 +4,8 @@
 
 use craneknot::interface::ProxyId;
 
-/// Ids are assigned in order of first arrival and kept. Once all are assigned, a new proxy gets the id of the proxy
-/// that left longest ago.
+/// Ids are assigned in order of first arrival and kept. Once all are assigned, a new proxy gets the id of the
+/// proxy that left longest ago.
 #[derive(Default)]
 pub struct ProxyIds {
     ids_by_name: HashMap<String, ProxyId>,
--- a/crates/craneknot-coordinator/src/report_aggregator.rs
+++ b/crates/craneknot-coordinator/src/report_aggregator.rs
@@ -10,7 +10,7 @@
 use craneknot_xds::load::{metric, ClusterStats, EndpointStats, LoadStatsRequest, CLOSED_AT};
 
 const MAX_RATE: f64 = 1e6; // operations a second of one class at one server; higher counts are erroneous
-const MAX_INTERVAL: Nanos = Nanos::from_millis(60_000); // totals over a longer time say nothing about current load
+const MAX_INTERVAL: Nanos = Nanos::from_millis(60_000); // longer totals say nothing about current load
 const MAX_ENDPOINTS: usize = 4_096; // of one class in one report; more than any table holds
 const MAX_LATENCY_MS: f64 = 3.6e6; // an hour; no operation lasts that long
 
--- a/crates/craneknot-coordinator/src/resource_cache.rs
+++ b/crates/craneknot-coordinator/src/resource_cache.rs
@@ -81,9 +81,9 @@
 
 /// The ordered tables, levels and bindings with their encoded texts.
 pub struct ResourceCache {
-    /// The prefix of every table's name. A coordinator that shares no fleet uses one of its own per process, so that
-    /// tables of two processes are never confused; coordinators of a shared fleet, which number tables identically, use
-    /// the same one.
+    /// The prefix of every table's name. A coordinator that shares no fleet uses one of its own per process,
+    /// so that tables of two processes are never confused; coordinators of a shared fleet, which number
+    /// tables identically, use the same one.
     source: String,
     classes: Vec<String>,
     level_unit: LevelUnit,
@@ -229,7 +229,8 @@
         messages.collect()
     }
 
-    /// Everything that a proxy should hold by the orders so far, for a stream that must be sent its state again.
+    /// Everything that a proxy should hold by the orders so far, for a stream that must be sent its state
+    /// again.
     pub fn full_state(&mut self, proxy: ProxyId) -> ResourceUpdate {
         let tables: BTreeSet<TableId> =
             self.bound_tables.get(&proxy).into_iter().flatten().flatten().copied().collect();
@@ -260,7 +261,8 @@
         self.source = source;
     }
 
-    /// Whether every class of the proxy has a table; only then can its bindings be sent, since they are sent together.
+    /// Whether every class of the proxy has a table; only then can its bindings be sent, since they are sent
+    /// together.
     pub fn has_all_bindings(&self, proxy: ProxyId) -> bool {
         self.bound_tables.get(&proxy).is_some_and(|bound_tables| bound_tables.iter().all(Option::is_some))
     }
--- a/crates/craneknot-coordinator/src/roster.rs
+++ b/crates/craneknot-coordinator/src/roster.rs
@@ -1,8 +1,9 @@
 //! Validation of server lists: truncated, stale, contradictory or suddenly short lists.
 //!
-//! A file of servers is JSON: `{"version": 12, "servers": [{"address": "127.0.0.1:9001", "zone": "north", "kind":
-//! "small", "cell": 1, "weight": 1.5, "started": 1764600000.5, "state": "up"}]}`. `started` is in seconds since the
-//! Unix epoch (omitted: long ago), `state` is `up` or `draining`; a removed server is omitted.
+//! A file of servers is JSON: `{"version": 12, "servers": [{"address": "127.0.0.1:9001", "zone": "north",
+//! "kind": "small", "cell": 1, "weight": 1.5, "started": 1764600000.5, "state": "up"}]}`. `started` is in
+//! seconds since the Unix epoch (omitted: long ago), `state` is `up` or `draining`; a removed server is
+//! omitted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,7 +13,7 @@
 use craneknot_settings::Names;
 use serde::{Deserialize, Serialize};
 
-const SHRINK_THRESHOLD: f64 = 0.75; // share of servers missing at once that needs confirmation: a restarted registry
+const SHRINK_THRESHOLD: f64 = 0.75; // share of missing servers that needs confirmation: a registry restart
 const MAX_SERVERS: usize = 20_000; // more than any deployment has
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,7 +89,8 @@
 pub struct RosterValidator {
     current: Option<BTreeMap<ServerId, Listing>>,
     version: u64,
-    /// How long a suddenly short list stays unconfirmed: less than the drain grace, since it may announce drains.
+    /// How long a suddenly short list stays unconfirmed: less than the drain grace, since it may announce
+    /// drains.
     confirmation_delay: Nanos,
     unconfirmed: Option<(u64, Nanos)>,
 }
--- a/crates/craneknot-coordinator/src/session.rs
+++ b/crates/craneknot-coordinator/src/session.rs
@@ -1,11 +1,12 @@
-//! The state of one stream: resources pending for its proxy, unacknowledged responses, and backoff after a rejection.
+//! The state of one stream: resources pending for its proxy, unacknowledged responses, and backoff after a
+//! rejection.
 //!
-//! An agent asks for each kind of resource by a long-polling request. As soon as something is pending, requests are
-//! answered in order, up to the last one whose kind can be sent: in full if the kind changed, with 304 if not. The
-//! next request of that kind accepts or rejects the response by its nonce.
+//! An agent asks for each kind of resource by a long-polling request. As soon as something is pending,
+//! requests are answered in order, up to the last one whose kind can be sent: in full if the kind changed,
+//! with 304 if not. The next request of that kind accepts or rejects the response by its nonce.
 //!
-//! Bindings wait until the tables and levels sent with them are accepted: an agent may still have an old table of the
-//! same name with servers that no longer exist, and must not follow a binding to it.
+//! Bindings wait until the tables and levels sent with them are accepted: an agent may still have an old
+//! table of the same name with servers that no longer exist, and must not follow a binding to it.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -147,8 +148,8 @@
         self.state
     }
 
-    /// Lines that have left the channel and wait for the proxy. They stay bounded by the full state even if the proxy
-    /// stalls.
+    /// Lines that have left the channel and wait for the proxy. They stay bounded by the full state even if
+    /// the proxy stalls.
     pub fn held_lines(&self) -> f64 {
         self.pending_lines
     }
@@ -242,8 +243,8 @@
         Some(Outcome::Applied { marks, decided })
     }
 
-    /// The responses to send now. `full_state` returns everything that the proxy should hold; it is called after a
-    /// rejection.
+    /// The responses to send now. `full_state` returns everything that the proxy should hold; it is called
+    /// after a rejection.
     pub fn responses(&mut self, now: Nanos, full_state: impl FnOnce() -> ResourceUpdate) -> Vec<Response> {
         if self.retry_at.is_some_and(|at| at <= now) {
             self.transition(now, Trigger::BackoffElapsed);
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -1,4 +1,4 @@
-//! The coordinator on sockets and files.
+//! Runs the coordinator's engine on sockets and files.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fs;
@@ -36,19 +36,19 @@
 use crate::session::{Outcome, Response};
 
 const JSON: (HeaderName, &str) = (header::CONTENT_TYPE, "application/json");
-const FLEET_STATE_RECORD: &str = "fleet/saved"; // the store's record of term, vote and history
-const FLUSH_TIMEOUT: Duration = Duration::from_millis(500); // ms; for the last answers to be written
-const ROSTER_RECORD: &str = "roster"; // the store's record of the last list of servers
-const FOLLOWED_PREFIX: &str = "proxy/"; // the store's records of what each proxy last followed, by its name
-const MAX_FOLLOWED_RECORDS: usize = 65_536; // of these: as many as the decisions can tell proxies apart
-const DATAGRAM_TOKEN: usize = 2; // the number under which the socket for datagrams is watched
+const FLEET_STATE_RECORD: &str = "fleet/saved"; // the store's record of the term, vote and history
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500); // for writing the last responses at shutdown
+const ROSTER_RECORD: &str = "roster"; // the store's record of the last server list
+const FOLLOWED_PREFIX: &str = "proxy/"; // the store's records of the version each proxy last followed
+const MAX_FOLLOWED_RECORDS: usize = 65_536; // one for each possible proxy id
+const DATAGRAM_TOKEN: usize = 2; // the reactor's token for the datagram socket
 const MAX_DATAGRAMS_PER_TURN: usize = 256;
-const ROSTER_TOKEN: usize = 1; // the number under which the roster's folder is watched
-const SIGHUP: i32 = 1; // SIGHUP
-const MAX_SETTINGS_BYTES: u64 = 8 * 1024 * 1024; // bytes of settings that are read again, as at the start
-const MAX_PIPELINED_REQUESTS: usize = 16; // requests taken ahead of their answers: three kinds, twice over, and some room
+const ROSTER_TOKEN: usize = 1; // the reactor's token for the folder of the server list
+const SIGHUP: i32 = 1;
+const MAX_SETTINGS_BYTES: u64 = 8 * 1024 * 1024; // the limit for reloaded settings, as at the start
+const MAX_PIPELINED_REQUESTS: usize = 16; // ahead of their responses: twice three kinds, and some room
 
-/// What ends the program.
+/// Why the program ends.
 #[derive(Debug)]
 pub enum ExitReason {
     /// By a signal, after the streams were closed.
@@ -64,21 +64,22 @@
 
 enum Timer {
     Turn,
-    /// The ledger is written.
+    /// Write the ledger.
     WriteLedger,
     Sweep,
 }
 
-/// A connection of a peer that dialled.
+/// An accepted connection.
 struct Peer {
     reader: RequestReader,
     stream: StreamId,
     joined: bool,
     from: SocketAddr,
-    /// Requests whose answers are still to be written, in order.
+    /// Requests without a response so far, in order.
     requests: VecDeque<Kind>,
 }
 
+/// The running coordinator.
 pub struct Shell {
     settings: CoordinatorSettings,
     folder: PathBuf,
@@ -96,7 +97,7 @@
     read_roster: bool,
     shared: Option<FleetIo>,
     ledger: Option<LedgerFile>,
-    /// Read again when asked to.
+    /// The settings file, read again on SIGHUP.
     file: Option<PathBuf>,
     log_lines_dropped: Counter,
 }
@@ -149,14 +150,15 @@
 
     fn send(&self, to: &str, text: &[u8]) {
         if let Some(address) = self.members.get(to) {
-            // A datagram that does not leave is as good as lost, which the protocol bears.
+            // A datagram that cannot be sent counts as lost, which the protocol tolerates.
             let _ = self.socket.send_to(text, address);
         }
     }
 }
 
 impl Shell {
-    /// Listens, and takes the list kept from an earlier start. `folder` is where relative paths begin.
+    /// Starts listening and loads the server list saved by an earlier process. Relative paths are relative to
+    /// `folder`.
     pub fn new(settings: CoordinatorSettings, folder: &Path, clock: Arc<dyn Clock>) -> io::Result<Self> {
         let limits = Limits {
             input: settings.streams.request_bytes.max(64 * 1024),
@@ -174,12 +176,12 @@
         if let Some(path) = &settings.roster.remembered {
             match fs::read(folder.join(path)) {
                 Ok(text) => match engine.load_saved_roster(now, &text) {
-                    Ok(()) => info!(file = %path.display(), "took the list kept from before this start"),
-                    Err(refusal) => {
-                        warn!(file = %path.display(), cause = %refusal, "the kept list is of no use")
+                    Ok(()) => info!(file = %path.display(), "loaded the saved server list"),
+                    Err(error) => {
+                        warn!(file = %path.display(), cause = %error, "the saved server list is invalid")
                     }
                 },
-                Err(cause) => debug!(file = %path.display(), %cause, "no list is kept"),
+                Err(cause) => debug!(file = %path.display(), %cause, "there is no saved server list"),
             }
         }
         let shared = settings.shared.as_ref().map(|shared| FleetIo::open(shared, folder)).transpose()?;
@@ -190,10 +192,10 @@
             for (_, version) in shared.store.with_prefix(FOLLOWED_PREFIX) {
                 engine.note_followed_version(&String::from_utf8_lossy(version));
             }
-            if let Some(Err(refusal)) =
+            if let Some(Err(error)) =
                 shared.store.get(ROSTER_RECORD).map(|list| engine.load_saved_roster(now, list))
             {
-                warn!(cause = %refusal, "the list in the store is of no use");
+                warn!(cause = %error, "the server list in the store is invalid");
             }
             reactor.watch(&shared.socket, DATAGRAM_TOKEN)?;
             datagrams = Some(shared.socket.local_addr()?.to_string());
@@ -233,17 +235,18 @@
         })
     }
 
-    /// Takes these signals as a wish to end.
+    /// Shuts down on these signals.
     pub fn end_on(&mut self, signals: SignalFlags) {
         self.reactor.watch_signals(signals);
     }
 
-    /// Tells this count in the status: of log lines that were not written.
+    /// Sets the counter of dropped log lines that the status shows.
     pub fn set_dropped_line_counter(&mut self, dropped: Counter) {
         self.log_lines_dropped = dropped;
     }
 
-    /// Reads this file again on SIGHUP: members of a shared fleet may change in service, all else with a new start.
+    /// Reads this settings file again on SIGHUP. The members of a shared fleet change at once, all other
+    /// settings at the next start.
     pub fn reload_from(&mut self, file: &Path) {
         self.file = Some(file.to_owned());
     }
@@ -252,18 +255,20 @@
         let Some(file) = &self.file else { return };
         let text = match read_regular_file(file, MAX_SETTINGS_BYTES) {
             Ok(text) => text,
-            Err(cause) => return error!(%cause, "the settings cannot be read; the old ones stand"),
+            Err(cause) => return error!(%cause, "cannot read the settings; keeping the current ones"),
         };
         let fresh: CoordinatorSettings = match parse(file, &text) {
             Ok(fresh) => fresh,
-            Err(problems) => return error!(%problems, "the settings are not in order; the old ones stand"),
+            Err(problems) => {
+                return error!(%problems, "the settings are not in order; keeping the current ones")
+            }
         };
         let now = self.reactor.now();
         if let (Some(shared), Some(fresh_shared)) = (&mut self.shared, &fresh.shared) {
             let named = fresh_shared.members.iter().map(|member| (member.name.clone(), member.datagrams));
             shared.members = named.collect();
             self.engine.set_members(now, fresh_shared.members.iter().map(|member| member.name.clone()));
-            info!(members = shared.members.len(), "took the members that the settings name");
+            info!(members = shared.members.len(), "applied the members in the settings");
         }
         let without_members = |settings: &CoordinatorSettings| {
             let mut rest = settings.clone();
@@ -275,12 +280,12 @@
             rest
         };
         if without_members(&fresh) != without_members(&self.settings) {
-            warn!("other settings have changed too: they count with the next start");
+            warn!("other settings have changed too and apply at the next start");
         }
         self.settings.shared = fresh.shared.or(self.settings.shared.take());
     }
 
-    /// Runs until a signal ends it.
+    /// Runs until a signal or an error ends it.
     pub fn run(&mut self) -> ExitReason {
         loop {
             match self.run_once() {
@@ -290,7 +295,7 @@
                     self.reactor.close_listener(self.listener);
                     self.peers.keys().for_each(|conn| self.reactor.close_gracefully(*conn));
                     if let Err(cause) = self.reactor.flush(FLUSH_TIMEOUT) {
-                        warn!(%cause, "the last answers could not be written");
+                        warn!(%cause, "cannot write the last responses");
                     }
                     return ExitReason::Signalled;
                 }
@@ -299,7 +304,7 @@
         }
     }
 
-    /// Waits for what happens, and acts on it; false: a signal asks for the end.
+    /// Waits for events and handles them. Returns false if a signal requests a shutdown.
     pub fn run_once(&mut self) -> io::Result<bool> {
         self.turn();
         self.reactor.poll(None)?;
@@ -337,7 +342,7 @@
                     self.reload();
                 }
                 ReactorEvent::Signal(signal) => {
-                    info!(signal, "ending");
+                    info!(signal, "shutting down");
                     return Ok(false);
                 }
             }
@@ -345,7 +350,7 @@
         Ok(true)
     }
 
-    /// Lets the desk act, and carries out what it asks for.
+    /// Runs a turn of the engine and carries out its outputs.
     fn turn(&mut self) {
         let now = self.reactor.now();
         if std::mem::take(&mut self.read_roster) || self.engine.roster_due(now) {
@@ -359,7 +364,7 @@
                 }
                 Output::CloseStream { stream, cause } => {
                     if let Some(conn) = self.conns.remove(&stream) {
-                        warn!(stream = stream.0, %cause, "breaking a stream");
+                        warn!(stream = stream.0, %cause, "closing a stream");
                         self.peers.remove(&conn);
                         self.reactor.close(conn);
                     }
@@ -370,8 +375,9 @@
                 Output::SaveFleetState(saved) => {
                     let Some(shared) = &mut self.shared else { continue };
                     if let Err(cause) = shared.save(&saved) {
-                        // What rests on it must not be sent: the others take this one for silent, and so it is.
-                        error!(%cause, "cannot save; this turn's datagrams are not sent");
+                        // Datagrams that depend on the unsaved state must not be sent; to the other members
+                        // this one is silent.
+                        error!(%cause, "cannot save the fleet state; not sending the datagrams of this turn");
                         unsaved = true;
                     }
                 }
@@ -379,7 +385,7 @@
                     if let Some(Err(cause)) =
                         self.shared.as_mut().map(|shared| shared.save_followed(&followed))
                     {
-                        warn!(%cause, "what proxies followed cannot be kept");
+                        warn!(%cause, "cannot save the versions that proxies follow");
                     }
                 }
                 Output::Datagram { to, text } => {
@@ -421,7 +427,7 @@
         let now = self.reactor.now();
         if let (Some(file), Some(ledger)) = (&mut self.ledger, self.engine.ledger()) {
             if let Err(cause) = file.write(ledger, now) {
-                warn!(%cause, "the ledger cannot be written; it waits in memory for a while");
+                warn!(%cause, "cannot write the ledger; keeping its lines in memory");
             }
         }
     }
@@ -430,7 +436,7 @@
         let text = match self.source.read() {
             Ok(text) => text,
             Err(cause) => {
-                warn!(source = self.source.name(), %cause, "the list of servers cannot be read");
+                warn!(source = self.source.name(), %cause, "cannot read the server list");
                 self.engine.roster_read_failed(now);
                 return;
             }
@@ -438,23 +444,23 @@
         match self.engine.update_roster(now, &text) {
             Ok((0, _)) => {}
             Ok((changed, notes)) => {
-                info!(changed, "took a list of servers");
-                notes.iter().for_each(|note| warn!(note, "set right in the list of servers"));
+                info!(changed, "applied a server list");
+                notes.iter().for_each(|note| warn!(note, "corrected the server list"));
                 if let Some(shared) = &mut self.shared {
                     if let Err(cause) = shared.store.put(&[(ROSTER_RECORD, Some(&text))]) {
-                        warn!(%cause, "the list cannot be kept in the store");
+                        warn!(%cause, "cannot save the server list to the store");
                     }
                 }
-                if let Some(kept) = &self.settings.roster.remembered {
-                    if let Err(cause) = replace(&DISK, &self.folder.join(kept), &text) {
-                        warn!(file = %kept.display(), %cause, "the list cannot be kept for the next start");
+                if let Some(path) = &self.settings.roster.remembered {
+                    if let Err(cause) = replace(&DISK, &self.folder.join(path), &text) {
+                        warn!(file = %path.display(), %cause, "cannot save the server list for the next start");
                     }
                 }
             }
             Err(RosterError::Shrunk { until, .. }) if now < until => {
-                warn!("the list is suddenly short; waiting")
+                warn!("the server list is suddenly short; waiting for confirmation")
             }
-            Err(refusal) => warn!(cause = %refusal, "the list of servers is refused; the old one stands"),
+            Err(error) => warn!(cause = %error, "rejected the server list; keeping the current one"),
         }
     }
 
@@ -484,12 +490,12 @@
             }
         };
         if self.reactor.send(conn, chunks).is_err() {
-            self.drop_peer(conn, "more would wait than may");
+            self.drop_peer(conn, "the output buffer is full");
             self.reactor.close(conn);
         }
     }
 
-    /// A peer's connection is of no more use.
+    /// Forgets a connection and ends its stream.
     fn drop_peer(&mut self, conn: ConnId, cause: &str) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         if peer.joined {
@@ -499,10 +505,10 @@
         }
     }
 
-    /// Answers and closes: what the peer said cannot be gone on from.
+    /// Answers with an error and closes the connection.
     fn reject(&mut self, conn: ConnId, status: StatusCode, cause: &str) {
         if let Some(peer) = self.peers.get(&conn) {
-            warn!(from = %peer.from, %status, cause, "turned down");
+            warn!(from = %peer.from, %status, cause, "rejected a request");
         }
         let headers = [(header::CONTENT_TYPE, "text/plain"), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(status, &headers, cause.as_bytes())]);
@@ -559,32 +565,37 @@
     }
 
     fn reply(&mut self, conn: ConnId, status: StatusCode, body: &[u8]) {
-        // Answers come in the order of their requests: one in between held requests would take another's place.
+        // Responses go out in the order of requests: this one would be taken for that of an open discovery
+        // request.
         if self.peers.get(&conn).is_some_and(|peer| !peer.requests.is_empty()) {
             return self.reject(
                 conn,
                 StatusCode::BAD_REQUEST,
-                "a stream's connection is for discovery alone",
+                "a stream's connection accepts only discovery requests",
             );
         }
         if self.reactor.send(conn, [response(status, &[JSON], body)]).is_err() {
-            self.drop_peer(conn, "more would wait than may");
+            self.drop_peer(conn, "the output buffer is full");
             self.reactor.close(conn);
         }
     }
 
     fn discovery(&mut self, conn: ConnId, now: Nanos, kind: Kind, body: &[u8]) {
         let Some(peer) = self.peers.get_mut(&conn) else { return };
-        let requests: DiscoveryRequest = match serde_json::from_slice(body) {
-            Ok(requests) => requests,
+        let request: DiscoveryRequest = match serde_json::from_slice(body) {
+            Ok(request) => request,
             Err(cause) => return self.reject(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
         if peer.requests.len() >= MAX_PIPELINED_REQUESTS || peer.requests.contains(&kind) {
-            return self.reject(conn, StatusCode::TOO_MANY_REQUESTS, "that kind is asked for already");
+            return self.reject(
+                conn,
+                StatusCode::TOO_MANY_REQUESTS,
+                "a request for this kind is already open",
+            );
         }
         let (stream, first) = (peer.stream, !peer.joined);
         peer.requests.push_back(kind);
-        match self.engine.handle_request(now, stream, kind, requests) {
+        match self.engine.handle_request(now, stream, kind, request) {
             Ok(outcome) => {
                 if first {
                     peer.joined = true;
@@ -594,13 +605,18 @@
                 match outcome {
                     Some(Outcome::Rejected { kind, cause, .. }) => {
                         let proxy = self.engine.proxy_name(stream);
-                        warn!(proxy, ?kind, cause, "a proxy refused what it was sent; its old one stands");
+                        warn!(
+                            proxy,
+                            ?kind,
+                            cause,
+                            "a proxy rejected a response and keeps its current resources"
+                        );
                     }
                     Some(Outcome::UnknownNonce { kind }) => {
                         warn!(
                             proxy = self.engine.proxy_name(stream),
                             ?kind,
-                            "an answer to what was never sent"
+                            "an acknowledgement of a response that was never sent"
                         );
                     }
                     Some(Outcome::Applied { marks, .. }) => {
@@ -610,31 +626,32 @@
                 }
             }
             Err(RequestError::Elsewhere(to)) => self.redirect(conn, &to),
-            Err(refused @ RequestError::NoKnownOwner) => {
+            Err(error @ RequestError::NoKnownOwner) => {
                 let headers = [(header::RETRY_AFTER, "1"), (header::CONNECTION, "close")];
-                let text = refused.to_string();
+                let text = error.to_string();
                 let _ = self
                     .reactor
                     .send(conn, [response(StatusCode::SERVICE_UNAVAILABLE, &headers, text.as_bytes())]);
                 self.drop_peer(conn, &text);
                 self.reactor.close_gracefully(conn);
             }
-            Err(refused) => self.reject(conn, StatusCode::BAD_REQUEST, &refused.to_string()),
+            Err(error) => self.reject(conn, StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    /// Answers what is asked with the place of the coordinator in charge, by its name, and ends the connection.
+    /// Answers open requests with a redirect to the responsible coordinator, by its name, and closes the
+    /// connection.
     fn redirect(&mut self, conn: ConnId, to: &str) {
         let place = format!("http://{to}{}", Kind::Endpoints.path());
         let headers = [(header::LOCATION, place.as_str()), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(StatusCode::TEMPORARY_REDIRECT, &headers, b"")]);
-        self.drop_peer(conn, "another coordinator is in charge");
+        self.drop_peer(conn, "another coordinator is responsible");
         self.reactor.close_gracefully(conn);
     }
 
     fn redirect_stream(&mut self, stream: StreamId, to: &str) {
         let Some(conn) = self.conns.remove(&stream) else { return };
-        debug!(stream = stream.0, to, "sending on to the one in charge");
+        debug!(stream = stream.0, to, "redirecting to the responsible coordinator");
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.joined = false;
         }
@@ -649,11 +666,11 @@
             match shared.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => {
                     if let Err(cause) = self.engine.handle_datagram(now, &buffer[..length]) {
-                        warn!(%from, cause, "a datagram that is none of ours");
+                        warn!(%from, cause, "ignored an invalid datagram");
                     }
                 }
                 Err(cause) if cause.kind() == io::ErrorKind::WouldBlock => return,
-                // A fellow that does not run answers with an error on the next read.
+                // A member that is not running causes an error on the next read.
                 Err(_) => {}
             }
         }
@@ -666,8 +683,8 @@
         };
         match self.engine.handle_load_report(now, &report) {
             Ok(()) => {}
-            Err(ReportError::Repeated) => debug!("a report came again"),
-            Err(error) => warn!(unheard = ?error, "a report was not counted whole"),
+            Err(ReportError::Repeated) => debug!("ignored a repeated load report"),
+            Err(error) => warn!(unheard = ?error, "a load report was not counted completely"),
         }
         let wanted = LoadStatsResponse {
             send_all_clusters: true,
@@ -677,7 +694,7 @@
         self.reply(conn, StatusCode::OK, &serde_json::to_vec(&wanted).unwrap_or_default());
     }
 
-    /// Ends connections whose peers send too slowly or never read.
+    /// Closes connections whose peers send too slowly or do not read, and ends overdue probes.
     fn sweep(&mut self) {
         let now = self.reactor.now();
         let (within, stuck) = (self.settings.streams.request_within.0, self.settings.streams.stuck_after.0);
@@ -688,7 +705,7 @@
             .map(|(c, _)| *c)
             .collect();
         for conn in slow {
-            self.reject(conn, StatusCode::REQUEST_TIMEOUT, "the request did not come whole in time");
+            self.reject(conn, StatusCode::REQUEST_TIMEOUT, "the request was not complete in time");
         }
         let stalled: Vec<ConnId> = self
             .peers
@@ -722,7 +739,7 @@
                 self.reactor.set_timer(now + self.settings.probes.time_out.0, Timer::Sweep);
             }
             Err(cause) => {
-                debug!(server = %server.0, %cause, "a probe cannot be sent");
+                debug!(server = %server.0, %cause, "cannot send a probe");
                 self.engine.handle_probe_result(server, ProbeOutcome::Failed, Nanos(0), Default::default());
             }
         }
@@ -757,9 +774,9 @@
 
     fn end_probe(&mut self, conn: ConnId, outcome: ProbeOutcome, report: Option<&str>) {
         self.probe_readers.remove(&conn);
-        if let Some((server, took)) = self.probes.finish(self.reactor.now(), conn) {
+        if let Some((server, duration)) = self.probes.finish(self.reactor.now(), conn) {
             debug!(server = %server.0, ?outcome, "probed");
-            self.engine.handle_probe_result(server, outcome, took, probes::load_report(report));
+            self.engine.handle_probe_result(server, outcome, duration, probes::load_report(report));
         }
     }
 }
