--- a/crates/craneknot-coordinator/src/session.rs
+++ b/crates/craneknot-coordinator/src/session.rs
@@ -373,15 +373,19 @@
         session.enqueue(message(1, Some(3), false));
         session.responses(Nanos(3), ResourceUpdate::default);
         let rejected = request(&mut session, Kind::Endpoints, Some(1), Some("disk full"));
-        let retry_at = Nanos(2) + RETRY_DELAY_MIN;
+        let expected_retry = Nanos(2) + RETRY_DELAY_MIN;
         assert_eq!(
             rejected,
-            Some(Outcome::Rejected { kind: Kind::Endpoints, cause: "disk full".into(), retry_at })
+            Some(Outcome::Rejected {
+                kind: Kind::Endpoints,
+                cause: "disk full".into(),
+                retry_at: expected_retry
+            })
         );
         session.enqueue(message(2, None, false));
-        assert!(session.responses(retry_at - Nanos(1), ResourceUpdate::default).is_empty());
+        assert!(session.responses(expected_retry - Nanos(1), ResourceUpdate::default).is_empty());
         let full_state = || message(9, None, true).parts;
-        let responses = session.responses(retry_at, full_state);
+        let responses = session.responses(expected_retry, full_state);
         assert!(matches!(&responses[0], Response::Unchanged { kind: Kind::Routes }));
         assert!(matches!(&responses[2], Response::Resources { kind: Kind::Endpoints, nonce: 2, .. }));
         assert!(responses.len() == 3 && session.state() == State::AwaitingAck);
@@ -391,7 +395,7 @@
         // The mark of the rejected message is answered by the response that replaced it.
         let outcome = request(&mut session, Kind::Endpoints, Some(2), None);
         assert!(matches!(outcome, Some(Outcome::Applied { marks, .. }) if marks == [3]));
-        let responses = session.responses(retry_at, ResourceUpdate::default);
+        let responses = session.responses(expected_retry, ResourceUpdate::default);
         assert!(matches!(responses.last(), Some(Response::Resources { kind: Kind::Clusters, nonce: 3, .. })));
         request(&mut session, Kind::Clusters, Some(3), None);
         assert_eq!(session.state(), State::Synced);
