--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -1,4 +1,4 @@
-//! The coordinator on sockets and files.
+//! Runs the coordinator's engine on sockets and files.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fs;
@@ -27,63 +27,64 @@
 use http::{header, HeaderName, Method, Request, StatusCode};
 use tracing::{debug, error, info, warn};
 
-use crate::desk::{self, Desk, Output, Refused, StreamId};
-use crate::intake::Unheard;
+use crate::engine::{self, Engine, Output, RequestError, StreamId};
 use crate::ledger::LedgerFile;
 use crate::probes::{self, Probes};
-use crate::roster::Refusal;
-use crate::session::{Answer, Outcome};
-use crate::source::{FileRoster, RosterSource};
+use crate::report_aggregator::ReportError;
+use crate::roster::RosterError;
+use crate::roster_source::{FileRoster, RosterSource};
+use crate::session::{Outcome, Response};
 
 const JSON: (HeaderName, &str) = (header::CONTENT_TYPE, "application/json");
-const SAVED: &str = "fleet/saved"; // the store's record of term, vote and history
-const FLUSH_MOST: Duration = Duration::from_millis(500); // ms; for the last answers to be written
-const LIST: &str = "roster"; // the store's record of the last list of servers
-const FOLLOWED: &str = "proxy/"; // the store's records of what each proxy last followed, by its name
-const FOLLOWED_MOST: usize = 65_536; // of these: as many as the decisions can tell proxies apart
-const DATAGRAMS: usize = 2; // the number under which the socket for datagrams is watched
-const DATAGRAMS_A_TURN: usize = 256;
-const ROSTER: usize = 1; // the number under which the roster's folder is watched
-const HANG_UP: i32 = 1; // SIGHUP
-const SETTINGS_MOST: u64 = 8 * 1024 * 1024; // bytes of settings that are read again, as at the start
-const PIPELINE: usize = 16; // requests taken ahead of their answers: three kinds, twice over, and some room
-
-/// What ends the program.
+const FLEET_STATE_RECORD: &str = "fleet/saved"; // the store's record of the term, vote and history
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500); // for writing the last responses at shutdown
+const ROSTER_RECORD: &str = "roster"; // the store's record of the last server list
+const FOLLOWED_PREFIX: &str = "proxy/"; // the store's records of the version each proxy last followed
+const MAX_FOLLOWED_RECORDS: usize = 65_536; // one for each possible proxy id
+const DATAGRAM_TOKEN: usize = 2; // the reactor's token for the datagram socket
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+const ROSTER_TOKEN: usize = 1; // the reactor's token for the folder of the server list
+const SIGHUP: i32 = 1;
+const MAX_SETTINGS_BYTES: u64 = 8 * 1024 * 1024; // the limit for reloaded settings, as at the start
+const MAX_PIPELINED_REQUESTS: usize = 16; // ahead of their responses: twice three kinds, and some room
+
+/// Why the program ends.
 #[derive(Debug)]
-pub enum Ended {
+pub enum ExitReason {
     /// By a signal, after the streams were closed.
-    Asked,
+    Signalled,
     Failed(io::Error),
 }
 
-impl From<io::Error> for Ended {
+impl From<io::Error> for ExitReason {
     fn from(cause: io::Error) -> Self {
-        Ended::Failed(cause)
+        ExitReason::Failed(cause)
     }
 }
 
-enum Due {
+enum Timer {
     Turn,
-    /// The ledger is written.
-    Keep,
+    /// Write the ledger.
+    WriteLedger,
     Sweep,
 }
 
-/// A connection of a peer that dialled.
+/// An accepted connection.
 struct Peer {
     reader: RequestReader,
     stream: StreamId,
     joined: bool,
     from: SocketAddr,
-    /// Requests whose answers are still to be written, in order.
-    asked: VecDeque<Kind>,
+    /// Requests without a response so far, in order.
+    requests: VecDeque<Kind>,
 }
 
+/// The running coordinator.
 pub struct Shell {
     settings: CoordinatorSettings,
     folder: PathBuf,
-    reactor: Reactor<Due>,
-    desk: Desk,
+    reactor: Reactor<Timer>,
+    engine: Engine,
     listener: ListenerId,
     peers: BTreeMap<ConnId, Peer>,
     conns: BTreeMap<StreamId, ConnId>,
@@ -94,15 +95,15 @@
     next_stream: u64,
     turn_at: Option<Nanos>,
     read_roster: bool,
-    shared: Option<SharedEnd>,
+    shared: Option<FleetIo>,
     ledger: Option<LedgerFile>,
-    /// Read again when asked to.
+    /// The settings file, read again on SIGHUP.
     file: Option<PathBuf>,
     log_lines_dropped: Counter,
 }
 
 /// What a shared fleet needs: the store, and a socket for datagrams.
-struct SharedEnd {
+struct FleetIo {
     store: Store,
     socket: UdpSocket,
     members: BTreeMap<String, SocketAddr>,
@@ -110,17 +111,17 @@
 
 const DISK: RealDisk = RealDisk { sync: true };
 
-impl SharedEnd {
+impl FleetIo {
     fn open(settings: &SharedSettings, folder: &Path) -> io::Result<Self> {
         let store = Store::open(&folder.join(&settings.store)).map_err(io::Error::other)?;
         let socket = UdpSocket::bind(settings.datagrams)?;
         socket.set_nonblocking(true)?;
         let members = settings.members.iter().map(|member| (member.name.clone(), member.datagrams)).collect();
-        Ok(SharedEnd { store, socket, members })
+        Ok(FleetIo { store, socket, members })
     }
 
     fn saved(&self) -> io::Result<Saved> {
-        match self.store.get(SAVED) {
+        match self.store.get(FLEET_STATE_RECORD) {
             Some(text) => serde_json::from_slice(text).map_err(io::Error::other),
             None => Ok(Saved::default()),
         }
@@ -128,33 +129,36 @@
 
     fn save(&mut self, saved: &Saved) -> Result<(), StoreError> {
         let text = serde_json::to_vec(saved).unwrap_or_default();
-        self.store.put(&[(SAVED, Some(&text))])
+        self.store.put(&[(FLEET_STATE_RECORD, Some(&text))])
     }
 
-    fn keep(&mut self, followed: &[(String, String)]) -> Result<(), StoreError> {
-        let known = self.store.with_prefix(FOLLOWED).count();
-        let room = FOLLOWED_MOST.saturating_sub(known);
-        let named: Vec<(String, &str)> =
-            followed.iter().map(|(name, version)| (format!("{FOLLOWED}{name}"), version.as_str())).collect();
-        let fits = named
+    fn save_followed(&mut self, followed: &[(String, String)]) -> Result<(), StoreError> {
+        let record_count = self.store.with_prefix(FOLLOWED_PREFIX).count();
+        let room = MAX_FOLLOWED_RECORDS.saturating_sub(record_count);
+        let named: Vec<(String, &str)> = followed
+            .iter()
+            .map(|(name, version)| (format!("{FOLLOWED_PREFIX}{name}"), version.as_str()))
+            .collect();
+        let retained = named
             .iter()
             .filter(|(name, _)| self.store.get(name).is_some())
             .chain(named.iter().filter(|(name, _)| self.store.get(name).is_none()).take(room));
         let changes: Vec<(&str, Option<&[u8]>)> =
-            fits.map(|(name, version)| (name.as_str(), Some(version.as_bytes()))).collect();
+            retained.map(|(name, version)| (name.as_str(), Some(version.as_bytes()))).collect();
         self.store.put(&changes)
     }
 
     fn send(&self, to: &str, text: &[u8]) {
         if let Some(address) = self.members.get(to) {
-            // A datagram that does not leave is as good as lost, which the protocol bears.
+            // A datagram that cannot be sent counts as lost, which the protocol tolerates.
             let _ = self.socket.send_to(text, address);
         }
     }
 }
 
 impl Shell {
-    /// Listens, and takes the list kept from an earlier start. `folder` is where relative paths begin.
+    /// Starts listening and loads the server list saved by an earlier process. Relative paths are relative to
+    /// `folder`.
     pub fn new(settings: CoordinatorSettings, folder: &Path, clock: Arc<dyn Clock>) -> io::Result<Self> {
         let limits = Limits {
             input: settings.streams.request_bytes.max(64 * 1024),
@@ -164,34 +168,36 @@
         let mut reactor = Reactor::new(clock, limits)?;
         let now = reactor.now();
         let seed = settings.seed.unwrap_or(now.0);
-        let mut desk = Desk::new(&settings, seed, now);
+        let mut engine = Engine::new(&settings, seed, now);
         let roster = folder.join(&settings.roster.file);
         let mut watch = FolderWatch::new()?;
         watch.add(roster.parent().unwrap_or(folder))?;
-        reactor.watch(&watch, ROSTER)?;
+        reactor.watch(&watch, ROSTER_TOKEN)?;
         if let Some(path) = &settings.roster.remembered {
             match fs::read(folder.join(path)) {
-                Ok(text) => match desk.remember(now, &text) {
-                    Ok(()) => info!(file = %path.display(), "took the list kept from before this start"),
-                    Err(refusal) => {
-                        warn!(file = %path.display(), cause = %refusal, "the kept list is of no use")
+                Ok(text) => match engine.load_saved_roster(now, &text) {
+                    Ok(()) => info!(file = %path.display(), "loaded the saved server list"),
+                    Err(error) => {
+                        warn!(file = %path.display(), cause = %error, "the saved server list is invalid")
                     }
                 },
-                Err(cause) => debug!(file = %path.display(), %cause, "no list is kept"),
+                Err(cause) => debug!(file = %path.display(), %cause, "there is no saved server list"),
             }
         }
-        let shared = settings.shared.as_ref().map(|shared| SharedEnd::open(shared, folder)).transpose()?;
+        let shared = settings.shared.as_ref().map(|shared| FleetIo::open(shared, folder)).transpose()?;
         let mut datagrams = None;
         if let Some(shared) = &shared {
             let saved = shared.saved()?;
-            desk.share(&settings, saved, seed, now);
-            for (_, version) in shared.store.with_prefix(FOLLOWED) {
-                desk.note_followed(&String::from_utf8_lossy(version));
+            engine.join_fleet(&settings, saved, seed, now);
+            for (_, version) in shared.store.with_prefix(FOLLOWED_PREFIX) {
+                engine.note_followed_version(&String::from_utf8_lossy(version));
             }
-            if let Some(Err(refusal)) = shared.store.get(LIST).map(|list| desk.remember(now, list)) {
-                warn!(cause = %refusal, "the list in the store is of no use");
+            if let Some(Err(error)) =
+                shared.store.get(ROSTER_RECORD).map(|list| engine.load_saved_roster(now, list))
+            {
+                warn!(cause = %error, "the server list in the store is invalid");
             }
-            reactor.watch(&shared.socket, DATAGRAMS)?;
+            reactor.watch(&shared.socket, DATAGRAM_TOKEN)?;
             datagrams = Some(shared.socket.local_addr()?.to_string());
         }
         let (listener, address) = reactor.listen(settings.listen)?;
@@ -201,11 +207,11 @@
             replace(&DISK, &folder.join(path), text.to_string().as_bytes())?;
         }
         info!(coordinator = %settings.name, %address, "listening");
-        reactor.set_timer(now, Due::Sweep);
+        reactor.set_timer(now, Timer::Sweep);
         let ledger = settings.ledger.as_ref();
         let ledger = ledger.map(|ledger| LedgerFile::new(folder.join(&ledger.file), ledger));
         if ledger.is_some() {
-            reactor.set_timer(now, Due::Keep);
+            reactor.set_timer(now, Timer::WriteLedger);
         }
         Ok(Shell {
             ledger,
@@ -213,7 +219,7 @@
             folder: folder.to_owned(),
             settings,
             reactor,
-            desk,
+            engine,
             listener,
             peers: BTreeMap::new(),
             conns: BTreeMap::new(),
@@ -229,39 +235,42 @@
         })
     }
 
-    /// Takes these signals as a wish to end.
+    /// Shuts down on these signals.
     pub fn end_on(&mut self, signals: SignalFlags) {
         self.reactor.watch_signals(signals);
     }
 
-    /// Tells this count in the status: of log lines that were not written.
-    pub fn tell_dropped_lines(&mut self, dropped: Counter) {
+    /// Sets the counter of dropped log lines that the status shows.
+    pub fn set_dropped_line_counter(&mut self, dropped: Counter) {
         self.log_lines_dropped = dropped;
     }
 
-    /// Reads this file again on SIGHUP: members of a shared fleet may change in service, all else with a new start.
+    /// Reads this settings file again on SIGHUP. The members of a shared fleet change at once, all other
+    /// settings at the next start.
     pub fn reload_from(&mut self, file: &Path) {
         self.file = Some(file.to_owned());
     }
 
     fn reload(&mut self) {
         let Some(file) = &self.file else { return };
-        let text = match read_regular_file(file, SETTINGS_MOST) {
+        let text = match read_regular_file(file, MAX_SETTINGS_BYTES) {
             Ok(text) => text,
-            Err(cause) => return error!(%cause, "the settings cannot be read; the old ones stand"),
+            Err(cause) => return error!(%cause, "cannot read the settings; keeping the current ones"),
         };
         let fresh: CoordinatorSettings = match parse(file, &text) {
             Ok(fresh) => fresh,
-            Err(problems) => return error!(%problems, "the settings are not in order; the old ones stand"),
+            Err(problems) => {
+                return error!(%problems, "the settings are not in order; keeping the current ones")
+            }
         };
         let now = self.reactor.now();
-        if let (Some(shared), Some(news)) = (&mut self.shared, &fresh.shared) {
-            let named = news.members.iter().map(|member| (member.name.clone(), member.datagrams));
+        if let (Some(shared), Some(fresh_shared)) = (&mut self.shared, &fresh.shared) {
+            let named = fresh_shared.members.iter().map(|member| (member.name.clone(), member.datagrams));
             shared.members = named.collect();
-            self.desk.set_members(now, news.members.iter().map(|member| member.name.clone()));
-            info!(members = shared.members.len(), "took the members that the settings name");
+            self.engine.set_members(now, fresh_shared.members.iter().map(|member| member.name.clone()));
+            info!(members = shared.members.len(), "applied the members in the settings");
         }
-        let members_aside = |settings: &CoordinatorSettings| {
+        let without_members = |settings: &CoordinatorSettings| {
             let mut rest = settings.clone();
             rest.fleet.coordinators = 0;
             rest.listen = self.settings.listen;
@@ -270,70 +279,70 @@
             }
             rest
         };
-        if members_aside(&fresh) != members_aside(&self.settings) {
-            warn!("other settings have changed too: they count with the next start");
+        if without_members(&fresh) != without_members(&self.settings) {
+            warn!("other settings have changed too and apply at the next start");
         }
         self.settings.shared = fresh.shared.or(self.settings.shared.take());
     }
 
-    /// Runs until a signal ends it.
-    pub fn run(&mut self) -> Ended {
+    /// Runs until a signal or an error ends it.
+    pub fn run(&mut self) -> ExitReason {
         loop {
-            match self.round() {
+            match self.run_once() {
                 Ok(true) => {}
                 Ok(false) => {
                     self.write_ledger();
                     self.reactor.close_listener(self.listener);
                     self.peers.keys().for_each(|conn| self.reactor.close_gracefully(*conn));
-                    if let Err(cause) = self.reactor.flush(FLUSH_MOST) {
-                        warn!(%cause, "the last answers could not be written");
+                    if let Err(cause) = self.reactor.flush(FLUSH_TIMEOUT) {
+                        warn!(%cause, "cannot write the last responses");
                     }
-                    return Ended::Asked;
+                    return ExitReason::Signalled;
                 }
-                Err(cause) => return Ended::Failed(cause),
+                Err(cause) => return ExitReason::Failed(cause),
             }
         }
     }
 
-    /// Waits for what happens, and acts on it; false: a signal asks for the end.
-    pub fn round(&mut self) -> io::Result<bool> {
+    /// Waits for events and handles them. Returns false if a signal requests a shutdown.
+    pub fn run_once(&mut self) -> io::Result<bool> {
         self.turn();
         self.reactor.poll(None)?;
-        while let Some(happened) = self.reactor.next_event() {
-            match happened {
+        while let Some(event) = self.reactor.next_event() {
+            match event {
                 ReactorEvent::Accepted { conn, from, .. } => {
                     self.next_stream += 1;
                     let limits =
                         HttpLimits { body: self.settings.streams.request_bytes, ..HttpLimits::default() };
                     let reader = RequestReader::new(limits);
-                    let (stream, asked) = (StreamId(self.next_stream), VecDeque::new());
-                    self.peers.insert(conn, Peer { reader, stream, joined: false, from, asked });
+                    let (stream, requests) = (StreamId(self.next_stream), VecDeque::new());
+                    self.peers.insert(conn, Peer { reader, stream, joined: false, from, requests });
                 }
-                ReactorEvent::Connected { conn } => self.ask_probe(conn),
-                ReactorEvent::Received { conn } if self.probes.has(conn) => self.read_probe(conn, false),
+                ReactorEvent::Connected { conn } => self.send_probe(conn),
+                ReactorEvent::Received { conn } if self.probes.contains(conn) => self.read_probe(conn, false),
                 ReactorEvent::Received { conn } => self.read(conn),
                 ReactorEvent::Flushed { .. } => {}
                 ReactorEvent::Closed { conn, cause } => {
-                    if self.probes.has(conn) {
+                    if self.probes.contains(conn) {
                         self.end_probe(conn, ProbeOutcome::Failed, None);
                     } else {
-                        self.gone(conn, &format!("{cause:?}"));
+                        self.drop_peer(conn, &format!("{cause:?}"));
                     }
                 }
-                ReactorEvent::Timer(Due::Turn) => self.turn_at = None,
-                ReactorEvent::Timer(Due::Sweep) => self.sweep(),
-                ReactorEvent::Timer(Due::Keep) => self.keep_ledger(),
-                ReactorEvent::Ready(DATAGRAMS) => self.read_datagrams(),
+                ReactorEvent::Timer(Timer::Turn) => self.turn_at = None,
+                ReactorEvent::Timer(Timer::Sweep) => self.sweep(),
+                ReactorEvent::Timer(Timer::WriteLedger) => self.write_ledger_and_reschedule(),
+                ReactorEvent::Ready(DATAGRAM_TOKEN) => self.read_datagrams(),
                 ReactorEvent::Ready(_) => {
                     self.watch.changes()?;
                     self.read_roster = true;
                 }
-                ReactorEvent::Signal(HANG_UP) => {
+                ReactorEvent::Signal(SIGHUP) => {
                     self.read_roster = true;
                     self.reload();
                 }
                 ReactorEvent::Signal(signal) => {
-                    info!(signal, "ending");
+                    info!(signal, "shutting down");
                     return Ok(false);
                 }
             }
@@ -341,37 +350,42 @@
         Ok(true)
     }
 
-    /// Lets the desk act, and carries out what it asks for.
+    /// Runs a turn of the engine and carries out its outputs.
     fn turn(&mut self) {
         let now = self.reactor.now();
-        if std::mem::take(&mut self.read_roster) || self.desk.roster_due(now) {
-            self.take_roster(now);
+        if std::mem::take(&mut self.read_roster) || self.engine.roster_due(now) {
+            self.load_roster(now);
         }
         let mut unsaved = false;
-        for output in self.desk.turn(now) {
+        for output in self.engine.turn(now) {
             match output {
-                Output::Answer { stream, answer, version } => self.answer(stream, answer, &version),
-                Output::Break { stream, cause } => {
+                Output::Respond { stream, response, version } => {
+                    self.send_response(stream, response, &version)
+                }
+                Output::CloseStream { stream, cause } => {
                     if let Some(conn) = self.conns.remove(&stream) {
-                        warn!(stream = stream.0, %cause, "breaking a stream");
+                        warn!(stream = stream.0, %cause, "closing a stream");
                         self.peers.remove(&conn);
                         self.reactor.close(conn);
                     }
                 }
                 Output::Probe { server } => self.begin_probe(now, server),
                 Output::ReadRoster => self.read_roster = true,
-                Output::SendOn { stream, to } => self.send_on(stream, &to),
-                Output::Save(saved) => {
+                Output::Redirect { stream, to } => self.redirect_stream(stream, &to),
+                Output::SaveFleetState(saved) => {
                     let Some(shared) = &mut self.shared else { continue };
                     if let Err(cause) = shared.save(&saved) {
-                        // What rests on it must not be sent: the others take this one for silent, and so it is.
-                        error!(%cause, "cannot save; this turn's datagrams are not sent");
+                        // Datagrams that depend on the unsaved state must not be sent; to the other members
+                        // this one is silent.
+                        error!(%cause, "cannot save the fleet state; not sending the datagrams of this turn");
                         unsaved = true;
                     }
                 }
-                Output::Keep(followed) => {
-                    if let Some(Err(cause)) = self.shared.as_mut().map(|shared| shared.keep(&followed)) {
-                        warn!(%cause, "what proxies followed cannot be kept");
+                Output::SaveFollowed(followed) => {
+                    if let Some(Err(cause)) =
+                        self.shared.as_mut().map(|shared| shared.save_followed(&followed))
+                    {
+                        warn!(%cause, "cannot save the versions that proxies follow");
                     }
                 }
                 Output::Datagram { to, text } => {
@@ -381,7 +395,7 @@
                 }
             }
         }
-        for change in self.desk.weight_changes() {
+        for change in self.engine.weight_changes() {
             info!(
                 server = change.server,
                 from = change.from,
@@ -394,105 +408,111 @@
                 "a weight changed"
             );
         }
-        let at = if self.read_roster { now } else { self.desk.next_at() };
+        let at = if self.read_roster { now } else { self.engine.next_at() };
         if self.turn_at.is_none_or(|set| at < set) {
             self.turn_at = Some(at);
-            self.reactor.set_timer(at, Due::Turn);
+            self.reactor.set_timer(at, Timer::Turn);
         }
     }
 
-    fn keep_ledger(&mut self) {
+    fn write_ledger_and_reschedule(&mut self) {
         self.write_ledger();
         if let Some(settings) = &self.settings.ledger {
             let at = self.reactor.now() + settings.every.0;
-            self.reactor.set_timer(at, Due::Keep);
+            self.reactor.set_timer(at, Timer::WriteLedger);
         }
     }
 
     fn write_ledger(&mut self) {
         let now = self.reactor.now();
-        if let (Some(file), Some(ledger)) = (&mut self.ledger, self.desk.ledger()) {
+        if let (Some(file), Some(ledger)) = (&mut self.ledger, self.engine.ledger()) {
             if let Err(cause) = file.write(ledger, now) {
-                warn!(%cause, "the ledger cannot be written; it waits in memory for a while");
+                warn!(%cause, "cannot write the ledger; keeping its lines in memory");
             }
         }
     }
 
-    fn take_roster(&mut self, now: Nanos) {
+    fn load_roster(&mut self, now: Nanos) {
         let text = match self.source.read() {
             Ok(text) => text,
             Err(cause) => {
-                warn!(source = self.source.name(), %cause, "the list of servers cannot be read");
-                self.desk.roster_failed(now);
+                warn!(source = self.source.name(), %cause, "cannot read the server list");
+                self.engine.roster_read_failed(now);
                 return;
             }
         };
-        match self.desk.roster(now, &text) {
+        match self.engine.update_roster(now, &text) {
             Ok((0, _)) => {}
             Ok((changed, notes)) => {
-                info!(changed, "took a list of servers");
-                notes.iter().for_each(|note| warn!(note, "set right in the list of servers"));
+                info!(changed, "applied a server list");
+                notes.iter().for_each(|note| warn!(note, "corrected the server list"));
                 if let Some(shared) = &mut self.shared {
-                    if let Err(cause) = shared.store.put(&[(LIST, Some(&text))]) {
-                        warn!(%cause, "the list cannot be kept in the store");
+                    if let Err(cause) = shared.store.put(&[(ROSTER_RECORD, Some(&text))]) {
+                        warn!(%cause, "cannot save the server list to the store");
                     }
                 }
-                if let Some(kept) = &self.settings.roster.remembered {
-                    if let Err(cause) = replace(&DISK, &self.folder.join(kept), &text) {
-                        warn!(file = %kept.display(), %cause, "the list cannot be kept for the next start");
+                if let Some(path) = &self.settings.roster.remembered {
+                    if let Err(cause) = replace(&DISK, &self.folder.join(path), &text) {
+                        warn!(file = %path.display(), %cause, "cannot save the server list for the next start");
                     }
                 }
             }
-            Err(Refusal::Short { until, .. }) if now < until => warn!("the list is suddenly short; waiting"),
-            Err(refusal) => warn!(cause = %refusal, "the list of servers is refused; the old one stands"),
+            Err(RosterError::Shrunk { until, .. }) if now < until => {
+                warn!("the server list is suddenly short; waiting for confirmation")
+            }
+            Err(error) => warn!(cause = %error, "rejected the server list; keeping the current one"),
         }
     }
 
-    fn answer(&mut self, stream: StreamId, answer: Answer, version: &str) {
+    fn send_response(&mut self, stream: StreamId, answer: Response, version: &str) {
         let Some(conn) = self.conns.get(&stream).copied() else { return };
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         let chunks = match answer {
-            Answer::Resources { kind, nonce, resources } => {
-                peer.asked.pop_front();
+            Response::Resources { kind, nonce, resources } => {
+                peer.requests.pop_front();
                 debug!(
-                    proxy = self.desk.proxy_name(stream),
+                    proxy = self.engine.proxy_name(stream),
                     kind = ?kind,
                     resources = resources.len(),
                     version,
                     nonce,
                     "sent"
                 );
-                response_chunks(StatusCode::OK, &[JSON], desk::body(kind, version, nonce, resources))
+                response_chunks(
+                    StatusCode::OK,
+                    &[JSON],
+                    engine::response_body(kind, version, nonce, resources),
+                )
             }
-            Answer::Unchanged { .. } => {
-                peer.asked.pop_front();
+            Response::Unchanged { .. } => {
+                peer.requests.pop_front();
                 vec![response(StatusCode::NOT_MODIFIED, &[], b"")]
             }
         };
         if self.reactor.send(conn, chunks).is_err() {
-            self.gone(conn, "more would wait than may");
+            self.drop_peer(conn, "the output buffer is full");
             self.reactor.close(conn);
         }
     }
 
-    /// A peer's connection is of no more use.
-    fn gone(&mut self, conn: ConnId, cause: &str) {
+    /// Forgets a connection and ends its stream.
+    fn drop_peer(&mut self, conn: ConnId, cause: &str) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         if peer.joined {
-            info!(proxy = self.desk.proxy_name(peer.stream), cause, "a stream ended");
+            info!(proxy = self.engine.proxy_name(peer.stream), cause, "a stream ended");
             self.conns.remove(&peer.stream);
-            self.desk.leave(self.reactor.now(), peer.stream);
+            self.engine.end_stream(self.reactor.now(), peer.stream);
         }
     }
 
-    /// Answers and closes: what the peer said cannot be gone on from.
-    fn turn_down(&mut self, conn: ConnId, status: StatusCode, cause: &str) {
+    /// Answers with an error and closes the connection.
+    fn reject(&mut self, conn: ConnId, status: StatusCode, cause: &str) {
         if let Some(peer) = self.peers.get(&conn) {
-            warn!(from = %peer.from, %status, cause, "turned down");
+            warn!(from = %peer.from, %status, cause, "rejected a request");
         }
         let headers = [(header::CONTENT_TYPE, "text/plain"), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(status, &headers, cause.as_bytes())]);
-        self.gone(conn, cause);
+        self.drop_peer(conn, cause);
         self.reactor.close_gracefully(conn);
     }
 
@@ -504,7 +524,7 @@
             match peer.reader.next(input, now) {
                 Ok(Some(message)) => self.serve(conn, now, &message),
                 Ok(None) => break,
-                Err(wrong) => return self.turn_down(conn, wrong.status(), &wrong.to_string()),
+                Err(error) => return self.reject(conn, error.status(), &error.to_string()),
             }
         }
         self.reactor.input_consumed(conn);
@@ -517,7 +537,7 @@
         } else if path == load::PATH && method == Method::POST {
             self.load_report(conn, now, message.body());
         } else if path == "/status" && method == Method::GET {
-            let mut status = serde_json::to_value(self.desk.status(now)).unwrap_or_default();
+            let mut status = serde_json::to_value(self.engine.status(now)).unwrap_or_default();
             status["log_lines_dropped"] = self.log_lines_dropped.get().into();
             if let Some(shared) = &self.shared {
                 let health = shared.store.health();
@@ -526,11 +546,11 @@
                 });
             }
             if message.uri().query() == Some("weights") {
-                status["weights"] = serde_json::to_value(self.desk.explain(now)).unwrap_or_default();
+                status["weights"] = serde_json::to_value(self.engine.explain(now)).unwrap_or_default();
             }
             let body = serde_json::to_vec(&status).unwrap_or_default();
             if message.uri().query() == Some("spans=anew") {
-                self.desk.forget_spans();
+                self.engine.reset_spans();
             }
             self.reply(conn, StatusCode::OK, &body);
         } else if path == "/healthz" && method == Method::GET {
@@ -545,101 +565,112 @@
     }
 
     fn reply(&mut self, conn: ConnId, status: StatusCode, body: &[u8]) {
-        // Answers come in the order of their requests: one in between held requests would take another's place.
-        if self.peers.get(&conn).is_some_and(|peer| !peer.asked.is_empty()) {
-            return self.turn_down(
+        // Responses go out in the order of requests: this one would be taken for that of an open discovery
+        // request.
+        if self.peers.get(&conn).is_some_and(|peer| !peer.requests.is_empty()) {
+            return self.reject(
                 conn,
                 StatusCode::BAD_REQUEST,
-                "a stream's connection is for discovery alone",
+                "a stream's connection accepts only discovery requests",
             );
         }
         if self.reactor.send(conn, [response(status, &[JSON], body)]).is_err() {
-            self.gone(conn, "more would wait than may");
+            self.drop_peer(conn, "the output buffer is full");
             self.reactor.close(conn);
         }
     }
 
     fn discovery(&mut self, conn: ConnId, now: Nanos, kind: Kind, body: &[u8]) {
         let Some(peer) = self.peers.get_mut(&conn) else { return };
-        let asked: DiscoveryRequest = match serde_json::from_slice(body) {
-            Ok(asked) => asked,
-            Err(cause) => return self.turn_down(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
+        let request: DiscoveryRequest = match serde_json::from_slice(body) {
+            Ok(request) => request,
+            Err(cause) => return self.reject(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
-        if peer.asked.len() >= PIPELINE || peer.asked.contains(&kind) {
-            return self.turn_down(conn, StatusCode::TOO_MANY_REQUESTS, "that kind is asked for already");
+        if peer.requests.len() >= MAX_PIPELINED_REQUESTS || peer.requests.contains(&kind) {
+            return self.reject(
+                conn,
+                StatusCode::TOO_MANY_REQUESTS,
+                "a request for this kind is already open",
+            );
         }
         let (stream, first) = (peer.stream, !peer.joined);
-        peer.asked.push_back(kind);
-        match self.desk.ask(now, stream, kind, asked) {
+        peer.requests.push_back(kind);
+        match self.engine.handle_request(now, stream, kind, request) {
             Ok(outcome) => {
                 if first {
                     peer.joined = true;
                     self.conns.insert(stream, conn);
-                    info!(proxy = self.desk.proxy_name(stream), stream = stream.0, "a proxy joined");
+                    info!(proxy = self.engine.proxy_name(stream), stream = stream.0, "a proxy joined");
                 }
                 match outcome {
-                    Some(Outcome::Refused { kind, cause, .. }) => {
-                        let proxy = self.desk.proxy_name(stream);
-                        warn!(proxy, ?kind, cause, "a proxy refused what it was sent; its old one stands");
+                    Some(Outcome::Rejected { kind, cause, .. }) => {
+                        let proxy = self.engine.proxy_name(stream);
+                        warn!(
+                            proxy,
+                            ?kind,
+                            cause,
+                            "a proxy rejected a response and keeps its current resources"
+                        );
                     }
-                    Some(Outcome::Stray { kind }) => {
+                    Some(Outcome::UnknownNonce { kind }) => {
                         warn!(
-                            proxy = self.desk.proxy_name(stream),
+                            proxy = self.engine.proxy_name(stream),
                             ?kind,
-                            "an answer to what was never sent"
+                            "an acknowledgement of a response that was never sent"
                         );
                     }
                     Some(Outcome::Applied { marks, .. }) => {
-                        debug!(proxy = self.desk.proxy_name(stream), ?marks, "applied");
+                        debug!(proxy = self.engine.proxy_name(stream), ?marks, "applied");
                     }
                     None => {}
                 }
             }
-            Err(Refused::Elsewhere(to)) => self.point_to(conn, &to),
-            Err(refused @ Refused::NoCharge) => {
-                let again = [(header::RETRY_AFTER, "1"), (header::CONNECTION, "close")];
-                let text = refused.to_string();
+            Err(RequestError::Elsewhere(to)) => self.redirect(conn, &to),
+            Err(error @ RequestError::NoKnownOwner) => {
+                let headers = [(header::RETRY_AFTER, "1"), (header::CONNECTION, "close")];
+                let text = error.to_string();
                 let _ = self
                     .reactor
-                    .send(conn, [response(StatusCode::SERVICE_UNAVAILABLE, &again, text.as_bytes())]);
-                self.gone(conn, &text);
+                    .send(conn, [response(StatusCode::SERVICE_UNAVAILABLE, &headers, text.as_bytes())]);
+                self.drop_peer(conn, &text);
                 self.reactor.close_gracefully(conn);
             }
-            Err(refused) => self.turn_down(conn, StatusCode::BAD_REQUEST, &refused.to_string()),
+            Err(error) => self.reject(conn, StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
-    /// Answers what is asked with the place of the coordinator in charge, by its name, and ends the connection.
-    fn point_to(&mut self, conn: ConnId, to: &str) {
+    /// Answers open requests with a redirect to the responsible coordinator, by its name, and closes the
+    /// connection.
+    fn redirect(&mut self, conn: ConnId, to: &str) {
         let place = format!("http://{to}{}", Kind::Endpoints.path());
         let headers = [(header::LOCATION, place.as_str()), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(StatusCode::TEMPORARY_REDIRECT, &headers, b"")]);
-        self.gone(conn, "another coordinator is in charge");
+        self.drop_peer(conn, "another coordinator is responsible");
         self.reactor.close_gracefully(conn);
     }
 
-    fn send_on(&mut self, stream: StreamId, to: &str) {
+    fn redirect_stream(&mut self, stream: StreamId, to: &str) {
         let Some(conn) = self.conns.remove(&stream) else { return };
-        debug!(stream = stream.0, to, "sending on to the one in charge");
+        debug!(stream = stream.0, to, "redirecting to the responsible coordinator");
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.joined = false;
         }
-        self.point_to(conn, to);
+        self.redirect(conn, to);
     }
 
     fn read_datagrams(&mut self) {
         let now = self.reactor.now();
         let Some(shared) = &self.shared else { return };
         let mut buffer = vec![0; wire::LARGEST + 1];
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match shared.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => {
-                    if let Err(cause) = self.desk.datagram(now, &buffer[..length]) {
-                        warn!(%from, cause, "a datagram that is none of ours");
+                    if let Err(cause) = self.engine.handle_datagram(now, &buffer[..length]) {
+                        warn!(%from, cause, "ignored an invalid datagram");
                     }
                 }
                 Err(cause) if cause.kind() == io::ErrorKind::WouldBlock => return,
-                // A fellow that does not run answers with an error on the next read.
+                // A member that is not running causes an error on the next read.
                 Err(_) => {}
             }
         }
@@ -648,22 +679,22 @@
     fn load_report(&mut self, conn: ConnId, now: Nanos, body: &[u8]) {
         let report: LoadStatsRequest = match serde_json::from_slice(body) {
             Ok(report) => report,
-            Err(cause) => return self.turn_down(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
+            Err(cause) => return self.reject(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
-        match self.desk.report(now, &report) {
+        match self.engine.handle_load_report(now, &report) {
             Ok(()) => {}
-            Err(Unheard::Repeated) => debug!("a report came again"),
-            Err(unheard) => warn!(?unheard, "a report was not counted whole"),
+            Err(ReportError::Repeated) => debug!("ignored a repeated load report"),
+            Err(error) => warn!(unheard = ?error, "a load report was not counted completely"),
         }
         let wanted = LoadStatsResponse {
             send_all_clusters: true,
-            load_reporting_interval: Seconds(self.desk.report_period().secs()),
+            load_reporting_interval: Seconds(self.engine.report_period().secs()),
             report_endpoint_granularity: true,
         };
         self.reply(conn, StatusCode::OK, &serde_json::to_vec(&wanted).unwrap_or_default());
     }
 
-    /// Ends connections whose peers send too slowly or never read.
+    /// Closes connections whose peers send too slowly or do not read, and ends overdue probes.
     fn sweep(&mut self) {
         let now = self.reactor.now();
         let (within, stuck) = (self.settings.streams.request_within.0, self.settings.streams.stuck_after.0);
@@ -674,16 +705,16 @@
             .map(|(c, _)| *c)
             .collect();
         for conn in slow {
-            self.turn_down(conn, StatusCode::REQUEST_TIMEOUT, "the request did not come whole in time");
+            self.reject(conn, StatusCode::REQUEST_TIMEOUT, "the request was not complete in time");
         }
-        let mute: Vec<ConnId> = self
+        let stalled: Vec<ConnId> = self
             .peers
             .keys()
             .filter(|conn| self.reactor.write_stalled_for(**conn) > stuck)
             .copied()
             .collect();
-        for conn in mute {
-            self.gone(conn, "the peer does not read");
+        for conn in stalled {
+            self.drop_peer(conn, "the peer does not read");
             self.reactor.close(conn);
         }
         for conn in self.probes.overdue(now) {
@@ -691,7 +722,7 @@
             self.reactor.close(conn);
         }
         let next = [Some(now + Nanos(within.0 / 4)), self.probes.next_at()].into_iter().flatten().min();
-        self.reactor.set_timer(next.unwrap_or(now).max(now + Nanos::from_millis(20)), Due::Sweep);
+        self.reactor.set_timer(next.unwrap_or(now).max(now + Nanos::from_millis(20)), Timer::Sweep);
     }
 
     fn begin_probe(&mut self, now: Nanos, server: ServerId) {
@@ -702,23 +733,23 @@
             server.0.parse().map_err(io::Error::other).and_then(|at: SocketAddr| self.reactor.connect(at));
         match conn {
             Ok(conn) => {
-                self.probes.begin(now, conn, server);
+                self.probes.start(now, conn, server);
                 let limits = HttpLimits { body: 64 * 1024, ..HttpLimits::default() };
                 self.probe_readers.insert(conn, ResponseReader::new(limits));
-                self.reactor.set_timer(now + self.settings.probes.time_out.0, Due::Sweep);
+                self.reactor.set_timer(now + self.settings.probes.time_out.0, Timer::Sweep);
             }
             Err(cause) => {
-                debug!(server = %server.0, %cause, "a probe cannot be sent");
-                self.desk.probed(server, ProbeOutcome::Failed, Nanos(0), Default::default());
+                debug!(server = %server.0, %cause, "cannot send a probe");
+                self.engine.handle_probe_result(server, ProbeOutcome::Failed, Nanos(0), Default::default());
             }
         }
     }
 
-    fn ask_probe(&mut self, conn: ConnId) {
+    fn send_probe(&mut self, conn: ConnId) {
         let Some(server) = self.probes.server(conn) else { return };
         let headers = [(header::CONNECTION, "close")];
-        let asked = request(&Method::GET, &self.settings.probes.path, &server.0, &headers, b"");
-        let _ = self.reactor.send(conn, [asked]);
+        let requests = request(&Method::GET, &self.settings.probes.path, &server.0, &headers, b"");
+        let _ = self.reactor.send(conn, [requests]);
     }
 
     fn read_probe(&mut self, conn: ConnId, ended: bool) {
@@ -730,7 +761,7 @@
         match reader.next(input, ended, now) {
             Ok(Some(answer)) => {
                 let report = answer.headers().get(orca::HEADER).and_then(|value| value.to_str().ok());
-                self.end_probe(conn, probes::outcome(answer.status()), report);
+                self.end_probe(conn, probes::outcome_of(answer.status()), report);
                 self.reactor.close(conn);
             }
             Ok(None) => {}
@@ -743,9 +774,9 @@
 
     fn end_probe(&mut self, conn: ConnId, outcome: ProbeOutcome, report: Option<&str>) {
         self.probe_readers.remove(&conn);
-        if let Some((server, took)) = self.probes.end(self.reactor.now(), conn) {
+        if let Some((server, duration)) = self.probes.finish(self.reactor.now(), conn) {
             debug!(server = %server.0, ?outcome, "probed");
-            self.desk.probed(server, outcome, took, probes::load(report));
+            self.engine.handle_probe_result(server, outcome, duration, probes::load_report(report));
         }
     }
 }
