--- a/crates/craneknot-cli/src/log_writer.rs
+++ b/crates/craneknot-cli/src/log_writer.rs
@@ -1,5 +1,5 @@
-//! A log writer that never makes its caller wait. Lines go through a bounded queue to a thread of their own, which
-//! writes them to the sink; what does not fit into the queue, or the sink fails to take, is dropped and counted.
+//! A log writer that never blocks its caller. Lines pass through a bounded queue to a separate thread, which writes them
+//! to the sink. Lines that do not fit into the queue, or that the sink fails to write, are dropped and counted.
 
 use std::io::{self, ErrorKind, Write};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -12,29 +12,29 @@
 use tracing::warn;
 use tracing_subscriber::fmt::MakeWriter;
 
-const QUEUE_LINES: usize = 4_096; // lines that wait for the sink at most
-const QUEUE_BYTES: usize = 1024 * 1024; // bytes of these lines at most
-const RETRY_AFTER: Duration = Duration::from_millis(20); // until a write that would block is made again
-const STALLED_AFTER: Duration = Duration::from_millis(50); // at the end: a sink that takes nothing for so long is left
-const CLOSE_MOST: Duration = Duration::from_millis(250); // at the end, for a sink that takes lines slowly
-const SPAWN_TRIES: u32 = 20; // the system may be short of threads for a moment
-const SPAWN_RETRY: Duration = Duration::from_millis(50); // between two tries
+const MAX_QUEUED_LINES: usize = 4_096;
+const MAX_QUEUED_BYTES: usize = 1024 * 1024;
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(20); // after a write that would block
+const STALL_TIMEOUT: Duration = Duration::from_millis(50); // on close: a sink without progress for so long is abandoned
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(250); // on close: total time for a slow sink
+const SPAWN_ATTEMPTS: u32 = 20; // the system may be out of threads for a short time
+const SPAWN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the callers and the thread share.
+/// State shared by the callers and the log thread.
 #[derive(Default)]
 struct Shared {
-    /// Bytes of the lines in the queue.
-    queued: AtomicUsize,
+    /// Size of the queued lines in bytes.
+    queued_bytes: AtomicUsize,
     dropped: Counter,
-    /// The owner ends: the thread writes what is queued and ends too.
+    /// Set when the guard is dropped: the thread writes the queued lines and exits.
     is_closing: AtomicBool,
-    /// The thread is at a line that the sink has not taken yet.
+    /// Whether the thread is writing a line to the sink.
     is_writing: AtomicBool,
-    /// Writes that the sink has taken.
-    progress: AtomicU64,
+    /// Number of successful writes to the sink.
+    completed_writes: AtomicU64,
 }
 
-/// Takes lines, a write each, without waiting.
+/// Accepts log lines, one per write, without blocking.
 #[derive(Clone)]
 pub struct LogWriter {
     queue: SyncSender<Vec<u8>>,
@@ -42,35 +42,35 @@
 }
 
 impl LogWriter {
-    /// Starts the thread. Where the system has none to give, all lines are dropped. What waits when the guard is dropped
-    /// is still written, as far as the sink takes it.
+    /// Starts the log thread. If the system can't create a thread, all lines are dropped. Lines that are queued when the
+    /// guard is dropped are still written, as far as the sink accepts them.
     pub fn start(sink: impl Write + Send + 'static) -> (Self, LogGuard) {
-        let (queue, lines) = sync_channel(QUEUE_LINES);
-        let (end, ended) = sync_channel(1);
+        let (queue, lines) = sync_channel(MAX_QUEUED_LINES);
+        let (exit_sender, exit_receiver) = sync_channel(1);
         let shared = Arc::new(Shared::default());
         spawn(Worker {
             lines,
             sink,
             shared: shared.clone(),
             is_line_open: false,
-            failed: false,
-            told: 0,
-            end,
+            has_write_failed: false,
+            reported_dropped: 0,
+            exit_sender,
         });
         let writer = LogWriter { queue, shared };
-        (writer.clone(), LogGuard { writer, ended })
+        (writer.clone(), LogGuard { writer, exit_receiver })
     }
 
-    /// How many lines were dropped so far.
+    /// The number of lines dropped so far.
     pub fn dropped(&self) -> Counter {
         self.shared.dropped.clone()
     }
 
-    /// Queues a line, or drops it.
+    /// Queues a line, or drops it if the queue is full.
     pub fn enqueue(&self, line: &[u8]) {
-        let queued = self.shared.queued.fetch_add(line.len(), Ordering::Relaxed) + line.len();
-        if queued > QUEUE_BYTES || self.queue.try_send(line.to_vec()).is_err() {
-            self.shared.queued.fetch_sub(line.len(), Ordering::Relaxed);
+        let queued_bytes = self.shared.queued_bytes.fetch_add(line.len(), Ordering::Relaxed) + line.len();
+        if queued_bytes > MAX_QUEUED_BYTES || self.queue.try_send(line.to_vec()).is_err() {
+            self.shared.queued_bytes.fetch_sub(line.len(), Ordering::Relaxed);
             self.shared.dropped.add(1);
         }
     }
@@ -95,80 +95,80 @@
     }
 }
 
-/// Has the queued lines written when it is dropped, but does not wait for a sink that is stalled.
+/// Waits on drop until the queued lines are written, but not for a stalled sink.
 pub struct LogGuard {
     writer: LogWriter,
-    ended: Receiver<()>,
+    exit_receiver: Receiver<()>,
 }
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
         let shared = &self.writer.shared;
         shared.is_closing.store(true, Ordering::SeqCst);
-        // Wakes a thread that waits for lines; one that has a full queue before it needs no waking.
+        // Wakes a thread that waits for lines; with a full queue it is awake already.
         let _ = self.writer.queue.try_send(Vec::new());
-        let until = Instant::now() + CLOSE_MOST;
-        let mut before = shared.progress.load(Ordering::SeqCst);
-        while self.ended.recv_timeout(STALLED_AFTER) == Err(RecvTimeoutError::Timeout) {
-            let progress = shared.progress.load(Ordering::SeqCst);
-            let is_stalled = progress == before && shared.is_writing.load(Ordering::SeqCst);
-            if is_stalled || Instant::now() >= until {
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
+        let mut previous = shared.completed_writes.load(Ordering::SeqCst);
+        while self.exit_receiver.recv_timeout(STALL_TIMEOUT) == Err(RecvTimeoutError::Timeout) {
+            let completed_writes = shared.completed_writes.load(Ordering::SeqCst);
+            let is_stalled = completed_writes == previous && shared.is_writing.load(Ordering::SeqCst);
+            if is_stalled || Instant::now() >= deadline {
                 return;
             }
-            before = progress;
+            previous = completed_writes;
         }
     }
 }
 
-/// The thread's side.
+/// State of the log thread.
 struct Worker<S> {
     lines: Receiver<Vec<u8>>,
     sink: S,
     shared: Arc<Shared>,
-    /// The sink took a part of a line and then failed.
+    /// Whether the sink failed after writing a part of a line.
     is_line_open: bool,
-    /// The sink did not take the last line.
-    failed: bool,
-    /// Dropped lines that the log has told of.
-    told: u64,
-    end: SyncSender<()>,
+    /// Whether writing the last line failed.
+    has_write_failed: bool,
+    /// Number of dropped lines that the log has reported.
+    reported_dropped: u64,
+    exit_sender: SyncSender<()>,
 }
 
 fn spawn<S: Write + Send + 'static>(worker: Worker<S>) {
     let worker = Arc::new(Mutex::new(Some(worker)));
-    for _ in 0..SPAWN_TRIES {
-        let given = worker.clone();
+    for _ in 0..SPAWN_ATTEMPTS {
+        let shared_worker = worker.clone();
         let run = move || {
-            let worker = given.lock().ok().and_then(|mut worker| worker.take());
+            let worker = shared_worker.lock().ok().and_then(|mut worker| worker.take());
             worker.into_iter().for_each(Worker::run);
         };
         if thread::Builder::new().name("log".to_owned()).spawn(run).is_ok() {
             return;
         }
-        thread::sleep(SPAWN_RETRY);
+        thread::sleep(SPAWN_RETRY_DELAY);
     }
 }
 
 impl<S: Write> Worker<S> {
     fn run(mut self) {
-        while let Some(line) = self.next() {
-            self.shared.queued.fetch_sub(line.len(), Ordering::Relaxed);
+        while let Some(line) = self.next_line() {
+            self.shared.queued_bytes.fetch_sub(line.len(), Ordering::Relaxed);
             self.shared.is_writing.store(true, Ordering::SeqCst);
-            self.failed = self.write_line(&line).is_err();
+            self.has_write_failed = self.write_line(&line).is_err();
             self.shared.is_writing.store(false, Ordering::SeqCst);
-            self.shared.dropped.add(u64::from(self.failed));
+            self.shared.dropped.add(u64::from(self.has_write_failed));
         }
-        // The owner may have gone on without waiting.
-        let _ = self.end.try_send(());
+        // The guard may have stopped waiting.
+        let _ = self.exit_sender.try_send(());
     }
 
-    /// Waits for the next line; none: the owner ends, and all is written.
-    fn next(&mut self) -> Option<Vec<u8>> {
+    /// Waits for the next line. Returns none when the log is closing and every queued line is written.
+    fn next_line(&mut self) -> Option<Vec<u8>> {
         loop {
             let line = match self.lines.try_recv() {
                 Ok(line) => line,
                 Err(TryRecvError::Disconnected) => return None,
-                Err(TryRecvError::Empty) if self.tell_dropped() => continue,
+                Err(TryRecvError::Empty) if self.report_dropped() => continue,
                 Err(TryRecvError::Empty) if self.shared.is_closing.load(Ordering::SeqCst) => return None,
                 Err(TryRecvError::Empty) => self.lines.recv().ok()?,
             };
@@ -178,13 +178,13 @@
         }
     }
 
-    /// Logs how many lines were dropped, once the sink takes lines again; true: there was something to tell.
-    fn tell_dropped(&mut self) -> bool {
+    /// Logs the number of dropped lines once the sink accepts lines again. Returns whether there was anything to report.
+    fn report_dropped(&mut self) -> bool {
         let log_lines_dropped = self.shared.dropped.get();
-        if self.failed || log_lines_dropped == self.told {
+        if self.has_write_failed || log_lines_dropped == self.reported_dropped {
             return false;
         }
-        self.told = log_lines_dropped;
+        self.reported_dropped = log_lines_dropped;
         warn!(log_lines_dropped, "log lines were dropped");
         true
     }
@@ -202,11 +202,11 @@
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(count) => {
                     self.is_line_open = rest[count - 1] != b'\n';
-                    self.shared.progress.fetch_add(1, Ordering::SeqCst);
+                    self.shared.completed_writes.fetch_add(1, Ordering::SeqCst);
                     rest = &rest[count..];
                 }
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
-                Err(cause) if cause.kind() == ErrorKind::WouldBlock => thread::sleep(RETRY_AFTER),
+                Err(cause) if cause.kind() == ErrorKind::WouldBlock => thread::sleep(WRITE_RETRY_DELAY),
                 Err(cause) => return Err(cause),
             }
         }
--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `craneknot` program.
+//! The `craneknot` command line program.
 
 mod log_writer;
 mod model;
@@ -33,25 +33,27 @@
 const SIGINT: i32 = 2;
 const SIGTERM: i32 = 15;
 
-/// What went wrong, by exit code; 2 is clap's, for a command line that is not understood.
+/// A failure, with its exit code. Code 2 is used by clap for an invalid command line.
 #[derive(Clone, Copy)]
-enum Failed {
-    /// A rule was broken in a rehearsal.
+enum Failure {
+    /// A rule was broken in a run.
     Rule = 1,
-    /// Settings or a script are wrong.
+    /// Invalid settings, script or input file.
     Settings = 3,
-    /// Files, sockets or processes.
+    /// An I/O error: files, sockets or processes.
     System = 4,
 }
 
 #[derive(Parser)]
 #[command(name = "craneknot", version, about = "A traffic director for a fleet of plain proxies")]
-#[command(after_help = "Exit codes: 0 done, 1 a rule was broken, 2 command line, 3 settings, 4 system.")]
+#[command(
+    after_help = "Exit codes: 0 success, 1 a rule was broken, 2 command line, 3 settings, 4 system error."
+)]
 struct Cli {
-    /// How the log is written, to standard error.
+    /// Format of the log, which is written to standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
     log: LogForm,
-    /// What is logged: a level, or levels by module, such as `info,craneknot_agent=debug`.
+    /// Log level, or a list of levels by module, such as `info,craneknot_agent=debug`.
     #[arg(long, global = true, default_value = "info")]
     level: String,
     #[command(subcommand)]
@@ -75,117 +77,117 @@
 enum Command {
     /// Runs a coordinator.
     Run {
-        /// Its settings, a JSON file.
+        /// Settings, a JSON file.
         settings: PathBuf,
     },
     /// Runs a coordinator on the users' platform.
     Node {
-        /// Its configuration, a JSON file; left out: the one that the variable NODE_CONFIG names.
+        /// Configuration, a JSON file; by default the file that the environment variable NODE_CONFIG names.
         config: Option<PathBuf>,
     },
-    /// Runs an agent beside one proxy or several.
+    /// Runs an agent for one or more proxies on the same machine.
     Agent {
-        /// Its settings, a JSON file.
+        /// Settings, a JSON file.
         settings: PathBuf,
     },
-    /// Checks a file of settings, or a rehearsal's script.
+    /// Validates a settings file or a rehearsal script.
     Check {
         file: PathBuf,
         #[arg(long, value_enum, default_value = "coordinator")]
         kind: Kind,
     },
-    /// Prints the JSON schema of settings or scripts.
+    /// Prints the JSON schema of the settings or of rehearsal scripts.
     Schema {
         #[arg(value_enum, default_value = "coordinator")]
         kind: Kind,
     },
-    /// Raises a whole fleet of stand-ins on this machine, plays a script of troubles, and judges the rules from
-    /// what crossed the sockets.
+    /// Starts a whole fleet with simulated servers, proxies and clients on this machine, injects the faults of a script,
+    /// and checks the rules from the traffic on the sockets.
     Rehearse {
-        /// The script, a JSON file; left out: a short one that is built in.
+        /// Script, a JSON file; by default a short built-in script.
         script: Option<PathBuf>,
-        /// In place of the script's own.
+        /// Overrides the seed of the script.
         #[arg(long)]
         seed: Option<u64>,
-        /// Where the report is written, as JSON.
+        /// Writes the report to this file, as JSON.
         #[arg(long)]
         report: Option<PathBuf>,
-        /// Where settings, files and logs of the rehearsal are kept; left out: a new folder, removed at the end.
+        /// Folder for settings, files and logs of the rehearsal; by default a temporary folder, removed at the end.
         #[arg(long)]
         folder: Option<PathBuf>,
-        /// What was seen is written there, as gzipped JSON lines, for the model to play again.
+        /// Writes a recording of the run to this file, as gzipped JSON lines, for replay in the model.
         #[arg(long)]
         record: Option<PathBuf>,
-        /// The program from which the rehearsal begins, an earlier version of this one: a rolling upgrade brings this one.
+        /// Program of an earlier version to start with; a rolling upgrade in the script replaces it by this program.
         #[arg(long)]
         upgrade_from: Option<PathBuf>,
     },
-    /// Soaks coordinators on the users' platform in random faults that overlap: real processes among stand-ins, judged
-    /// by the invariants. One seed, one schedule.
+    /// Runs a soak test of coordinators on the users' platform: real processes among simulated peers, with overlapping
+    /// random faults, checked against the invariants. A seed determines the schedule.
     Soak {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Seeds in a row.
+        /// Number of consecutive seeds.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Coordinators.
+        /// Number of coordinators.
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u16).range(2..=40))]
         nodes: u16,
-        /// How long each seed lasts, s.
+        /// Duration of the run of each seed, in seconds.
         #[arg(long, default_value_t = 30)]
         seconds: u64,
-        /// The incident's day in place of random faults alone: a release without end, a coordinator killed, a zone lost
-        /// with another, all proxies at the first, its planned restart.
+        /// Plays the incident script in addition to random faults: a continuous release, a coordinator killed, a zone lost
+        /// together with another coordinator, all proxies moved to the first coordinator, and its planned restart.
         #[arg(long)]
         incident: bool,
-        /// Threads that spin beside it until each seed is over.
+        /// Number of threads that write_json the processor busy during the run of each seed.
         #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u16).range(0..=64))]
         busy: u16,
-        /// Gives each coordinator a quarter of a core over a drawn span.
+        /// Limits each coordinator to a quarter of a core for a randomly chosen interval.
         #[arg(long)]
         throttle: bool,
-        /// The program to soak, another build of this one; left out: this one.
+        /// Program to test, another build of this one; by default this program.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// The library of failing system calls, preloaded into every other coordinator.
+        /// Library that makes system_failure calls fail, preloaded into every other coordinator.
         #[arg(long)]
         fault_library: Option<PathBuf>,
-        /// Where configurations and logs are kept; left out: a new folder, removed at the end.
+        /// Folder for configurations and logs; by default a temporary folder, removed at the end.
         #[arg(long)]
         folder: Option<PathBuf>,
     },
-    /// Tries coordinators on a scripted day: real processes among stand-ins, judged by due times and by a model of
-    /// servers, proxies and channels that shares nothing with the program.
+    /// Tests coordinators with a scripted sequence of events: real processes among simulated peers, checked against
+    /// deadlines and an independent model of servers, proxies and channels that shares no code with the program.
     Trial(trial::Trial),
-    /// Plays a rehearsal's script in simulated time.
+    /// Runs a rehearsal script in simulated time.
     Model {
         #[command(subcommand)]
         act: model::Act,
     },
-    /// Finds servers' weights from a coordinator's ledger, or explains those of one that runs.
+    /// Computes server weights from a coordinator's ledger, or explains the weights of a running coordinator.
     Solve(solve::Solve),
-    /// Asks coordinators how they are: streams, what waits, and in a shared fleet members, leases and epochs.
+    /// Prints the status of coordinators: streams, queued lines, and in a shared fleet members, leases and epochs.
     Status {
-        /// Where they listen.
+        /// Addresses of the coordinators.
         #[arg(required = true)]
         coordinators: Vec<SocketAddr>,
-        /// As JSON, an object for each.
+        /// Prints JSON, one object per coordinator.
         #[arg(long)]
         json: bool,
     },
-    /// Measures one coordinator with many agents: from decision to swapped file, cost and recovery.
+    /// Measures one coordinator with many agents: latency from decision to swapped file, cost and recovery.
     Measure {
-        /// Agents in all.
+        /// Number of agents.
         #[arg(long, default_value_t = 100)]
         agents: u32,
-        /// Servers in the list.
+        /// Number of servers in the list.
         #[arg(long, default_value_t = 40)]
         servers: u16,
-        /// How long each part lasts, s.
+        /// Duration of each part, in seconds.
         #[arg(long, default_value_t = 15)]
         seconds: u64,
-        /// Agents sync files to the disk.
+        /// Makes agents sync files to disk.
         #[arg(long)]
         sync: bool,
         #[arg(long)]
@@ -194,120 +196,121 @@
 }
 
 impl Command {
-    /// Whether others wait for the process: it must not wait for its standard error.
-    fn serves(&self) -> bool {
+    /// Whether the command runs a service. A service must not block on its standard error, since clients wait for it.
+    fn is_service(&self) -> bool {
         matches!(self, Command::Run { .. } | Command::Node { .. } | Command::Agent { .. })
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    // Dropped after all else, so that the last lines are written.
-    let _log = cli.command.serves().then(output::start_log_thread);
+    // Dropped last, so that the last log lines are written.
+    let _log = cli.command.is_service().then(output::start_log_thread);
     run(cli)
 }
 
 fn run(cli: Cli) -> ExitCode {
     let Ok(filter) = EnvFilter::try_new(&cli.level) else {
         error_line!(
-            "craneknot: --level {:?} is not a level such as `info` or `warn,craneknot_agent=debug`",
+            "craneknot: --level {:?} is not a valid log filter; use for example `info` or `warn,craneknot_agent=debug`",
             cli.level
         );
         return ExitCode::from(2);
     };
-    let log = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
-        .with_writer(output::log())
+        .with_writer(output::log_target())
         .log_internal_errors(false)
         .with_target(false);
     match cli.log {
-        LogForm::Json => log.json().init(),
-        LogForm::Text => log.with_ansi(false).init(),
+        LogForm::Json => subscriber.json().init(),
+        LogForm::Text => subscriber.with_ansi(false).init(),
     }
-    match act(cli.command) {
+    match execute(cli.command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failed) => ExitCode::from(failed as u8),
+        Err(failure) => ExitCode::from(failure as u8),
     }
 }
 
-fn wrong(problems: Problems) -> Failed {
+fn settings_failure(problems: Problems) -> Failure {
     error_line!("{problems}");
-    Failed::Settings
+    Failure::Settings
 }
 
-fn system(cause: std::io::Error) -> Failed {
-    error!(%cause, "cannot go on");
-    Failed::System
+fn system_failure(cause: std::io::Error) -> Failure {
+    error!(%cause, "cannot continue");
+    Failure::System
 }
 
-fn folder_of(file: &Path) -> &Path {
+fn parent_folder(file: &Path) -> &Path {
     file.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."))
 }
 
-/// The script of a file, or the one that is built in; the seed in place of its own.
-fn script_of(file: Option<&Path>, seed: Option<u64>) -> Result<Script, Failed> {
+/// Loads the script from a file, or the built-in one. A given seed overrides that of the script.
+fn load_script(file: Option<&Path>, seed: Option<u64>) -> Result<Script, Failure> {
     let mut script = match file {
-        Some(file) => load::<Script>(file).map_err(wrong)?,
-        None => Script::built_in().map_err(wrong)?,
+        Some(file) => load::<Script>(file).map_err(settings_failure)?,
+        None => Script::built_in().map_err(settings_failure)?,
     };
     script.seed = seed.unwrap_or(script.seed);
     Ok(script)
 }
 
-fn pretty(value: &impl Serialize) -> String {
+fn to_pretty_json(value: &impl Serialize) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
 
-/// Writes a value as JSON where that was asked for.
-fn keep(path: Option<&Path>, value: &impl Serialize) -> Result<(), Failed> {
-    path.map_or(Ok(()), |path| fs::write(path, pretty(value) + "\n").map_err(system))
+/// Writes a value as JSON to the file, if one is given.
+fn write_json(path: Option<&Path>, value: &impl Serialize) -> Result<(), Failure> {
+    path.map_or(Ok(()), |path| fs::write(path, to_pretty_json(value) + "\n").map_err(system_failure))
 }
 
-fn act(command: Command) -> Result<(), Failed> {
+fn execute(command: Command) -> Result<(), Failure> {
     match command {
         Command::Run { settings } => {
-            // Before anything else: a signal that is not heeded yet ends the process at once.
-            let signals = SignalFlags::register(&[SIGHUP, SIGINT, SIGTERM]).map_err(system)?;
-            let read: CoordinatorSettings = load(&settings).map_err(wrong)?;
+            // Registered first: a signal without a handler would end the process at once.
+            let signals = SignalFlags::register(&[SIGHUP, SIGINT, SIGTERM]).map_err(system_failure)?;
+            let parsed: CoordinatorSettings = load(&settings).map_err(settings_failure)?;
             let clock = Arc::new(SteadyClock::new());
-            let mut shell = Shell::new(read, folder_of(&settings), clock).map_err(system)?;
+            let mut shell = Shell::new(parsed, parent_folder(&settings), clock).map_err(system_failure)?;
             shell.reload_from(&settings);
             shell.tell_dropped_lines(output::dropped_lines());
             shell.end_on(signals);
             match shell.run() {
                 Ended::Asked => Ok(()),
-                Ended::Failed(cause) => Err(system(cause)),
+                Ended::Failed(cause) => Err(system_failure(cause)),
             }
         }
         Command::Node { config } => {
             let Some(file) = config.or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from)) else {
-                error_line!("craneknot: name the configuration, or set NODE_CONFIG to its path");
-                return Err(Failed::Settings);
+                error_line!("craneknot: no configuration file given; pass its path or set NODE_CONFIG");
+                return Err(Failure::Settings);
             };
             let clock = Arc::new(SteadyClock::new());
-            let ends = [SIGINT, SIGTERM];
-            let mut shell =
-                craneknot_node::shell::Shell::new(&file, clock, &ends).map_err(|cause| match cause {
-                    StartError::Config(what) => {
-                        error_line!("craneknot: {what}");
-                        Failed::Settings
+            let exit_signals = [SIGINT, SIGTERM];
+            let mut shell = craneknot_node::shell::Shell::new(&file, clock, &exit_signals).map_err(
+                |cause| match cause {
+                    StartError::Config(problem) => {
+                        error_line!("craneknot: {problem}");
+                        Failure::Settings
                     }
-                    StartError::System(cause) => system(cause),
-                })?;
+                    StartError::System(cause) => system_failure(cause),
+                },
+            )?;
             shell.set_dropped_line_counter(output::dropped_lines());
             match shell.run() {
                 craneknot_node::shell::ExitReason::Signalled => Ok(()),
-                craneknot_node::shell::ExitReason::Failed(cause) => Err(system(cause)),
+                craneknot_node::shell::ExitReason::Failed(cause) => Err(system_failure(cause)),
             }
         }
         Command::Agent { settings } => {
-            let signals = SignalFlags::register(&[SIGINT, SIGTERM]).map_err(system)?;
-            let read: AgentSettings = load(&settings).map_err(wrong)?;
+            let signals = SignalFlags::register(&[SIGINT, SIGTERM]).map_err(system_failure)?;
+            let parsed: AgentSettings = load(&settings).map_err(settings_failure)?;
             let clock = Arc::new(SteadyClock::new());
-            let shell = craneknot_agent::shell::Shell::new(read, folder_of(&settings), clock);
-            let mut shell = shell.map_err(system)?;
+            let shell = craneknot_agent::shell::Shell::new(parsed, parent_folder(&settings), clock);
+            let mut shell = shell.map_err(system_failure)?;
             shell.end_on(signals);
-            shell.run().map_err(system)
+            shell.run().map_err(system_failure)
         }
         Command::Check { file, kind } => {
             match kind {
@@ -315,8 +318,8 @@
                 Kind::Agent => load::<AgentSettings>(&file).map(drop),
                 Kind::Script => load::<Script>(&file).map(drop),
             }
-            .map_err(wrong)?;
-            print_line!("{}: in order", file.display());
+            .map_err(settings_failure)?;
+            print_line!("{}: valid", file.display());
             Ok(())
         }
         Command::Schema { kind } => {
@@ -331,20 +334,20 @@
             Ok(())
         }
         Command::Rehearse { script, seed, report, folder, record, upgrade_from } => {
-            let read = script_of(script.as_deref(), seed)?;
-            let program = std::env::current_exe().map_err(system)?;
+            let script = load_script(script.as_deref(), seed)?;
+            let program = std::env::current_exe().map_err(system_failure)?;
             let programs = Programs { first: upgrade_from.as_deref().unwrap_or(&program), next: &program };
-            let kept = Kept { folder: folder.as_deref(), recording: record.as_deref() };
-            let result = craneknot_rehearsal::rehearse(&read, programs, kept).map_err(system)?;
+            let outputs = Kept { folder: folder.as_deref(), recording: record.as_deref() };
+            let result = craneknot_rehearsal::rehearse(&script, programs, outputs).map_err(system_failure)?;
             output::write_output(format_args!("{}", result.lines()));
-            keep(report.as_deref(), &result)?;
+            write_json(report.as_deref(), &result)?;
             if result.passed() {
                 Ok(())
             } else {
-                Err(Failed::Rule)
+                Err(Failure::Rule)
             }
         }
-        Command::Trial(asked) => trial::trial(&asked),
+        Command::Trial(options) => trial::run_seeds(&options),
         Command::Soak {
             seed,
             seeds,
@@ -357,45 +360,45 @@
             fault_library,
             folder,
         } => {
-            let kept = tempfile::tempdir().map_err(system)?;
+            let temporary = tempfile::tempdir().map_err(system_failure)?;
             let settings = SoakSettings {
                 seed,
                 day: if incident { Day::Incident } else { Day::Random },
                 nodes: usize::from(nodes),
                 length: Duration::from_secs(seconds),
                 load: Load { busy: usize::from(busy), throttled: throttle },
-                program: program.map_or_else(std::env::current_exe, Ok).map_err(system)?,
+                program: program.map_or_else(std::env::current_exe, Ok).map_err(system_failure)?,
                 fault_library,
-                folder: folder.unwrap_or_else(|| kept.path().to_owned()),
+                folder: folder.unwrap_or_else(|| temporary.path().to_owned()),
             };
-            soak::soak(&settings, seeds)
+            soak::run_seeds(&settings, seeds)
         }
-        Command::Model { act } => model::act(act),
-        Command::Solve(asked) => solve::solve(&asked),
+        Command::Model { act } => model::execute(act),
+        Command::Solve(options) => solve::execute(&options),
         Command::Status { coordinators, json } => {
-            let mut failed = false;
+            let mut has_failed = false;
             for address in coordinators {
-                match status::ask(address, "/status") {
+                match status::fetch(address, "/status") {
                     Ok(status) if json => print_line!("{status}"),
-                    Ok(status) => output::write_output(format_args!("{}", status::text(address, &status))),
+                    Ok(status) => output::write_output(format_args!("{}", status::to_text(address, &status))),
                     Err(cause) => {
                         error_line!("{address}: {cause}");
-                        failed = true;
+                        has_failed = true;
                     }
                 }
             }
-            if failed {
-                Err(Failed::System)
+            if has_failed {
+                Err(Failure::System)
             } else {
                 Ok(())
             }
         }
         Command::Measure { agents, servers, seconds, sync, report } => {
-            let program = std::env::current_exe().map_err(system)?;
-            let asked = craneknot_rehearsal::measure::Asked { agents, servers, seconds, sync };
-            let figures = craneknot_rehearsal::measure::measure(&program, asked).map_err(system)?;
-            print_line!("{}", pretty(&figures));
-            keep(report.as_deref(), &figures)
+            let program = std::env::current_exe().map_err(system_failure)?;
+            let options = craneknot_rehearsal::measure::Asked { agents, servers, seconds, sync };
+            let figures = craneknot_rehearsal::measure::measure(&program, options).map_err(system_failure)?;
+            print_line!("{}", to_pretty_json(&figures));
+            write_json(report.as_deref(), &figures)
         }
     }
 }
--- a/crates/craneknot-cli/src/model.rs
+++ b/crates/craneknot-cli/src/model.rs
@@ -1,4 +1,4 @@
-//! `craneknot model`: scripts in simulated time.
+//! `craneknot model`: runs scripts in simulated time.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -15,24 +15,24 @@
 use tracing::error;
 
 use crate::output::{self, error_line, print_line};
-use crate::{keep, pretty, script_of, system, Failed};
+use crate::{load_script, system_failure, to_pretty_json, write_json, Failure};
 
-/// How many runs, and what stands beside.
+/// Number of runs, and what is reported in addition.
 #[derive(Args, Clone, Copy)]
 pub struct Runs {
-    /// Runs at the least.
+    /// Minimum number of runs.
     #[arg(long, default_value_t = 5)]
     least: usize,
-    /// Runs at the most.
+    /// Maximum number of runs.
     #[arg(long, default_value_t = 20)]
     most: usize,
-    /// Half the width of the 95% interval of the service (or of the difference) that is enough.
+    /// Stops once half the width of the 95% confidence interval of the service (or of the difference) is at most this.
     #[arg(long, default_value_t = 0.01)]
     narrow: f64,
-    /// Plays baselines and the bound beside ours.
+    /// Also runs baselines and the upper bound, for comparison.
     #[arg(long)]
     baselines: bool,
-    /// Tells the wall time of coordinators' turns and the age of what they know.
+    /// Reports the wall time of coordinators' turns and the age of their information.
     #[arg(long)]
     cost: bool,
 }
@@ -46,39 +46,39 @@
 
 #[derive(Subcommand)]
 pub enum Act {
-    /// One seed after another, until the error bars of the service are narrow enough.
+    /// Runs one seed after another until the confidence interval of the service is narrow enough.
     Run {
-        /// The script, a JSON file; left out: the short one that is built in.
+        /// Script, a JSON file; by default the short built-in script.
         script: Option<PathBuf>,
         #[arg(long)]
         seed: Option<u64>,
         #[command(flatten)]
         runs: Runs,
-        /// A recording: what it shows was asked for is played again, and its service forecast.
+        /// Replays the operations of this recording, and forecasts their service.
         #[arg(long)]
         replay: Option<PathBuf>,
-        /// The first seed's run is written there as a recording.
+        /// Writes the run of the first seed to this file, as a recording.
         #[arg(long)]
         record: Option<PathBuf>,
-        /// The ledgers that coordinators would keep of the first seed's run are written into that folder.
+        /// Writes the ledgers that coordinators would keep of the run of the first seed into this folder.
         #[arg(long)]
         ledgers: Option<PathBuf>,
-        /// A `craneknot-wirehost` of any commit: its decisions are played in place of this program's own.
+        /// Uses the decisions of this `craneknot-wirehost` program, built from any commit, in place of the built-in ones.
         #[arg(long)]
         build: Option<PathBuf>,
-        /// Where the outcome is written, as JSON.
+        /// Writes the outcome to this file, as JSON.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Two scripts on the same random numbers: the second's service less the first's.
+    /// Compares two scripts on the same random numbers: the service of the second minus that of the first.
     Compare {
         one: PathBuf,
-        /// Left out: the same, under another build.
+        /// Second script; by default the first one, for a comparison of two builds.
         other: Option<PathBuf>,
-        /// A `craneknot-wirehost` of any commit that decides in the first; left out: this program.
+        /// Program `craneknot-wirehost` of any commit that decides in the first script; by default this program.
         #[arg(long)]
         first_build: Option<PathBuf>,
-        /// The same for the second.
+        /// The same for the second script.
         #[arg(long)]
         second_build: Option<PathBuf>,
         #[command(flatten)]
@@ -86,7 +86,8 @@
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// A script with other values at JSON pointers, such as `--at /clients/rate=100,200`; several make a grid.
+    /// Runs a script with other values at JSON pointers, such as `--at /clients/rate=100,200`; several pointers make a
+    /// grid.
     Sweep {
         script: PathBuf,
         #[arg(long = "at", required = true)]
@@ -96,22 +97,22 @@
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Finds from a recording what cannot be seen, and writes the script with it.
+    /// Estimates from a recording the parameters that cannot be observed, and writes a script with them.
     Fit {
         recording: PathBuf,
-        /// Where the fitted script is written.
+        /// Writes the fitted script to this file.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Makes a recording of coordinators' ledgers: traffic as they counted it, servers as their lists told them.
+    /// Makes a recording from coordinators' ledgers: traffic as counted by them, and servers as listed by discovery.
     Feed {
-        /// Ledgers of one span of time, of all coordinators.
+        /// Ledgers of all coordinators for the same period.
         #[arg(required = true)]
         ledgers: Vec<PathBuf>,
-        /// The servers, proxies and channel, which no ledger tells whole.
+        /// Script with the servers, proxies and channel, which the ledgers describe only in part.
         #[arg(long)]
         script: PathBuf,
-        /// Draws the moments within the spans that counts are of.
+        /// Seed for drawing the arrival times within each counted interval.
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[arg(long)]
@@ -124,211 +125,225 @@
         #[arg(long)]
         out: PathBuf,
     },
-    /// Looks for a day on which a rule breaks, or service falls furthest behind the bound, and writes the smallest script
-    /// that shows it.
+    /// Searches for a run that breaks a rule, or in which service falls furthest behind the upper bound, and writes the
+    /// smallest script that reproduces it.
     Hunt {
-        /// The fleet and its clients; its own troubles are left out.
+        /// Script with the fleet and its clients; its own faults are not used.
         script: Option<PathBuf>,
         #[arg(long)]
         seed: Option<u64>,
-        /// Days to play.
+        /// Number of random runs.
         #[arg(long, default_value_t = 100)]
         days: usize,
-        /// Where the script found is written.
+        /// Writes the script found to this file.
         #[arg(long)]
         out: Option<PathBuf>,
     },
 }
 
-/// A coordinator's ledger.
-pub fn ledger_of(file: &Path) -> Result<Told, Failed> {
-    ledger::read(file).map_err(|fault| {
-        error_line!("{}: {fault}", file.display());
-        Failed::Settings
+/// Reads a coordinator's ledger.
+pub fn read_ledger(file: &Path) -> Result<Told, Failure> {
+    ledger::read(file).map_err(|cause| {
+        error_line!("{}: {cause}", file.display());
+        Failure::Settings
     })
 }
 
-fn recording_of(file: &Path) -> Result<Recording, Failed> {
-    Recording::read(file).map_err(|fault| {
-        error_line!("{}: {fault}", file.display());
-        Failed::Settings
+fn read_recording(file: &Path) -> Result<Recording, Failure> {
+    Recording::read(file).map_err(|cause| {
+        error_line!("{}: {cause}", file.display());
+        Failure::Settings
     })
 }
 
-/// A build by its program's path; hosted decisions know no shared fleet, whose bindings their lines cannot tell.
-fn build_of(program: Option<PathBuf>, scripts: &[&Script]) -> Result<Build, Failed> {
+/// The build that decides: a hosted program, or this one by default. A hosted build can't run a shared fleet, since its
+/// protocol can't express the bindings of one.
+fn select_build(program: Option<PathBuf>, scripts: &[&Script]) -> Result<Build, Failure> {
     let Some(program) = program else { return Ok(Build::Own) };
     if let Some(script) = scripts.iter().find(|script| script.shared.is_some()) {
-        error_line!("script {:?}: /shared: a hosted build knows no shared fleet; leave it out", script.name);
-        return Err(Failed::Settings);
+        error_line!(
+            "script {:?}: /shared: a hosted build does not support a shared fleet; remove this setting",
+            script.name
+        );
+        return Err(Failure::Settings);
     }
     Ok(Build::Hosted(program))
 }
 
-fn told(single: &Single) {
-    let broken = single.broken.as_ref().map_or(String::new(), |first| format!("; a rule broke: {first}"));
+fn print_run(single: &Single) {
+    let broken =
+        single.broken.as_ref().map_or(String::new(), |first| format!("; a rule was broken: {first}"));
     error_line!("seed {}: service {:.4}{broken}", single.seed, single.service);
 }
 
-/// Prints what came out, keeps it, and fails where a rule broke.
-fn finish(outcome: &Outcome, out: Option<&Path>) -> Result<(), Failed> {
+/// Prints the outcome, writes it to the file if one is given, and fails if a rule was broken.
+fn finish(outcome: &Outcome, out: Option<&Path>) -> Result<(), Failure> {
     for arm in &outcome.arms {
         print_line!("{}: service {}", arm.name, arm.service);
         print_line!("  worst 10 s {}, p99 {} ms", arm.worst_window, arm.p99_ms);
         for cost in arm.singles.iter().filter_map(|single| single.cost).take(1) {
-            let ((half, most), (age, oldest)) = (cost.turn_us, cost.age_s);
+            let ((median, p99), (age, age_p99)) = (cost.turn_us, cost.age_s);
             print_line!(
-                "  a turn {half:.0} us (99 of 100: {most:.0}), what it learns {age:.2} s old ({oldest:.2})"
+                "  turn: median {median:.0} us, p99 {p99:.0} us; age of reports: median {age:.2} s, p99 {age_p99:.2} s"
             );
         }
         for (name, estimate) in &arm.beside {
-            let fell: usize = arm.singles.iter().filter_map(|single| single.beside_fell.get(name)).sum();
-            let note = if fell > 0 { format!(", {fell} cold servers pushed over") } else { String::new() };
+            let overloaded: usize =
+                arm.singles.iter().filter_map(|single| single.beside_fell.get(name)).sum();
+            let note = if overloaded > 0 {
+                format!(", {overloaded} cold servers overloaded")
+            } else {
+                String::new()
+            };
             print_line!("  {name}: {estimate}{note}");
         }
     }
     for difference in &outcome.differences {
-        print_line!("{} less {}: service {}", difference.arm, difference.less, difference.service);
+        print_line!("{} minus {}: service {}", difference.arm, difference.less, difference.service);
     }
     if let Some(forecast) = &outcome.forecast {
         let measured = match (forecast.measured, forecast.inside) {
-            (Some(value), Some(true)) => format!("; measured {value:.4}, inside"),
-            (Some(value), Some(false)) => format!("; measured {value:.4}, outside"),
+            (Some(value), Some(true)) => format!("; measured {value:.4}, inside the interval"),
+            (Some(value), Some(false)) => format!("; measured {value:.4}, outside the interval"),
             (Some(_) | None, _) => String::new(),
         };
         print_line!("forecast of one run: {}{measured}", forecast.next);
     }
-    keep(out, outcome)?;
+    write_json(out, outcome)?;
     match outcome.broken().next() {
         None => Ok(()),
         Some((arm, single)) => {
             let first = single.broken.as_deref().unwrap_or_default();
-            error_line!("{arm}, seed {}: a rule broke: {first}", single.seed);
-            Err(Failed::Rule)
+            error_line!("{arm}, seed {}: a rule was broken: {first}", single.seed);
+            Err(Failure::Rule)
         }
     }
 }
 
-fn input_of(file: &Path) -> Result<Input, Failed> {
+fn read_plot_input(file: &Path) -> Result<Input, Failure> {
     let name = file.display().to_string();
-    let text = fs::read(file).map_err(system)?;
+    let text = fs::read(file).map_err(system_failure)?;
     if text.starts_with(&[0x1f, 0x8b]) {
-        return Ok(Input::Recording(name, Box::new(recording_of(file)?)));
+        return Ok(Input::Recording(name, Box::new(read_recording(file)?)));
     }
     match serde_json::from_slice::<Outcome>(&text) {
         Ok(outcome) if outcome.format == experiment::FORMAT => Ok(Input::Outcome(name, Box::new(outcome))),
         Ok(outcome) => {
-            error_line!("{name}: its format is {:?}; {:?} is wanted", outcome.format, experiment::FORMAT);
-            Err(Failed::Settings)
+            error_line!("{name}: unsupported format {:?}; expected {:?}", outcome.format, experiment::FORMAT);
+            Err(Failure::Settings)
         }
         Err(cause) => {
-            error_line!("{name}: neither a recording nor an outcome of an experiment: {cause}");
-            Err(Failed::Settings)
+            error_line!("{name}: neither a recording nor the outcome of an experiment: {cause}");
+            Err(Failure::Settings)
         }
     }
 }
 
-pub fn act(act: Act) -> Result<(), Failed> {
+pub fn execute(act: Act) -> Result<(), Failure> {
     match act {
         Act::Run { script, seed, runs, replay, record, ledgers, build, out } => {
-            let recording = replay.as_deref().map(recording_of).transpose()?;
-            let read = match (&script, &recording) {
+            let recording = replay.as_deref().map(read_recording).transpose()?;
+            let script = match (&script, &recording) {
                 (None, Some(recording)) => recording.head.script.clone(),
-                (script, _) => script_of(script.as_deref(), seed)?,
+                (script, _) => load_script(script.as_deref(), seed)?,
             };
             if let Some(folder) = ledgers {
-                fs::create_dir_all(&folder).map_err(system)?;
-                let played = play_whole(&read, Ask { ledgers: true, ..Ask::default() });
-                for told in &played.ledgers {
-                    let file = folder.join(format!("{}.ledger.gz", told.head.coordinator));
-                    ledger::write(&file, told).map_err(system)?;
+                fs::create_dir_all(&folder).map_err(system_failure)?;
+                let played = play_whole(&script, Ask { ledgers: true, ..Ask::default() });
+                for ledger in &played.ledgers {
+                    let file = folder.join(format!("{}.ledger.gz", ledger.head.coordinator));
+                    ledger::write(&file, ledger).map_err(system_failure)?;
                 }
             }
             if let Some(path) = record {
-                let played = play_whole(&read, Ask::default());
-                let recording = Recording::of("model", &read, played.begin, &played.records, &played.report);
-                recording.write(&path).map_err(system)?;
+                let played = play_whole(&script, Ask::default());
+                let recording =
+                    Recording::of("model", &script, played.begin, &played.records, &played.report);
+                recording.write(&path).map_err(system_failure)?;
                 output::write_output(format_args!("{}", played.report.lines()));
             }
             let outcome = match &recording {
-                Some(recording) => experiment::replay(recording, &read, runs.into(), told),
-                None => experiment::run(&read, &build_of(build, &[&read])?, runs.into(), told),
+                Some(recording) => experiment::replay(recording, &script, runs.into(), print_run),
+                None => experiment::run(&script, &select_build(build, &[&script])?, runs.into(), print_run),
             };
             finish(&outcome, out.as_deref())
         }
         Act::Compare { one, other, first_build, second_build, runs, out } => {
-            let first = script_of(Some(&one), None)?;
-            let second = other.as_deref().map_or(Ok(first.clone()), |other| script_of(Some(other), None))?;
+            let first = load_script(Some(&one), None)?;
+            let second =
+                other.as_deref().map_or(Ok(first.clone()), |other| load_script(Some(other), None))?;
             let scripts = [&first, &second];
-            let builds = (build_of(first_build, &scripts)?, build_of(second_build, &scripts)?);
+            let builds = (select_build(first_build, &scripts)?, select_build(second_build, &scripts)?);
             let (first, second) = ((&first, &builds.0), (&second, &builds.1));
-            finish(&experiment::compare(first, second, runs.into(), told), out.as_deref())
+            finish(&experiment::compare(first, second, runs.into(), print_run), out.as_deref())
         }
         Act::Sweep { script, axes, runs, out } => {
-            let read = script_of(Some(&script), None)?;
-            let outcome = experiment::sweep(&read, &axes, runs.into(), |arm, single| {
+            let base = load_script(Some(&script), None)?;
+            let outcome = experiment::sweep(&base, &axes, runs.into(), |arm, single| {
                 output::write_error(format_args!("{arm}, "));
-                told(single);
+                print_run(single);
             });
             match outcome {
                 Ok(outcome) => finish(&outcome, out.as_deref()),
                 Err(cause) => {
                     error_line!("{}: {cause}", script.display());
-                    Err(Failed::Settings)
+                    Err(Failure::Settings)
                 }
             }
         }
         Act::Fit { recording, out } => {
-            let read = recording_of(&recording)?;
-            let fitted = fit::fit(&read, ROUND_TRIP).map_err(|cause| {
+            let observed = read_recording(&recording)?;
+            let fitted = fit::fit(&observed, ROUND_TRIP).map_err(|cause| {
                 error_line!("{}: {cause}", recording.display());
-                Failed::Settings
+                Failure::Settings
             })?;
-            print_line!("{}", pretty(&fitted));
-            keep(out.as_deref(), &fitted.script)
+            print_line!("{}", to_pretty_json(&fitted));
+            write_json(out.as_deref(), &fitted.script)
         }
         Act::Feed { ledgers, script, seed, out } => {
-            let script = script_of(Some(&script), None)?;
-            let told = ledgers.iter().map(|file| ledger_of(file)).collect::<Result<Vec<Told>, Failed>>()?;
-            let fed = feed::recording(&told, &script, seed).map_err(|cause| {
+            let script = load_script(Some(&script), None)?;
+            let ledgers =
+                ledgers.iter().map(|file| read_ledger(file)).collect::<Result<Vec<Told>, Failure>>()?;
+            let fed = feed::recording(&ledgers, &script, seed).map_err(|cause| {
                 error_line!("{cause}");
-                Failed::Settings
+                Failure::Settings
             })?;
             if fed.torn > 0 {
-                error_line!("{} ledgers end in a part that was cut short: left out", fed.torn);
+                error_line!("{} ledgers end in a truncated part, which is ignored", fed.torn);
             }
             if fed.missing > 0 {
-                error_line!("{} lines are missing: the disk did not take them", fed.missing);
+                error_line!("{} ledger lines are missing: writes to disk failed", fed.missing);
             }
             let length = fed.recording.head.script.length;
-            print_line!("{} operations in {length}, {} tries without an answer", fed.arrived, fed.unanswered);
-            fed.recording.write(&out).map_err(system)
+            print_line!("{} operations in {length}, {} tries unanswered", fed.arrived, fed.unanswered);
+            fed.recording.write(&out).map_err(system_failure)
         }
         Act::Plot { files, out } => {
-            let inputs = files.iter().map(|file| input_of(file)).collect::<Result<Vec<Input>, Failed>>()?;
+            let inputs =
+                files.iter().map(|file| read_plot_input(file)).collect::<Result<Vec<Input>, Failure>>()?;
             let page = plot::page(&inputs).map_err(|cause| {
-                error!(cause, "cannot draw");
-                Failed::System
+                error!(cause, "cannot draw the plot");
+                Failure::System
             })?;
-            fs::write(out, page).map_err(system)
+            fs::write(out, page).map_err(system_failure)
         }
         Act::Hunt { script, seed, days, out } => {
-            let base = script_of(script.as_deref(), seed)?;
+            let base = load_script(script.as_deref(), seed)?;
             let found = hunt::hunt(&base, days, |day, report| {
                 if !report.passed() {
-                    error_line!("day {day}: a rule broke, seed {}", report.seed);
+                    error_line!("run {day}: a rule was broken, seed {}", report.seed);
                 }
             });
             output::write_output(format_args!("{}", found.report.lines()));
-            print_line!("{:.3} behind the bound; {} days played", found.badness.behind, found.played);
+            print_line!("service {:.3} below the upper bound; {} runs", found.badness.behind, found.played);
             match out {
-                Some(path) => keep(Some(&path), &found.script)?,
-                None => print_line!("{}", pretty(&found.script)),
+                Some(path) => write_json(Some(&path), &found.script)?,
+                None => print_line!("{}", to_pretty_json(&found.script)),
             }
             if found.report.passed() {
                 Ok(())
             } else {
-                Err(Failed::Rule)
+                Err(Failure::Rule)
             }
         }
     }
--- a/crates/craneknot-cli/src/output.rs
+++ b/crates/craneknot-cli/src/output.rs
@@ -1,5 +1,5 @@
-//! The process's standard output and error. A failed write to either is ignored: it must not panic, and changes no exit
-//! code. A process that serves writes its errors and its log by a thread, and waits for neither.
+//! Standard output and standard error of the process. Failed writes are ignored: they must neither panic nor change the
+//! exit code. A service writes its errors and its log on a separate thread and never blocks on them.
 
 use std::backtrace::{Backtrace, BacktraceStatus};
 use std::fmt::Arguments;
@@ -13,39 +13,39 @@
 
 use crate::log_writer::{LogGuard, LogWriter};
 
-/// Takes all that goes to standard error in a process that serves.
-static LOG: OnceLock<LogWriter> = OnceLock::new();
+/// Receives everything that a service writes to standard error.
+static LOG_WRITER: OnceLock<LogWriter> = OnceLock::new();
 
-/// From now on nothing waits for standard error, panics included; what is left of it is written when the guard is
-/// dropped.
+/// Sends everything for standard error, panic messages included, to a log thread from now on, so that no caller blocks.
+/// Dropping the guard writes the queued lines.
 pub fn start_log_thread() -> LogGuard {
     let (writer, guard) = LogWriter::start(io::stderr());
-    // Only the first call in a process counts.
-    let _ = LOG.set(writer);
+    // Only the first call in a process has an effect.
+    let _ = LOG_WRITER.set(writer);
     panic::set_hook(Box::new(log_panic));
     guard
 }
 
 fn log_panic(info: &PanicHookInfo) {
-    let place = info.location().map(ToString::to_string);
-    error!(cause = info.payload_as_str(), place, "panicked");
+    let location = info.location().map(ToString::to_string);
+    error!(cause = info.payload_as_str(), place = location, "panicked");
     let backtrace = Backtrace::capture();
     if backtrace.status() == BacktraceStatus::Captured {
         write_error(format_args!("{backtrace}\n"));
     }
 }
 
-/// Where the log goes.
-pub fn log() -> BoxMakeWriter {
-    match LOG.get() {
+/// The destination of the log: the log thread if it runs, otherwise standard error.
+pub fn log_target() -> BoxMakeWriter {
+    match LOG_WRITER.get() {
         Some(writer) => BoxMakeWriter::new(writer.clone()),
         None => BoxMakeWriter::new(io::stderr),
     }
 }
 
-/// How many log lines were dropped so far.
+/// The number of log lines dropped so far.
 pub fn dropped_lines() -> Counter {
-    LOG.get().map(LogWriter::dropped).unwrap_or_default()
+    LOG_WRITER.get().map(LogWriter::dropped).unwrap_or_default()
 }
 
 /// Writes to standard output.
@@ -55,7 +55,7 @@
 
 /// Writes to standard error.
 pub fn write_error(text: Arguments) {
-    match LOG.get() {
+    match LOG_WRITER.get() {
         Some(writer) => writer.enqueue(text.to_string().as_bytes()),
         None => drop(io::stderr().write_fmt(text)),
     }
--- a/crates/craneknot-cli/src/soak.rs
+++ b/crates/craneknot-cli/src/soak.rs
@@ -1,39 +1,39 @@
-//! `craneknot soak`: several seeds in a row, a line a seed, and all that is needed to play a failure again.
+//! `craneknot soak`: runs consecutive seeds, prints a line for each, and the command that reproduces a failure.
 
 use craneknot_rehearsal::soak::{run, Day, SoakReport, SoakSettings};
 
 use crate::output::print_line;
-use crate::{system, Failed};
+use crate::{system_failure, Failure};
 
-/// Plays so many seeds from the first on.
-pub fn soak(settings: &SoakSettings, seeds: u64) -> Result<(), Failed> {
+/// Runs this number of consecutive seeds, starting from the seed of the settings.
+pub fn run_seeds(settings: &SoakSettings, seeds: u64) -> Result<(), Failure> {
     let mut failed = 0;
     for seed in settings.seed..settings.seed + seeds {
         let folder = settings.folder.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(system)?;
-        let one = SoakSettings { seed, folder, ..settings.clone() };
-        let report = run(&one).map_err(system)?;
-        print_line!("{}", line(&report));
+        std::fs::create_dir_all(&folder).map_err(system_failure)?;
+        let seed_settings = SoakSettings { seed, folder, ..settings.clone() };
+        let report = run(&seed_settings).map_err(system_failure)?;
+        print_line!("{}", summary_line(&report));
         if !report.broken.is_empty() {
             failed += 1;
-            tell(&report, &one);
+            print_failure(&report, &seed_settings);
         }
     }
     print_line!("{seeds} seeds, {failed} failed");
     if failed == 0 {
         Ok(())
     } else {
-        Err(Failed::Rule)
+        Err(Failure::Rule)
     }
 }
 
-fn line(report: &SoakReport) -> String {
+fn summary_line(report: &SoakReport) -> String {
     let memory = report.sizes.iter().map(|(memory, _)| *memory).max().unwrap_or_default();
     let descriptors = report.sizes.iter().map(|(_, descriptors)| *descriptors).max().unwrap_or_default();
     format!(
-        "seed {}: {} ({} faults, {} starts, {} answered in time, {} of them asked after SIGTERM, {} late, {} never, \
-         {} turned away, {} in flight at a kill, slowest {} ms, without a line {:.1} s at most ({:.1} s told; {}), machine late {:.1} s, most {memory} KiB and {descriptors} \
-         descriptors)",
+        "seed {}: {} ({} faults, {} starts, {} answered in time, {} of them sent after SIGTERM, {} late, {} unanswered, \
+         {} rejected, {} in flight at a kill, slowest {} ms, without a line at most {:.1} s ({:.1} s reported; {}), \
+         machine delayed {:.1} s, peak {memory} KiB and {descriptors} descriptors)",
         report.seed,
         if report.broken.is_empty() { "passed" } else { "FAILED" },
         report.faults,
@@ -52,17 +52,17 @@
     )
 }
 
-/// What was broken, what was played, and how to play it again.
-fn tell(report: &SoakReport, settings: &SoakSettings) {
+/// Prints the broken invariants, the schedule, and the command that reproduces the run.
+fn print_failure(report: &SoakReport, settings: &SoakSettings) {
     report.broken.iter().for_each(|broken| print_line!("  broken: {broken}"));
-    report.schedule.iter().for_each(|planned| print_line!("  played: {planned}"));
+    report.schedule.iter().for_each(|planned| print_line!("  scheduled: {planned}"));
     let library = settings.fault_library.as_ref();
     let library = library.map_or(String::new(), |path| format!(" --fault-library {}", path.display()));
     let day = if settings.day == Day::Incident { " --incident" } else { "" };
     let busy = if settings.load.busy > 0 { format!(" --busy {}", settings.load.busy) } else { String::new() };
     let throttle = if settings.load.throttled { " --throttle" } else { "" };
     print_line!(
-        "  again: craneknot soak{day} --seed {} --nodes {} --seconds {}{busy}{throttle}{library}",
+        "  reproduce: craneknot soak{day} --seed {} --nodes {} --seconds {}{busy}{throttle}{library}",
         settings.seed,
         settings.nodes,
         settings.length.as_secs()
--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -1,4 +1,4 @@
-//! `craneknot solve`: the weights' solver on what a coordinator kept, and why a server has its weight.
+//! `craneknot solve`: computes weights from a coordinator's ledger, and explains why a server has its weight.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,79 +14,81 @@
 use craneknot_solver::steer::{self, Steer};
 
 use crate::output::{self, error_line, print_line};
-use crate::{pretty, status, system, Failed};
+use crate::{status, system_failure, to_pretty_json, Failure};
 
-/// What is to be solved, and how.
+/// Input and parameters of the solver.
 #[derive(Args)]
 pub struct Solve {
-    /// A coordinator's ledger.
+    /// Ledger of a coordinator.
     ledger: Option<PathBuf>,
-    /// In place of a ledger: a coordinator that runs, whose own weights are explained.
+    /// Explains the current weights of this running coordinator, in place of a ledger.
     #[arg(long, conflicts_with = "ledger")]
     coordinator: Option<SocketAddr>,
-    /// Why each server has its weight, what binds, and what one more server would bring; left out: the weights alone.
+    /// Explains the weight of each server, the binding constraints and the benefit of one more server; by default only the
+    /// weights are printed.
     #[arg(long)]
     explain: bool,
-    /// As JSON.
+    /// Prints JSON.
     #[arg(long)]
     json: bool,
-    /// As things stood so many seconds after the ledger began; left out: at its end.
+    /// Uses the state this many seconds after the start of the ledger; by default at its end.
     #[arg(long)]
     at: Option<f64>,
-    /// Deviations of a capacity that are kept free.
+    /// Number of standard deviations of the estimated capacity that are kept in reserve.
     #[arg(long)]
     margin: Option<f64>,
-    /// Share by which a weight must differ to be sent.
+    /// Minimum relative change of a weight that is sent.
     #[arg(long)]
     churn: Option<f64>,
-    /// Cost of a crossing, in mean service times; `--crossing-of north:south=0.5` for a pair of zones.
+    /// Cost of sending an operation to another zone, in mean service times; `--crossing-of north:south=0.5` sets it for a
+    /// pair of zones.
     #[arg(long)]
     crossing: Option<f64>,
-    #[arg(long = "crossing-of", value_parser = crossing_of)]
+    #[arg(long = "crossing-of", value_parser = parse_crossing)]
     crossings: Vec<CrossingSettings>,
 }
 
-fn crossing_of(text: &str) -> Result<CrossingSettings, String> {
-    let wrong = || format!("{text:?} is not FROM:TO=COST");
-    let (zones, cost) = text.split_once('=').ok_or_else(wrong)?;
-    let (from, to) = zones.split_once(':').ok_or_else(wrong)?;
-    let cost = cost.parse::<f64>().ok().filter(|cost| cost.is_finite() && *cost >= 0.0).ok_or_else(wrong)?;
+fn parse_crossing(text: &str) -> Result<CrossingSettings, String> {
+    let error = || format!("{text:?} is not FROM:TO=COST");
+    let (zones, cost) = text.split_once('=').ok_or_else(error)?;
+    let (from, to) = zones.split_once(':').ok_or_else(error)?;
+    let cost = cost.parse::<f64>().ok().filter(|cost| cost.is_finite() && *cost >= 0.0).ok_or_else(error)?;
     Ok(CrossingSettings { from: from.to_owned(), to: to.to_owned(), cost })
 }
 
-/// The head's zones and classes as the solver is told of them.
-fn told_of(told: &Told, solver: &SolverSettings) -> (Names, steer::Settings) {
-    let head = &told.head;
+/// The zones and classes of the ledger's head as names and settings for the solver.
+fn solver_input(ledger: &Told, solver: &SolverSettings) -> (Names, steer::Settings) {
+    let head = &ledger.head;
     let mut names = Names::default();
     head.zones.iter().for_each(|zone| {
         names.zone(zone);
     });
     names.classes = head.classes.iter().map(|class| class.name.clone()).collect();
     let classes = head.classes.iter().map(|class| class.decided(&mut names)).collect();
-    let most = |line: &Line| match line {
+    let joined_proxies = |line: &Line| match line {
         Line::Joined(_, zones) => Some(zones.iter().sum::<u32>()),
         _ => None,
     };
-    let proxies = told.lines.iter().filter_map(most).max().unwrap_or(1);
+    let proxies = ledger.lines.iter().filter_map(joined_proxies).max().unwrap_or(1);
     let settings = weights::settings_of(solver, &head.zones, classes, &head.rules, proxies);
     (names, settings)
 }
 
-/// Plays a ledger to the solver as its coordinator's decisions heard it.
-fn play(told: &Told, solver: &SolverSettings, until: Option<Nanos>) -> Explanation {
+/// Replays a ledger to the solver, event by event as its coordinator received them.
+fn replay(ledger: &Told, solver: &SolverSettings, until: Option<Nanos>) -> Explanation {
     let nanos = |at: u64| Nanos(at.saturating_mul(1_000));
-    let (mut names, settings) = told_of(told, solver);
-    let began = nanos(told.head.began);
+    let (mut names, settings) = solver_input(ledger, solver);
+    let began = nanos(ledger.head.began);
     let mut steer = Steer::new(settings, began);
     let mut servers: BTreeMap<u32, (ServerId, ZoneId, KindId)> = BTreeMap::new();
     let mut now = began;
-    // Lines of one moment were heard together: weights are looked at when the next moment comes.
+    // Ledger lines with the same time were received together: weights are evaluated when the time advances.
     let mut pending: Vec<Listing> = Vec::new();
-    for line in &told.lines {
+    for line in &ledger.lines {
         let at = match line {
             Line::Server(number, name, zone, kind) => {
-                let place = (ServerId(name.as_str().into()), names.zone(zone), names.kind(kind));
-                servers.insert(*number, place);
+                let server = (ServerId(name.as_str().into()), names.zone(zone), names.kind(kind));
+                servers.insert(*number, server);
                 continue;
             }
             Line::Listed(at, ..)
@@ -152,47 +154,48 @@
     explain(&steer, now, &weights::Named(&names))
 }
 
-pub fn solve(asked: &Solve) -> Result<(), Failed> {
-    let explanation = match (&asked.ledger, asked.coordinator) {
+pub fn execute(options: &Solve) -> Result<(), Failure> {
+    let explanation = match (&options.ledger, options.coordinator) {
         (Some(file), _) => {
-            let told = crate::model::ledger_of(file)?;
-            if told.torn {
-                error_line!("{}: its last part was cut short and is left out", file.display());
+            let ledger = crate::model::read_ledger(file)?;
+            if ledger.torn {
+                error_line!("{}: the last part is truncated and is ignored", file.display());
             }
             let solver = SolverSettings {
-                margin: asked.margin,
-                churn: asked.churn,
-                crossing: asked.crossing,
-                crossings: asked.crossings.clone(),
+                margin: options.margin,
+                churn: options.churn,
+                crossing: options.crossing,
+                crossings: options.crossings.clone(),
             };
-            let problems = solver.check("", &told.head.zones);
+            let problems = solver.check("", &ledger.head.zones);
             if let Some(problem) = problems.first() {
                 error_line!("--crossing-of: {} ({})", problem.what, problem.mend);
-                return Err(Failed::Settings);
+                return Err(Failure::Settings);
             }
-            play(&told, &solver, asked.at.map(Nanos::from_secs))
+            replay(&ledger, &solver, options.at.map(Nanos::from_secs))
         }
         (None, Some(address)) => {
-            let status = status::ask(address, "/status?weights").map_err(system)?;
+            let status = status::fetch(address, "/status?weights").map_err(system_failure)?;
             let weights = status.get("weights").filter(|weights| !weights.is_null());
             let Some(weights) = weights else {
-                error_line!("{address}: it goes by listed weights: its settings have no /solver");
-                return Err(Failed::Settings);
+                error_line!("{address}: the coordinator uses listed weights: its settings have no /solver");
+                return Err(Failure::Settings);
             };
-            serde_json::from_value(weights.clone()).map_err(|cause| system(std::io::Error::other(cause)))?
+            serde_json::from_value(weights.clone())
+                .map_err(|cause| system_failure(std::io::Error::other(cause)))?
         }
         (None, None) => {
-            error_line!("craneknot solve: name a ledger, or --coordinator ADDRESS");
-            return Err(Failed::Settings);
+            error_line!("craneknot solve: pass a ledger file or --coordinator ADDRESS");
+            return Err(Failure::Settings);
         }
     };
-    if asked.json {
-        print_line!("{}", pretty(&explanation));
-    } else if asked.explain {
+    if options.json {
+        print_line!("{}", to_pretty_json(&explanation));
+    } else if options.explain {
         output::write_output(format_args!("{}", explanation.text()));
     } else {
-        for of in &explanation.servers {
-            print_line!("{} {:.4}", of.server, of.weight);
+        for server in &explanation.servers {
+            print_line!("{} {:.4}", server.server, server.weight);
         }
     }
     Ok(())
--- a/crates/craneknot-cli/src/status.rs
+++ b/crates/craneknot-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! How a coordinator says that it is.
+//! `craneknot status`: fetches the status of a coordinator and formats it.
 
 use std::fmt::Write as _;
 use std::io;
@@ -8,30 +8,30 @@
 use craneknot_coordinator::ask::Within;
 use serde_json::Value;
 
-const WITHIN: Duration = Duration::from_secs(3); // for an answer
+const STATUS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks for the status, as JSON, at `/status` or with more of it.
-pub fn ask(address: SocketAddr, path: &str) -> io::Result<Value> {
-    craneknot_coordinator::ask::ask(address, path, Within { connect: WITHIN, read: WITHIN })
+/// Fetches the status as JSON, from `/status` or from a path that returns more.
+pub fn fetch(address: SocketAddr, path: &str) -> io::Result<Value> {
+    craneknot_coordinator::ask::ask(address, path, Within { connect: STATUS_TIMEOUT, read: STATUS_TIMEOUT })
 }
 
-fn at<'a>(value: &'a Value, name: &str) -> &'a Value {
+fn field<'a>(value: &'a Value, name: &str) -> &'a Value {
     value.get(name).unwrap_or(&Value::Null)
 }
 
-fn names(value: &Value) -> String {
+fn joined_names(value: &Value) -> String {
     let names = value.as_array().into_iter().flatten().filter_map(Value::as_str);
     names.collect::<Vec<&str>>().join(", ")
 }
 
-/// The status for people.
-pub fn text(address: SocketAddr, status: &Value) -> String {
+/// Formats the status for people.
+pub fn to_text(address: SocketAddr, status: &Value) -> String {
     let mut text = String::new();
-    let figure = |name: &str| at(status, name).to_string();
-    let _ = writeln!(text, "{} at {address}", at(status, "name").as_str().unwrap_or("?"));
+    let figure = |name: &str| field(status, name).to_string();
+    let _ = writeln!(text, "{} at {address}", field(status, "name").as_str().unwrap_or("?"));
     let _ = writeln!(
         text,
-        "  streams {} ({} owe an answer, {} refuse), servers {} (list {})",
+        "  streams {} ({} unacknowledged, {} rejecting), servers {} (list {})",
         figure("streams"),
         figure("owing"),
         figure("refusing"),
@@ -40,7 +40,7 @@
     );
     let _ = writeln!(
         text,
-        "  channel {} of {} lines, {} at most so far; {} lines wait for proxies",
+        "  channel {} of {} lines, peak {}; {} lines queued for proxies",
         figure("channel_lines"),
         figure("channel_limit"),
         figure("channel_most"),
@@ -48,31 +48,31 @@
     );
     let _ = writeln!(
         text,
-        "  decided to swapped, ms (half, 99 of 100, longest): {}",
+        "  decided to swapped, ms (median, p99, longest): {}",
         figure("decided_to_swapped_ms")
     );
     let _ = writeln!(text, "  log lines dropped {}", figure("log_lines_dropped"));
-    let shared = at(status, "shared");
+    let shared = field(status, "shared");
     if shared.is_object() {
         let _ = writeln!(
             text,
-            "  {} in term {}, led by {}; epoch {} shared by {}; alive {}; voters {}",
-            at(shared, "role").as_str().unwrap_or("?"),
-            at(shared, "term"),
-            at(shared, "leader").as_str().unwrap_or("no one"),
-            at(shared, "epoch"),
-            names(at(shared, "members")),
-            names(at(shared, "alive")),
-            names(at(shared, "voters"))
+            "  {} in term {}, leader {}; epoch {} shared by {}; alive {}; voters {}",
+            field(shared, "role").as_str().unwrap_or("?"),
+            field(shared, "term"),
+            field(shared, "leader").as_str().unwrap_or("none"),
+            field(shared, "epoch"),
+            joined_names(field(shared, "members")),
+            joined_names(field(shared, "alive")),
+            joined_names(field(shared, "voters"))
         );
-        let _ = writeln!(text, "  lease (epoch, settled, ms left): {}", at(shared, "lease"));
+        let _ = writeln!(text, "  lease (epoch, settled, ms left): {}", field(shared, "lease"));
         let _ = writeln!(
             text,
-            "  saves {}, datagrams sent {}, streams sent on {}; store: {}",
-            at(shared, "saves"),
-            at(shared, "datagrams_sent"),
-            at(shared, "sent_on"),
-            at(status, "store")
+            "  saves {}, datagrams sent {}, streams redirected {}; store: {}",
+            field(shared, "saves"),
+            field(shared, "datagrams_sent"),
+            field(shared, "sent_on"),
+            field(status, "store")
         );
     }
     text
--- a/crates/craneknot-cli/src/trial.rs
+++ b/crates/craneknot-cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! `craneknot trial`: several seeds in a row, judged by a model that shares nothing with the program.
+//! `craneknot trial`: runs consecutive seeds, checked against an independent model that shares no code with the program.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,50 +7,50 @@
 use craneknot_rehearsal::trial::{run, Overlay, Script, TrialSettings};
 
 use crate::output::{print_line, write_output};
-use crate::{keep, system, Failed};
+use crate::{system_failure, write_json, Failure};
 
-/// The scripts by name.
+/// Names of the scripts on the command line.
 #[derive(Clone, Copy, ValueEnum)]
 enum ScriptName {
-    /// A release in place without end.
+    /// A continuous in-place release.
     Release,
-    /// The same, with coordinators killed, a zone lost, all proxies at one coordinator, and its planned restart.
+    /// The same, with coordinators killed, a zone lost, all proxies moved to one coordinator, and its planned restart.
     Incident,
 }
 
 #[derive(Args)]
 pub struct Trial {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds in a row.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long each seed lasts, s; the times of the script scale with it.
+    /// Duration of the run of each seed, in seconds; the times of the script scale with it.
     #[arg(long, default_value_t = 63)]
     seconds: u64,
-    /// Which day is played.
+    /// Script to run.
     #[arg(long, value_enum, default_value = "incident")]
     script: ScriptName,
-    /// A fault that is laid over it, such as `relay-broken`; may be given several times.
+    /// Fault to add to the script, such as `relay-broken`; may be given several times.
     #[arg(long)]
     lay_over: Vec<Overlay>,
-    /// The program on trial, another build of this one; left out: this one.
+    /// Program to test, another build of this one; by default this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The library of failing system calls and stepped clocks, which some faults need.
+    /// Library that makes system_failure calls fail and steps clocks; some faults need it.
     #[arg(long)]
     fault_library: Option<PathBuf>,
-    /// Where the reports are written, as JSON.
+    /// Writes the reports to this file, as JSON.
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Where configurations and logs are kept; left out: a new folder, removed at the end.
+    /// Folder for configurations and logs; by default a temporary folder, removed at the end.
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
 impl Trial {
-    fn settings(&self, seed: u64, folder: PathBuf) -> Result<TrialSettings, Failed> {
+    fn settings(&self, seed: u64, folder: PathBuf) -> Result<TrialSettings, Failure> {
         Ok(TrialSettings {
             seed,
             script: match self.script {
@@ -59,7 +59,7 @@
             },
             length: Duration::from_secs(self.seconds),
             overlays: self.lay_over.clone(),
-            program: self.program.clone().map_or_else(std::env::current_exe, Ok).map_err(system)?,
+            program: self.program.clone().map_or_else(std::env::current_exe, Ok).map_err(system_failure)?,
             fault_library: self.fault_library.clone(),
             folder,
             planted: None,
@@ -67,24 +67,24 @@
     }
 }
 
-/// Plays so many seeds from the first on.
-pub fn trial(asked: &Trial) -> Result<(), Failed> {
-    let kept = tempfile::tempdir().map_err(system)?;
-    let folder = asked.folder.clone().unwrap_or_else(|| kept.path().to_owned());
+/// Runs the requested number of consecutive seeds, starting from the first one.
+pub fn run_seeds(options: &Trial) -> Result<(), Failure> {
+    let temporary = tempfile::tempdir().map_err(system_failure)?;
+    let folder = options.folder.clone().unwrap_or_else(|| temporary.path().to_owned());
     let mut reports = Vec::new();
-    for seed in asked.seed..asked.seed + asked.seeds {
+    for seed in options.seed..options.seed + options.seeds {
         let folder = folder.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(system)?;
-        let report = run(&asked.settings(seed, folder)?).map_err(system)?;
+        std::fs::create_dir_all(&folder).map_err(system_failure)?;
+        let report = run(&options.settings(seed, folder)?).map_err(system_failure)?;
         write_output(format_args!("{}", report.text()));
         reports.push(report);
     }
-    keep(asked.report.as_deref(), &reports)?;
+    write_json(options.report.as_deref(), &reports)?;
     let failed = reports.iter().filter(|report| !report.passed()).count();
     print_line!("{} seeds, {failed} failed", reports.len());
     if failed == 0 {
         Ok(())
     } else {
-        Err(Failed::Rule)
+        Err(Failure::Rule)
     }
 }
