--- a/crates/craneknot-cli/tests/agent.rs
+++ b/crates/craneknot-cli/tests/agent.rs
@@ -1,4 +1,4 @@
-//! An agent at a real coordinator: full disks, and kills at every step of a swap.
+//! An agent with a real coordinator: full disks, and kills at every step of a file swap.
 
 mod fleet;
 
@@ -15,12 +15,12 @@
 use craneknot_settings::{parse, AgentSettings};
 use craneknot_store::{Disk, FailingDisk, Step};
 use craneknot_xds::discovery::{read_file, Kind};
-use fleet::{list, Coordinator};
+use fleet::{write_server_list, Coordinator};
 use serde_json::json;
 
-struct Shared(Rc<FailingDisk>);
+struct SharedDisk(Rc<FailingDisk>);
 
-impl Disk for Shared {
+impl Disk for SharedDisk {
     fn write(&self, path: &Path, text: &[u8]) -> io::Result<()> {
         self.0.write(path, text)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-fn agent(folder: &Path, coordinator: &Coordinator) -> (Shell, Rc<FailingDisk>) {
+fn start_agent(folder: &Path, coordinator: &Coordinator) -> (Shell, Rc<FailingDisk>) {
     let text = json!({
         "nodes": [{"id": "proxy", "zone": "north", "folder": "proxy"}],
         "coordinators": [coordinator.address.to_string()],
@@ -39,13 +39,13 @@
     let settings: AgentSettings = parse(Path::new("test"), text.to_string().as_bytes()).unwrap();
     let disk = Rc::new(FailingDisk { fails_at: Cell::new(None) });
     let clock = Arc::new(SteadyClock::new());
-    (Shell::with_disk(settings, folder, clock, Box::new(Shared(disk.clone()))).unwrap(), disk)
+    (Shell::with_disk(settings, folder, clock, Box::new(SharedDisk(disk.clone()))).unwrap(), disk)
 }
 
-fn until(shell: &mut Shell, what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !done() {
-        assert!(Instant::now() < end, "{what} never came");
+fn run_until(shell: &mut Shell, expected: &str, mut is_done: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !is_done() {
+        assert!(Instant::now() < deadline, "timed out waiting for {expected}");
         shell.round(Some(Duration::from_millis(10))).unwrap();
     }
 }
@@ -54,95 +54,98 @@
     folder.join("proxy").join(kind.file())
 }
 
-/// Every file stands whole, and the tables name a port.
-fn holds(folder: &Path, port: &str) -> bool {
-    let whole = |kind| fs::read(file(folder, kind)).is_ok_and(|text| read_file(kind, &text).is_ok());
+/// Whether every file is complete, and the tables contain the port.
+fn has_tables_with(folder: &Path, port: &str) -> bool {
+    let is_complete = |kind| fs::read(file(folder, kind)).is_ok_and(|text| read_file(kind, &text).is_ok());
     let tables = fs::read_to_string(file(folder, Kind::Endpoints)).unwrap_or_default();
-    Kind::ALL.into_iter().all(whole) && tables.contains(port)
+    Kind::ALL.into_iter().all(is_complete) && tables.contains(port)
 }
 
 #[test]
-fn a_full_disk_is_refused_whole_and_mended_later() {
+fn tables_are_rejected_on_a_full_disk_and_swapped_in_once_it_has_room() {
     let folder = tempfile::tempdir().unwrap();
-    list(folder.path(), 1, &[9001]);
+    write_server_list(folder.path(), 1, &[9001]);
     let coordinator = Coordinator::start(folder.path());
-    let (mut shell, disk) = agent(folder.path(), &coordinator);
-    until(&mut shell, "the first tables", || holds(folder.path(), "9001"));
+    let (mut shell, disk) = start_agent(folder.path(), &coordinator);
+    run_until(&mut shell, "the first tables", || has_tables_with(folder.path(), "9001"));
     let before = fs::read(file(folder.path(), Kind::Endpoints)).unwrap();
     for step in [Step::Write, Step::Sync, Step::Rename] {
-        let refused = coordinator.status()["refusals"].as_u64().unwrap();
+        let rejections = coordinator.status()["refusals"].as_u64().unwrap();
         disk.fails_at.set(Some(step));
-        list(folder.path(), 2 + step as u64, &[9001, 9002 + step as u16]);
-        until(&mut shell, "a refusal", || coordinator.status()["refusals"].as_u64().unwrap() > refused);
+        write_server_list(folder.path(), 2 + step as u64, &[9001, 9002 + step as u16]);
+        run_until(&mut shell, "a rejection", || {
+            coordinator.status()["refusals"].as_u64().unwrap() > rejections
+        });
         assert_eq!(fs::read(file(folder.path(), Kind::Endpoints)).unwrap(), before, "{step:?}");
     }
     disk.fails_at.set(None);
-    until(&mut shell, "the tables offered again", || holds(folder.path(), "9004"));
-    until(&mut shell, "all accepted", || coordinator.status()["refusing"] == 0);
+    run_until(&mut shell, "the tables offered again", || has_tables_with(folder.path(), "9004"));
+    run_until(&mut shell, "all accepted", || coordinator.status()["refusing"] == 0);
 }
 
 #[test]
-fn killed_between_file_and_rename_it_goes_on_from_the_old_files() {
+fn after_a_kill_between_write_and_rename_the_old_files_are_used() {
     let folder = tempfile::tempdir().unwrap();
-    list(folder.path(), 1, &[9001]);
+    write_server_list(folder.path(), 1, &[9001]);
     let coordinator = Coordinator::start(folder.path());
-    let (mut shell, _) = agent(folder.path(), &coordinator);
-    until(&mut shell, "the first tables", || holds(folder.path(), "9001"));
+    let (mut shell, _) = start_agent(folder.path(), &coordinator);
+    run_until(&mut shell, "the first tables", || has_tables_with(folder.path(), "9001"));
     drop(shell);
-    // What a kill leaves: a file half written beside those that stand.
-    let fresh = folder.path().join("proxy").join(format!("{}.fresh", Kind::Endpoints.file()));
-    fs::write(&fresh, b"{\"version_info\": \"half").unwrap();
-    let (mut shell, _) = agent(folder.path(), &coordinator);
-    assert!(!fresh.exists() && holds(folder.path(), "9001"));
-    list(folder.path(), 2, &[9001, 9002]);
-    until(&mut shell, "the next tables", || holds(folder.path(), "9002"));
+    // A kill leaves a partly written file beside the complete ones.
+    let temporary = folder.path().join("proxy").join(format!("{}.fresh", Kind::Endpoints.file()));
+    fs::write(&temporary, b"{\"version_info\": \"half").unwrap();
+    let (mut shell, _) = start_agent(folder.path(), &coordinator);
+    assert!(!temporary.exists() && has_tables_with(folder.path(), "9001"));
+    write_server_list(folder.path(), 2, &[9001, 9002]);
+    run_until(&mut shell, "the next tables", || has_tables_with(folder.path(), "9002"));
 }
 
 #[test]
-fn killed_between_rename_and_acknowledgement_it_follows_on() {
+fn after_a_kill_between_rename_and_acknowledgement_updates_continue() {
     let folder = tempfile::tempdir().unwrap();
-    list(folder.path(), 1, &[9001]);
+    write_server_list(folder.path(), 1, &[9001]);
     let coordinator = Coordinator::start(folder.path());
     for kind in Kind::ALL {
-        let (mut shell, _) = agent(folder.path(), &coordinator);
-        let swapped = Rc::new(RefCell::new(false));
-        let seen = swapped.clone();
-        shell.on_swap(Box::new(move |_, swapped, _| *seen.borrow_mut() |= swapped == kind));
-        until(&mut shell, "the swap", || *swapped.borrow());
-        // Dropped here, its connection ends; what it had swapped in may or may not be acknowledged.
+        let (mut shell, _) = start_agent(folder.path(), &coordinator);
+        let is_swapped = Rc::new(RefCell::new(false));
+        let swap_flag = is_swapped.clone();
+        shell.on_swap(Box::new(move |_, swapped, _| *swap_flag.borrow_mut() |= swapped == kind));
+        run_until(&mut shell, "the swap", || *is_swapped.borrow());
+        // Dropping the agent closes its connection; the swap may or may not have been acknowledged.
         drop(shell);
         let text = fs::read(file(folder.path(), kind)).unwrap();
         assert!(read_file(kind, &text).is_ok(), "{kind:?}");
     }
-    list(folder.path(), 2, &[9001, 9002]);
-    let (mut shell, _) = agent(folder.path(), &coordinator);
-    until(&mut shell, "the next tables", || holds(folder.path(), "9002"));
+    write_server_list(folder.path(), 2, &[9001, 9002]);
+    let (mut shell, _) = start_agent(folder.path(), &coordinator);
+    run_until(&mut shell, "the next tables", || has_tables_with(folder.path(), "9002"));
     assert_eq!(coordinator.status()["streams"], 1);
 }
 
-/// A file that another hand tore is not gone on from: the agent asks for all anew.
+/// An agent does not start from a truncated file; it requests all resources again.
 #[test]
-fn a_torn_file_is_replaced() {
+fn a_truncated_file_is_replaced() {
     let folder = tempfile::tempdir().unwrap();
-    list(folder.path(), 1, &[9001]);
+    write_server_list(folder.path(), 1, &[9001]);
     let coordinator = Coordinator::start(folder.path());
     fs::create_dir_all(folder.path().join("proxy")).unwrap();
     fs::write(file(folder.path(), Kind::Clusters), b"{\"torn").unwrap();
-    let (mut shell, _) = agent(folder.path(), &coordinator);
-    until(&mut shell, "whole files", || holds(folder.path(), "9001"));
+    let (mut shell, _) = start_agent(folder.path(), &coordinator);
+    run_until(&mut shell, "complete files", || has_tables_with(folder.path(), "9001"));
 }
 
-/// While its coordinator is gone the files stand, and the next life of the coordinator is followed.
+/// The files stay in place and complete after the coordinator has stopped. The agent follows a restarted coordinator, which
+/// this test does not check.
 #[test]
-fn the_files_outlast_the_coordinator() {
+fn files_are_kept_after_the_coordinator_stops() {
     let folder = tempfile::tempdir().unwrap();
-    list(folder.path(), 1, &[9001]);
+    write_server_list(folder.path(), 1, &[9001]);
     let first = Coordinator::start(folder.path());
-    let (mut shell, _) = agent(folder.path(), &first);
-    until(&mut shell, "the first tables", || holds(folder.path(), "9001"));
+    let (mut shell, _) = start_agent(folder.path(), &first);
+    run_until(&mut shell, "the first tables", || has_tables_with(folder.path(), "9001"));
     drop(first);
     for _ in 0..20 {
         shell.round(Some(Duration::from_millis(10))).unwrap();
-        assert!(holds(folder.path(), "9001"));
+        assert!(has_tables_with(folder.path(), "9001"));
     }
 }
--- a/crates/craneknot-cli/tests/fleet/mod.rs
+++ b/crates/craneknot-cli/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A coordinator in a thread of its own, for tests that speak to it by hand.
+//! Runs a coordinator on a separate thread, for tests that send it requests directly.
 
 #![allow(dead_code)]
 
@@ -23,8 +23,8 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// One that shares its fleet with no one else, by the store named.
-pub fn shared(store: &str) -> CoordinatorSettings {
+/// Settings of a shared fleet whose only member is this coordinator, with the given store.
+pub fn shared_settings(store: &str) -> CoordinatorSettings {
     let mut settings = settings();
     let members = json!([{"name": "tested", "datagrams": "127.0.0.1:9"}]);
     let shared = json!({"members": members, "datagrams": "127.0.0.1:0", "store": store, "lease": "200ms"});
@@ -55,8 +55,8 @@
     parse(Path::new("test"), text.to_string().as_bytes()).unwrap()
 }
 
-/// Writes a list of servers by their ports, swapped in.
-pub fn list(folder: &Path, version: u64, ports: &[u16]) {
+/// Replaces the server list atomically by one with these ports.
+pub fn write_server_list(folder: &Path, version: u64, ports: &[u16]) {
     let server = |port: &u16| json!({"address": format!("127.0.0.1:{port}"), "zone": "north", "state": "up"});
     let text = json!({"version": version, "servers": ports.iter().map(server).collect::<Vec<Value>>()});
     replace(&RealDisk { sync: false }, &folder.join("servers.json"), text.to_string().as_bytes()).unwrap();
@@ -72,30 +72,30 @@
         let ready: Value = serde_json::from_slice(&fs::read(folder.join("ready.json")).unwrap()).unwrap();
         let address = ready["address"].as_str().unwrap().parse().unwrap();
         let stop = Arc::new(AtomicBool::new(false));
-        let told = stop.clone();
+        let should_stop = stop.clone();
         let thread = std::thread::spawn(move || {
-            while !told.load(Ordering::SeqCst) {
+            while !should_stop.load(Ordering::SeqCst) {
                 shell.round().unwrap();
             }
         });
         Coordinator { address, stop, thread: Some(thread) }
     }
 
-    pub fn dial(&self) -> TcpStream {
+    pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         stream
     }
 
     pub fn status(&self) -> Value {
-        let answer = talk(self.dial(), b"GET /status HTTP/1.1\r\nconnection: close\r\n\r\n");
+        let answer = send_and_read(self.connect(), b"GET /status HTTP/1.1\r\nconnection: close\r\n\r\n");
         serde_json::from_str(answer.split_once("\r\n\r\n").unwrap().1).unwrap()
     }
 }
 
-/// Sends, and reads until the coordinator closes.
-pub fn talk(mut stream: TcpStream, bytes: &[u8]) -> String {
-    // The coordinator may close before all is written: its answer is what counts.
+/// Sends the bytes, then reads until the coordinator closes the connection.
+pub fn send_and_read(mut stream: TcpStream, bytes: &[u8]) -> String {
+    // The coordinator may close the connection before all is written. Only its answer matters.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
@@ -105,9 +105,9 @@
 impl Drop for Coordinator {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        let ended = self.thread.take().unwrap().join();
+        let result = self.thread.take().unwrap().join();
         if !std::thread::panicking() {
-            ended.unwrap();
+            result.unwrap();
         }
     }
 }
--- a/crates/craneknot-cli/tests/helpers/mod.rs
+++ b/crates/craneknot-cli/tests/helpers/mod.rs
@@ -1,5 +1,5 @@
-//! `craneknot node` as a real process, with heartbeats and signals.
-#![allow(dead_code)] // each test program takes its part of it
+//! Runs `craneknot node` as a real process, with heartbeats and signals.
+#![allow(dead_code)] // each test program uses a part of it
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,11 +17,11 @@
 pub const HEARTBEAT: &[u8] = b"{\"type\":\"hb\"}\n";
 pub const HEARTBEAT_ANSWER: &[u8] = b"{\"type\":\"hb_ok\"}\n";
 
-/// A coordinator process, which is killed when this is dropped.
+/// A coordinator process, killed on drop.
 pub struct Node {
     pub child: Child,
     pub address: SocketAddr,
-    /// What it has logged since it listens.
+    /// Lines logged since the process started to listen.
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -30,7 +30,7 @@
         Self::start_with(folder, value, &[])
     }
 
-    /// Starts it with these variables in its environment.
+    /// Starts the process with additional environment variables.
     pub fn start_with(folder: &Path, value: &Value, variables: &[(&str, &str)]) -> Self {
         let file = folder.join("config.json");
         std::fs::write(&file, value.to_string()).unwrap();
@@ -43,26 +43,26 @@
             let line: Value = serde_json::from_str(&line.unwrap()).unwrap();
             line.pointer("/fields/address").and_then(Value::as_str).map(|address| address.parse().unwrap())
         });
-        // What it logs later must not fill the pipe.
-        let kept: Arc<Mutex<Vec<String>>> = Arc::default();
-        let keeps = kept.clone();
+        // Later log lines are read as well, since a full pipe would stop the log.
+        let logged: Arc<Mutex<Vec<String>>> = Arc::default();
+        let logged_by_thread = logged.clone();
         std::thread::spawn(move || {
-            log.map_while(Result::ok).for_each(|line| keeps.lock().unwrap().push(line))
+            log.map_while(Result::ok).for_each(|line| logged_by_thread.lock().unwrap().push(line))
         });
-        Node { child, address: address.expect("it tells where it listens"), log: kept }
+        Node { child, address: address.expect("the process logs its address"), log: logged }
     }
 
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    pub fn dial(&self) -> TcpStream {
+    pub fn connect(&self) -> TcpStream {
         with_read_timeout(TcpStream::connect(self.address).unwrap())
     }
 
-    /// A client that has asked once and has been answered.
+    /// Connects a client whose first heartbeat has been answered.
     pub fn answered_client(&self) -> TcpStream {
-        let mut client = self.dial();
+        let mut client = self.connect();
         client.write_all(HEARTBEAT).unwrap();
         assert!(is_answered(&mut client));
         client
@@ -76,13 +76,13 @@
     }
 }
 
-/// Whether the next thing that a client gets is the answer to its heartbeat.
+/// Whether the next bytes that a client receives are the answer to its heartbeat.
 pub fn is_answered(client: &mut TcpStream) -> bool {
     let mut answer = vec![0; HEARTBEAT_ANSWER.len()];
     client.read_exact(&mut answer).is_ok() && answer == HEARTBEAT_ANSWER
 }
 
-/// The library of failing system calls, which the workspace builds beside the program.
+/// Path of the library that makes system calls fail, which the workspace builds next to the program.
 pub fn fault_library() -> PathBuf {
     let library = Path::new(env!("CARGO_BIN_EXE_craneknot")).with_file_name("libcraneknot_fault_shim.so");
     assert!(library.exists(), "{} is missing: build the workspace first", library.display());
@@ -90,20 +90,20 @@
 }
 
 pub fn configuration(relay: SocketAddr) -> Value {
-    let whole = include_str!("../../../craneknot-platform/tests/configuration.json");
-    let mut value: Value = serde_json::from_str(whole).unwrap();
+    let text = include_str!("../../../craneknot-platform/tests/configuration.json");
+    let mut value: Value = serde_json::from_str(text).unwrap();
     value["listen"] = "127.0.0.1:0".into();
     value["discovery"] = "127.0.0.1:1".into();
     value["distributor"]["address"] = relay.to_string().into();
-    let server = |k: usize| {
-        json!({"id": format!("s-{k}"), "host_port": format!("127.0.0.1:{}", 9_000 + k), "locality": "a",
+    let server = |index: usize| {
+        json!({"id": format!("s-{index}"), "host_port": format!("127.0.0.1:{}", 9_000 + index), "locality": "a",
                "flavor": "m2", "phase": "SERVING"})
     };
     value["known"]["members"] = (0..6).map(server).collect();
     value
 }
 
-/// Settings of `craneknot run`, which tells its address in `ready.json`.
+/// Settings of `craneknot run`, which writes its address to `ready.json`.
 pub fn coordinator_settings() -> Value {
     json!({
         "name": "tested", "listen": "127.0.0.1:0", "ready_file": "ready.json", "seed": 1,
--- a/crates/craneknot-cli/tests/log_sink.rs
+++ b/crates/craneknot-cli/tests/log_sink.rs
@@ -1,5 +1,5 @@
-//! Processes that serve while their standard error or output is stalled, closed or full: clients are answered, and the
-//! exit code is that of a sound one.
+//! Services whose standard error or output is stalled, closed or full: clients are answered, and the exit code is the same
+//! as with a working one.
 
 use std::fs::{File, OpenOptions};
 use std::io::{pipe, BufRead, BufReader, ErrorKind, PipeReader, PipeWriter, Read, Write};
@@ -21,16 +21,16 @@
 use helpers::peers::{listener, with_read_timeout};
 use helpers::{configuration, coordinator_settings, is_answered, Node, HEARTBEAT};
 
-const PATIENCE: Duration = Duration::from_secs(30); // a test that waits longer has failed
-const KILL_AFTER: Duration = Duration::from_millis(700); // after SIGTERM the platform kills
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const KILL_AFTER: Duration = Duration::from_millis(700); // from SIGTERM to the kill by the platform
 const HEARTBEATS: usize = 15;
-const REPORTS: usize = 1_000; // malformed ones with each heartbeat: more lines than any queue holds
+const REPORTS: usize = 1_000; // malformed reports per heartbeat: more log lines than any queue holds
 const JOIN: &[u8] = b"{\"type\":\"telemetry\",\"locality\":\"a\"}\n";
 const MALFORMED: &[u8] = b"{\"type\":\"upstream_stats\"}\n";
-const FULL: &str = "/dev/full"; // no room on the device: each write fails
+const FULL: &str = "/dev/full"; // each write fails, as on a device without space
 const O_NONBLOCK: i32 = 0o4000;
 
-/// Writes until not a byte more fits.
+/// Writes until no further byte fits.
 fn fill(mut sink: impl Write) {
     loop {
         match sink.write(b"\n") {
@@ -41,7 +41,7 @@
     }
 }
 
-/// A pipe that has no room. It is filled by an open file of its own: the writer's stays blocking.
+/// A full pipe. It is filled through a separate open file, so that the returned writer stays blocking.
 fn full_pipe() -> (PipeReader, PipeWriter) {
     let (reader, writer) = pipe().unwrap();
     let path = format!("/proc/self/fd/{}", writer.as_raw_fd());
@@ -49,7 +49,7 @@
     (reader, writer)
 }
 
-/// A stream whose writing end does not block and has no room.
+/// A full stream whose writing end is non-blocking.
 fn full_stream() -> (UnixStream, UnixStream) {
     let (reader, writer) = UnixStream::pair().unwrap();
     writer.set_nonblocking(true).unwrap();
@@ -61,45 +61,45 @@
     OpenOptions::new().write(true).open(FULL).unwrap()
 }
 
-/// The lines that come from now on, empty ones left out, each read as JSON.
-fn lines(reader: impl Read + Send + 'static) -> Receiver<Value> {
-    let (tell, told) = channel();
+/// Parses each line from now on as JSON, without the empty ones.
+fn read_lines(reader: impl Read + Send + 'static) -> Receiver<Value> {
+    let (sender, receiver) = channel();
     std::thread::spawn(move || {
         let lines = BufReader::new(reader).lines().map_while(Result::ok).filter(|line| !line.is_empty());
         for line in lines {
             let line = serde_json::from_str(&line).unwrap_or_else(|cause| panic!("{cause}: {line}"));
-            if tell.send(line).is_err() {
+            if sender.send(line).is_err() {
                 return;
             }
         }
     });
-    told
+    receiver
 }
 
 fn message(line: &Value) -> &str {
     line.pointer("/fields/message").and_then(Value::as_str).unwrap_or_default()
 }
 
-/// The next line that this is true of.
-fn find(lines: &Receiver<Value>, is_wanted: impl Fn(&Value) -> bool) -> Value {
-    let until = Instant::now() + PATIENCE;
+/// Waits for the next line for which the condition holds.
+fn wait_for_line(lines: &Receiver<Value>, is_wanted: impl Fn(&Value) -> bool) -> Value {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let line = lines.recv_timeout(until.saturating_duration_since(Instant::now()));
-        let line = line.expect("the line comes");
+        let line = line.expect("the line is logged");
         if is_wanted(&line) {
             return line;
         }
     }
 }
 
-fn craneknot(arguments: &[&str], file: &Path, error: impl Into<Stdio>) -> Child {
+fn spawn_craneknot(arguments: &[&str], file: &Path, error: impl Into<Stdio>) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_craneknot"));
     command.args(["--log", "json", "--level", "debug"]).args(arguments).arg(file);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(error);
     command.spawn().unwrap()
 }
 
-/// A coordinator on the platform whose standard error is this, once it takes connections.
+/// Starts a coordinator of the platform with this standard error, and waits until it accepts connections.
 fn start(folder: &Path, error: impl Into<Stdio>) -> Node {
     let (reserved, address) = reserve(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let relay = listener();
@@ -107,20 +107,20 @@
     value["listen"] = address.to_string().into();
     let file = folder.join("config.json");
     std::fs::write(&file, value.to_string()).unwrap();
-    let mut node = Node { child: craneknot(&["node"], &file, error), address, log: Default::default() };
-    let until = Instant::now() + PATIENCE;
+    let mut node = Node { child: spawn_craneknot(&["node"], &file, error), address, log: Default::default() };
+    let until = Instant::now() + TEST_TIMEOUT;
     while TcpStream::connect(address).is_err() {
-        assert_eq!(node.child.try_wait().unwrap(), None, "it has started");
-        assert!(Instant::now() < until, "it listens");
+        assert_eq!(node.child.try_wait().unwrap(), None, "the process exited during the start");
+        assert!(Instant::now() < until, "timed out waiting for the listener");
         std::thread::yield_now();
     }
     drop(reserved);
     node
 }
 
-/// Sends reports that are logged, each lot with a heartbeat; how many of these were answered.
-fn answered(node: &Node) -> usize {
-    let mut collector = node.dial();
+/// Sends batches of reports that are logged, a heartbeat after each. Returns the number of answered heartbeats.
+fn count_answered(node: &Node) -> usize {
+    let mut collector = node.connect();
     collector.write_all(JOIN).unwrap();
     let reports = MALFORMED.repeat(REPORTS);
     let is_answered = |_: &usize| {
@@ -131,129 +131,129 @@
     (0..HEARTBEATS).take_while(is_answered).count()
 }
 
-/// How it ends within this time; none: it does not.
-fn end_within(child: &mut Child, most: Duration) -> Option<i32> {
-    let until = Instant::now() + most;
+/// Returns the exit code, or none if the process does not exit within this time.
+fn wait_for_exit(child: &mut Child, timeout: Duration) -> Option<i32> {
+    let until = Instant::now() + timeout;
     while Instant::now() < until {
         if let Some(status) = child.try_wait().unwrap() {
-            return Some(status.code().expect("it was not killed by a signal"));
+            return Some(status.code().expect("the process was not killed by a signal"));
         }
         std::thread::yield_now();
     }
     None
 }
 
-/// The exit code of one that is asked to end, and to hurry.
-fn end(node: &mut Node) -> Option<i32> {
+/// Asks the process to shut down at once, by two signals, and returns its exit code.
+fn stop(node: &mut Node) -> Option<i32> {
     node.signal(Signal::TERM);
     node.signal(Signal::INT);
-    end_within(&mut node.child, KILL_AFTER)
+    wait_for_exit(&mut node.child, KILL_AFTER)
 }
 
-fn dropped(line: &Value) -> u64 {
+fn dropped_count(line: &Value) -> u64 {
     line.pointer("/fields/log_lines_dropped").and_then(Value::as_u64).unwrap_or_default()
 }
 
 #[test]
-fn heartbeats_are_answered_while_nobody_reads_a_full_log_pipe() {
+fn heartbeats_are_answered_while_a_full_log_pipe_is_not_read() {
     let folder = tempfile::tempdir().unwrap();
     let (_reader, writer) = full_pipe();
     let mut node = start(folder.path(), writer);
-    assert_eq!(answered(&node), HEARTBEATS);
-    assert_eq!(end(&mut node), Some(0));
+    assert_eq!(count_answered(&node), HEARTBEATS);
+    assert_eq!(stop(&mut node), Some(0));
 }
 
 #[test]
-fn heartbeats_are_answered_after_the_reader_of_the_log_is_gone() {
+fn heartbeats_are_answered_after_the_log_pipe_is_closed() {
     let folder = tempfile::tempdir().unwrap();
     let (reader, writer) = pipe().unwrap();
     let mut node = start(folder.path(), writer);
     let mut log = BufReader::new(reader);
     log.read_line(&mut String::new()).unwrap();
     drop(log);
-    assert_eq!(answered(&node), HEARTBEATS);
-    assert_eq!(end(&mut node), Some(0));
+    assert_eq!(count_answered(&node), HEARTBEATS);
+    assert_eq!(stop(&mut node), Some(0));
 }
 
 #[test]
-fn heartbeats_are_answered_while_the_log_has_no_room_on_its_device() {
+fn heartbeats_are_answered_while_the_log_device_is_full() {
     let folder = tempfile::tempdir().unwrap();
     let mut node = start(folder.path(), full_device());
-    assert_eq!(answered(&node), HEARTBEATS);
-    assert_eq!(end(&mut node), Some(0));
+    assert_eq!(count_answered(&node), HEARTBEATS);
+    assert_eq!(stop(&mut node), Some(0));
 }
 
 #[test]
-fn heartbeats_are_answered_while_a_log_that_does_not_block_refuses_writes() {
+fn heartbeats_are_answered_while_writes_to_a_non_blocking_log_fail() {
     let folder = tempfile::tempdir().unwrap();
     let (_reader, writer) = full_stream();
     let mut node = start(folder.path(), OwnedFd::from(writer));
-    assert_eq!(answered(&node), HEARTBEATS);
-    assert_eq!(end(&mut node), Some(0));
+    assert_eq!(count_answered(&node), HEARTBEATS);
+    assert_eq!(stop(&mut node), Some(0));
 }
 
-/// Whole lines appear again, and both the log and the status tell how many were dropped.
-fn lines_appear_again(node: &mut Node, reader: impl Read + Send + 'static) {
-    assert_eq!(answered(node), HEARTBEATS);
-    let log = lines(reader);
-    find(&log, |line| message(line) == "log lines were dropped" && dropped(line) > 0);
-    find(&log, |line| message(line) == "status of input" && dropped(line) > 0);
-    assert_eq!(end(node), Some(0));
-    find(&log, |line| message(line).starts_with("ended with"));
+/// Requires that complete lines appear again, and that both the log and the status report the number of dropped lines.
+fn assert_lines_resume(node: &mut Node, reader: impl Read + Send + 'static) {
+    assert_eq!(count_answered(node), HEARTBEATS);
+    let log = read_lines(reader);
+    wait_for_line(&log, |line| message(line) == "log lines were dropped" && dropped_count(line) > 0);
+    wait_for_line(&log, |line| message(line) == "status of input" && dropped_count(line) > 0);
+    assert_eq!(stop(node), Some(0));
+    wait_for_line(&log, |line| message(line).starts_with("ended with"));
 }
 
 #[test]
-fn a_log_pipe_that_is_read_again_gets_whole_lines_and_the_count_of_those_dropped() {
+fn a_log_pipe_that_is_read_again_gets_complete_lines_and_the_dropped_count() {
     let folder = tempfile::tempdir().unwrap();
     let (reader, writer) = full_pipe();
     let mut node = start(folder.path(), writer);
-    lines_appear_again(&mut node, reader);
+    assert_lines_resume(&mut node, reader);
 }
 
 #[test]
-fn a_log_that_does_not_block_and_is_read_again_gets_whole_lines_and_the_count_of_those_dropped() {
+fn a_non_blocking_log_that_is_read_again_gets_complete_lines_and_the_dropped_count() {
     let folder = tempfile::tempdir().unwrap();
     let (reader, writer) = full_stream();
     let mut node = start(folder.path(), OwnedFd::from(writer));
-    lines_appear_again(&mut node, reader);
+    assert_lines_resume(&mut node, reader);
 }
 
 #[test]
-fn a_start_that_fails_keeps_its_exit_code_whatever_takes_its_error() {
+fn a_failed_start_keeps_its_exit_code_with_any_standard_error() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     std::fs::write(&file, "{").unwrap();
-    for serve in ["node", "run", "agent"] {
+    for subcommand in ["node", "run", "agent"] {
         let (_stalled, full) = full_pipe();
-        let (gone, closed) = pipe().unwrap();
-        drop(gone);
+        let (reader, closed) = pipe().unwrap();
+        drop(reader);
         let sinks: [(&str, Stdio); 3] =
             [("full pipe", full.into()), ("closed pipe", closed.into()), (FULL, full_device().into())];
         for (name, sink) in sinks {
-            let mut child = craneknot(&[serve], &file, sink);
-            assert_eq!(end_within(&mut child, PATIENCE), Some(3), "{serve}, {name}");
+            let mut child = spawn_craneknot(&[subcommand], &file, sink);
+            assert_eq!(wait_for_exit(&mut child, TEST_TIMEOUT), Some(3), "{subcommand}, {name}");
         }
     }
 }
 
-/// The answer to a request for what does not stand there.
-fn is_served(address: SocketAddr) -> bool {
+/// Whether a request for an unknown path is answered.
+fn is_request_answered(address: SocketAddr) -> bool {
     let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
     stream.write_all(b"GET /nowhere HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
     let mut answer = [0; 12];
     stream.read_exact(&mut answer).is_ok() && &answer == b"HTTP/1.1 404"
 }
 
-/// Starts it with these settings, and waits until it tells its address.
-fn serving(serve: &str, folder: &Path, settings: &Value, error: Stdio) -> Node {
+/// Starts a service with these settings, and waits until it writes its address.
+fn start_service(subcommand: &str, folder: &Path, settings: &Value, error: Stdio) -> Node {
     let (file, ready) = (folder.join("settings.json"), folder.join("ready.json"));
     std::fs::write(&file, settings.to_string()).unwrap();
     std::fs::write(folder.join("servers.json"), "{\"version\": 1, \"servers\": []}").unwrap();
-    let child = craneknot(&[serve], &file, error);
+    let child = spawn_craneknot(&[subcommand], &file, error);
     let mut node = Node { child, address: SocketAddr::from(([127, 0, 0, 1], 0)), log: Default::default() };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while !ready.exists() {
-        assert!(Instant::now() < until, "{serve} is ready");
+        assert!(Instant::now() < until, "timed out waiting for {subcommand} to be ready");
         std::thread::yield_now();
     }
     let ready: Value = serde_json::from_slice(&std::fs::read(ready).unwrap()).unwrap();
@@ -261,13 +261,13 @@
     node
 }
 
-/// Starts it, asks it something, and ends it; its exit code.
-fn serve(serve: &str, settings: &Value, error: Stdio) -> Option<i32> {
+/// Starts a service, sends it a request, stops it, and returns its exit code.
+fn run_service(subcommand: &str, settings: &Value, error: Stdio) -> Option<i32> {
     let folder = tempfile::tempdir().unwrap();
-    let mut node = serving(serve, folder.path(), settings, error);
-    assert!(is_served(node.address), "{serve}");
+    let mut node = start_service(subcommand, folder.path(), settings, error);
+    assert!(is_request_answered(node.address), "{subcommand}");
     node.signal(Signal::TERM);
-    end_within(&mut node.child, PATIENCE)
+    wait_for_exit(&mut node.child, TEST_TIMEOUT)
 }
 
 fn agent_settings() -> Value {
@@ -278,40 +278,40 @@
 }
 
 #[test]
-fn a_coordinator_and_an_agent_serve_whatever_takes_their_log() {
+fn a_coordinator_and_an_agent_serve_with_any_log_sink() {
     for (name, settings) in [("run", coordinator_settings()), ("agent", agent_settings())] {
         let (_stalled, full) = full_pipe();
-        let (gone, closed) = pipe().unwrap();
-        drop(gone);
+        let (reader, closed) = pipe().unwrap();
+        drop(reader);
         for sink in [full.into(), closed.into(), full_device().into()] {
-            assert_eq!(serve(name, &settings, sink), Some(0), "{name}");
+            assert_eq!(run_service(name, &settings, sink), Some(0), "{name}");
         }
     }
 }
 
 #[test]
-fn a_coordinators_status_tells_how_many_log_lines_were_dropped() {
+fn a_coordinators_status_reports_the_number_of_dropped_log_lines() {
     let folder = tempfile::tempdir().unwrap();
-    let mut node = serving("run", folder.path(), &coordinator_settings(), full_device().into());
-    let within = Within { connect: PATIENCE, read: PATIENCE };
-    let until = Instant::now() + PATIENCE;
+    let mut node = start_service("run", folder.path(), &coordinator_settings(), full_device().into());
+    let within = Within { connect: TEST_TIMEOUT, read: TEST_TIMEOUT };
+    let until = Instant::now() + TEST_TIMEOUT;
     while ask(node.address, "/status", within).unwrap()["log_lines_dropped"].as_u64().unwrap() == 0 {
-        assert!(Instant::now() < until, "the first line is dropped");
+        assert!(Instant::now() < until, "timed out waiting for a dropped line");
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_craneknot"));
-    let told = command.arg("status").arg(node.address.to_string()).output().unwrap();
-    assert!(String::from_utf8_lossy(&told.stdout).contains("log lines dropped"));
+    let output = command.arg("status").arg(node.address.to_string()).output().unwrap();
+    assert!(String::from_utf8_lossy(&output.stdout).contains("log lines dropped"));
     node.signal(Signal::TERM);
-    assert_eq!(end_within(&mut node.child, PATIENCE), Some(0));
+    assert_eq!(wait_for_exit(&mut node.child, TEST_TIMEOUT), Some(0));
 }
 
 #[test]
-fn an_output_that_is_closed_or_full_changes_no_exit_code() {
-    let (gone, closed) = pipe().unwrap();
-    drop(gone);
+fn a_closed_or_full_output_does_not_change_the_exit_code() {
+    let (reader, closed) = pipe().unwrap();
+    drop(reader);
     for output in [Stdio::from(closed), full_device().into()] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_craneknot"));
         let mut child = command.arg("schema").stdout(output).stderr(Stdio::null()).spawn().unwrap();
-        assert_eq!(end_within(&mut child, PATIENCE), Some(0));
+        assert_eq!(wait_for_exit(&mut child, TEST_TIMEOUT), Some(0));
     }
 }
--- a/crates/craneknot-cli/tests/reload.rs
+++ b/crates/craneknot-cli/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Files that are read again while a process serves: one whose reading would wait for somebody holds up no client.
+//! Files that a running service reads again: one whose reading would block must not delay clients.
 
 use std::io::{pipe, PipeWriter, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,9 +15,9 @@
 use helpers::peers::{listener, with_read_timeout};
 use helpers::{configuration, coordinator_settings, is_answered, Node, HEARTBEAT};
 
-const PATIENCE: Duration = Duration::from_secs(30); // a test that waits longer has failed
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Puts a pipe in the place of a file; whoever reads it waits until the writer is dropped.
+/// Replaces a file by a pipe; a read of it blocks until the writer is dropped.
 fn replace_by_pipe(file: &Path) -> (std::io::PipeReader, PipeWriter) {
     let (reader, writer) = pipe().unwrap();
     std::fs::remove_file(file).unwrap();
@@ -26,21 +26,21 @@
 }
 
 #[test]
-fn a_pipe_in_place_of_the_configuration_holds_up_no_heartbeat() {
+fn a_pipe_in_place_of_the_configuration_delays_no_heartbeat() {
     let (folder, relay) = (tempfile::tempdir().unwrap(), listener());
     let mut node = Node::start(folder.path(), &configuration(relay.local_addr().unwrap()));
     let mut client = node.answered_client();
     let _pipe = replace_by_pipe(&folder.path().join("config.json"));
     node.signal(Signal::HUP);
-    // The signal is acted on before or after the first of these, so that the second one meets its effect.
+    // The signal is handled before or after the first of these, so that the second one is affected by it.
     for _ in 0..2 {
-        let told = node.log.clone();
+        let log = node.log.clone();
         client.write_all(HEARTBEAT).unwrap();
-        assert!(is_answered(&mut client), "{:?}", told.lock().unwrap());
+        assert!(is_answered(&mut client), "{:?}", log.lock().unwrap());
     }
-    let until = Instant::now() + PATIENCE;
-    let is_refused = |line: &String| line.contains("configuration is invalid") && line.contains("regular");
-    while !node.log.lock().unwrap().iter().any(is_refused) {
+    let until = Instant::now() + TEST_TIMEOUT;
+    let is_rejection = |line: &String| line.contains("configuration is invalid") && line.contains("regular");
+    while !node.log.lock().unwrap().iter().any(is_rejection) {
         assert!(Instant::now() < until, "{:?}", node.log.lock().unwrap());
         client.write_all(HEARTBEAT).unwrap();
         assert!(is_answered(&mut client));
@@ -50,7 +50,7 @@
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-fn is_well(address: SocketAddr) -> bool {
+fn is_healthy(address: SocketAddr) -> bool {
     let mut stream = with_read_timeout(TcpStream::connect(address).unwrap());
     stream.write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").unwrap();
     let mut answer = [0; 12];
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_pipe_in_place_of_settings_or_list_holds_up_no_answer_of_a_coordinator() {
+fn a_pipe_in_place_of_settings_or_list_delays_no_answer_of_a_coordinator() {
     for replaced in ["settings.json", "servers.json"] {
         let folder = tempfile::tempdir().unwrap();
         let (file, ready) = (folder.path().join("settings.json"), folder.path().join("ready.json"));
@@ -68,18 +68,18 @@
         command.args(["--log", "json", "run"]).arg(&file).stdout(Stdio::null()).stderr(Stdio::null());
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut node = Node { child: command.spawn().unwrap(), address, log: Default::default() };
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         while !ready.exists() {
-            assert!(Instant::now() < until, "it is ready");
+            assert!(Instant::now() < until, "timed out waiting for the coordinator to be ready");
             std::thread::yield_now();
         }
         let ready: Value = serde_json::from_slice(&std::fs::read(ready).unwrap()).unwrap();
         node.address = ready["address"].as_str().unwrap().parse().unwrap();
-        assert!(is_well(node.address));
+        assert!(is_healthy(node.address));
         let _pipe = replace_by_pipe(&folder.path().join(replaced));
         node.signal(Signal::HUP);
-        // The signal is acted on before or after the first of these, so that the second one meets its effect.
-        assert!(is_well(node.address) && is_well(node.address), "{replaced}");
+        // The signal is handled before or after the first of these, so that the second one is affected by it.
+        assert!(is_healthy(node.address) && is_healthy(node.address), "{replaced}");
         node.signal(Signal::TERM);
         assert_eq!(node.child.wait().unwrap().code(), Some(0), "{replaced}");
     }
--- a/crates/craneknot-cli/tests/soak.rs
+++ b/crates/craneknot-cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of `craneknot node`, seeded. The long one is started by hand: `craneknot soak --seeds 50`.
+//! A short, seeded soak test of `craneknot node`. The long one is started by hand: `craneknot soak --seeds 50`.
 
 use std::path::Path;
 use std::time::Duration;
@@ -19,8 +19,8 @@
     assert_ne!(first, schedule::draw(8, 10, 12, LENGTH, Day::Random));
 }
 
-/// Plays a soak of this program; nothing may be broken.
-fn plays_without_a_break(seed: u64, day: Day, length: Duration) {
+/// Runs a soak test of this program and requires that no invariant is broken.
+fn assert_soak_passes(seed: u64, day: Day, length: Duration) {
     let folder = tempfile::tempdir().unwrap();
     let settings = SoakSettings {
         seed,
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn the_invariants_hold_in_random_faults_that_overlap() {
+fn the_invariants_hold_under_overlapping_random_faults() {
     for seed in [1, 2] {
-        plays_without_a_break(seed, Day::Random, LENGTH);
+        assert_soak_passes(seed, Day::Random, LENGTH);
     }
 }
 
-/// Seed 2 steps a wall clock back an hour before the coordinator that gets all proxies is started anew. The build that
-/// the users reported on leaves proxies without a line on it.
+/// Seed 2 steps a wall clock back by an hour before the coordinator that receives all proxies is restarted. The build of
+/// the users' fault report leaves proxies without a line with this seed.
 #[test]
 fn the_invariants_hold_on_the_incident_day() {
-    plays_without_a_break(2, Day::Incident, INCIDENT_LENGTH);
+    assert_soak_passes(2, Day::Incident, INCIDENT_LENGTH);
 }
--- a/crates/craneknot-cli/tests/system_calls.rs
+++ b/crates/craneknot-cli/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! `craneknot node` where system calls fail as Linux documents and the wall clock is stepped, by the preload library of
-//! `craneknot-fault-shim`.
+//! `craneknot node` with system calls that fail as Linux documents and with a stepped wall clock, by means of the preload
+//! library of `craneknot-fault-shim`.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -11,7 +11,7 @@
 use helpers::peers::{accept, accepted_response, listener, orders, request, start_event_stream};
 use helpers::{configuration, fault_library, is_answered, Node, HEARTBEAT};
 
-/// A coordinator whose system calls fail by these rules.
+/// Starts a coordinator whose system calls fail by these rules.
 fn start(folder: &std::path::Path, value: &Value, faults: &str, seed: u64) -> Node {
     let (library, seed) = (fault_library(), seed.to_string());
     let variables = [
@@ -22,9 +22,9 @@
     Node::start_with(folder, value, &variables)
 }
 
-/// What fails for a moment at the start is tried again: a start that fails is none.
+/// System calls that fail temporarily during the start are retried.
 #[test]
-fn a_start_survives_what_fails_for_a_moment() {
+fn a_start_survives_temporary_system_call_failures() {
     let relay = listener();
     for faults in [
         "socket=ENFILE#1",
@@ -44,9 +44,9 @@
     }
 }
 
-/// While running, whatever fails for a moment costs no request its answer, on new connections and open ones.
+/// Temporary failures of system calls leave no request unanswered, on new and on open connections.
 #[test]
-fn heartbeats_are_answered_whatever_system_calls_fail_for_a_moment() {
+fn heartbeats_are_answered_despite_temporary_system_call_failures() {
     let relay = listener();
     let faults = "accept4=ECONNABORTED@0.1;accept4=ENFILE@0.1;accept4=EINTR@0.1;socket=ENOBUFS@0.3;\
                   connect=EADDRNOTAVAIL@0.1;connect=ENETUNREACH@0.1;recv=EINTR@0.2;recv=SHORT@0.2;recv=ENOBUFS@0.1;\
@@ -64,12 +64,12 @@
         drop(clients);
         node.signal(Signal::TERM);
         node.signal(Signal::INT);
-        assert_eq!(node.child.wait().unwrap().code(), Some(0), "seed {seed}: no signal is lost");
+        assert_eq!(node.child.wait().unwrap().code(), Some(0), "seed {seed}: a signal was lost");
     }
 }
 
 #[test]
-fn log_lines_stay_whole_whatever_writes_of_them_fail_for_a_moment() {
+fn log_lines_stay_complete_despite_temporary_write_failures() {
     let relay = listener();
     let faults = "write=EINTR@0.2;write=EAGAIN@0.1;write=SHORT@0.5";
     for seed in 1..=3 {
@@ -79,39 +79,40 @@
         node.signal(Signal::TERM);
         node.signal(Signal::INT);
         assert_eq!(node.child.wait().unwrap().code(), Some(0), "seed {seed}");
-        let told = node.log.lock().unwrap().clone();
-        assert!(told.iter().all(|line| serde_json::from_str::<Value>(line).is_ok()), "{seed}: {told:?}");
+        let log = node.log.lock().unwrap().clone();
+        assert!(log.iter().all(|line| serde_json::from_str::<Value>(line).is_ok()), "{seed}: {log:?}");
     }
 }
 
-/// Orders reach the relay, each proxy's in order, though calls to it fail in every way for a moment.
+/// Orders reach the relay, those of each proxy in sequence, although calls to it fail temporarily in every way.
 #[test]
-fn orders_go_out_whatever_system_calls_fail_for_a_moment() {
+fn orders_are_sent_despite_temporary_system_call_failures() {
     for seed in 1..=3 {
         let (relay, folder) = (listener(), tempfile::tempdir().unwrap());
         let faults = "socket=ENFILE@0.2;connect=ENETUNREACH@0.2;connect=ETIMEDOUT@0.1;recv=SHORT@0.3;writev=SHORT@0.3;\
                       recv=EHOSTUNREACH@0.01;epoll_ctl=ENOMEM@0.1";
         let _node = start(folder.path(), &configuration(relay.local_addr().unwrap()), faults, seed);
-        let (tell, told) = std::sync::mpsc::channel();
+        let (sender, accepted) = std::sync::mpsc::channel();
         std::thread::spawn(move || loop {
             let mut stream = accept(&relay);
-            let tell = tell.clone();
+            let sender = sender.clone();
             std::thread::spawn(move || {
                 while let Some((path, body)) = request(&mut stream) {
                     if path == "/api/events" {
-                        return news_until_closed(&mut stream);
+                        return serve_events_until_closed(&mut stream);
                     }
                     let orders = orders(&body);
                     if stream.write_all(accepted_response(orders.len()).as_bytes()).is_err() {
                         return;
                     }
-                    orders.into_iter().for_each(|order| drop(tell.send(order)));
+                    orders.into_iter().for_each(|order| drop(sender.send(order)));
                 }
             });
         });
         let mut unbound: std::collections::BTreeSet<usize> = (0..12).collect();
         while !unbound.is_empty() {
-            let order = told.recv_timeout(std::time::Duration::from_secs(30)).expect("all are bound");
+            let order =
+                accepted.recv_timeout(std::time::Duration::from_secs(30)).expect("every proxy is bound");
             if let Some(rest) = order.strip_prefix("bind,") {
                 unbound.remove(&rest.split(',').next().unwrap().parse().unwrap());
             }
@@ -119,16 +120,16 @@
     }
 }
 
-/// Tells twelve proxies as joined, and a sign of life each time the coordinator is heard of no more.
-fn news_until_closed(stream: &mut TcpStream) {
+/// Reports twelve proxies as joined, then holds the event stream open until the coordinator sends data or closes it.
+fn serve_events_until_closed(stream: &mut TcpStream) {
     start_event_stream(stream, 12);
     let _ = std::io::Read::read(stream, &mut [0]);
 }
 
-/// What fails on our own side of a dial says nothing of the neighbour: it is made again, and nobody is told of a failure.
-/// Found by the soak: three such failures in a row left a coordinator without a list for five seconds.
+/// A connection attempt that fails locally says nothing about the peer: it is retried and not reported as a failure. Three
+/// such failures in a row used to leave a coordinator without a server list for five seconds.
 #[test]
-fn a_dial_that_fails_on_our_own_side_is_no_failure_of_the_neighbour() {
+fn a_local_connect_failure_is_not_a_failure_of_the_peer() {
     for faults in ["connect=ENETUNREACH#12", "connect=EADDRNOTAVAIL#12", "connect=ENOBUFS#12"] {
         let (relay, discovery, folder) = (listener(), listener(), tempfile::tempdir().unwrap());
         let mut value = configuration(relay.local_addr().unwrap());
@@ -136,12 +137,12 @@
         let node = start(folder.path(), &value, faults, 0);
         let mut stream = accept(&discovery);
         assert!(request(&mut stream).unwrap().0.starts_with("/discovery/hosts"));
-        let told = node.log.lock().unwrap().clone();
-        assert!(!told.iter().any(|line| line.contains("discovery watch failed")), "{faults}: {told:?}");
+        let log = node.log.lock().unwrap().clone();
+        assert!(!log.iter().any(|line| line.contains("discovery watch failed")), "{faults}: {log:?}");
     }
 }
 
-/// A wall clock that is an hour off, either way, when the coordinator starts: it starts and answers.
+/// A coordinator whose wall clock is an hour off in either direction starts and answers.
 #[test]
 fn a_wall_clock_an_hour_off_changes_no_answer() {
     let relay = listener();
@@ -155,7 +156,7 @@
     }
 }
 
-/// Moments are counted in nanoseconds since 1970 and end in 2554: a clock beyond that must leave room for timers.
+/// Times are counted in nanoseconds since 1970, which end in 2554: a clock beyond that must leave room for timers.
 #[test]
 fn a_wall_clock_centuries_off_makes_no_timer_due_at_once() {
     let relay = listener();
@@ -176,6 +177,6 @@
         while count("ended with") == 0 {
             std::thread::yield_now();
         }
-        assert!(count("status of clients") <= 1, "{offset}: one each five seconds");
+        assert!(count("status of clients") <= 1, "{offset}: at most one status line every five seconds");
     }
 }
--- a/crates/craneknot-cli/tests/trial.rs
+++ b/crates/craneknot-cli/tests/trial.rs
@@ -1,4 +1,4 @@
-//! Short trials of `craneknot node`, and that their judge tells what is broken. The long ones are started by hand:
+//! Short trials of `craneknot node`, and tests that their checks detect planted faults. Long trials are started by hand:
 //! `craneknot trial --seeds 10`.
 
 use std::collections::BTreeSet;
@@ -13,21 +13,21 @@
 mod helpers;
 use helpers::fault_library;
 
-const WHOLE_DAY: Duration = Duration::from_secs(63);
-const SHORT_DAY: Duration = Duration::from_secs(15);
-const PLANTED_DAY: Duration = Duration::from_secs(9);
+const FULL_LENGTH: Duration = Duration::from_secs(63);
+const SHORT_LENGTH: Duration = Duration::from_secs(15);
+const PLANTED_LENGTH: Duration = Duration::from_secs(9);
 
-/// Trials need the machine to themselves: each raises three processes and their peers.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+/// Serializes the trials: each starts three processes and their peers and needs the whole machine.
+static TRIAL_LOCK: Mutex<()> = Mutex::new(());
 
-fn trial(
+fn run_trial(
     seed: u64,
     script: Script,
     length: Duration,
     overlays: &[Overlay],
     planted: Option<PlantedBreak>,
 ) -> TrialReport {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let _guard = TRIAL_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let folder = tempfile::tempdir().unwrap();
     let settings = TrialSettings {
         seed,
@@ -44,15 +44,15 @@
 
 #[test]
 fn one_seed_gives_one_script() {
-    let first = draw(Script::Incident, 7, WHOLE_DAY, &[Overlay::RelayBroken]);
-    assert_eq!(first, draw(Script::Incident, 7, WHOLE_DAY, &[Overlay::RelayBroken]));
-    assert_ne!(first, draw(Script::Incident, 8, WHOLE_DAY, &[Overlay::RelayBroken]));
+    let first = draw(Script::Incident, 7, FULL_LENGTH, &[Overlay::RelayBroken]);
+    assert_eq!(first, draw(Script::Incident, 7, FULL_LENGTH, &[Overlay::RelayBroken]));
+    assert_ne!(first, draw(Script::Incident, 8, FULL_LENGTH, &[Overlay::RelayBroken]));
 }
 
 #[test]
-fn a_release_changes_several_servers_in_one_version_and_restarts_them_in_every_form() {
-    let day = draw(Script::Release, 3, WHOLE_DAY, &[]);
-    let versions: Vec<_> = day
+fn a_release_changes_several_servers_in_one_version_and_restarts_them_from_every_phase() {
+    let script = draw(Script::Release, 3, FULL_LENGTH, &[]);
+    let versions: Vec<_> = script
         .steps
         .iter()
         .filter_map(|planned| match &planned.step {
@@ -61,55 +61,55 @@
         })
         .collect();
     assert!(versions.iter().any(|changes| changes.len() > 1));
-    let mut before = std::collections::BTreeMap::new();
-    let mut forms = BTreeSet::new();
+    let mut last_phase = std::collections::BTreeMap::new();
+    let mut restarts = BTreeSet::new();
     for change in versions.iter().flatten() {
         if change.phase == Phase::Ready {
-            forms.insert(format!("after {:?}", before.get(&change.server).unwrap_or(&Phase::Ready)));
+            restarts.insert(format!("after {:?}", last_phase.get(&change.server).unwrap_or(&Phase::Ready)));
         }
-        before.insert(change.server, change.phase);
+        last_phase.insert(change.server, change.phase);
     }
-    let wanted = ["after Draining", "after Gone", "after Ready"].map(str::to_owned);
-    assert_eq!(forms, BTreeSet::from(wanted));
+    let expected = ["after Draining", "after Gone", "after Ready"].map(str::to_owned);
+    assert_eq!(restarts, BTreeSet::from(expected));
 }
 
 #[test]
-fn a_short_incident_day_breaks_no_rule() {
+fn a_short_incident_script_breaks_no_rule() {
     for seed in [1, 2] {
-        let report = trial(seed, Script::Incident, SHORT_DAY, &[], None);
+        let report = run_trial(seed, Script::Incident, SHORT_LENGTH, &[], None);
         assert!(report.operations.total.offered > 1_000, "{}", report.text());
         assert!(report.passed(), "craneknot trial --seed {seed} --seconds 15\n{}", report.text());
     }
 }
 
 #[test]
-fn a_day_with_faults_laid_over_breaks_no_rule() {
+fn a_release_with_additional_faults_breaks_no_rule() {
     let overlays = [Overlay::ClockStep, Overlay::RelayBroken, Overlay::ListsLate];
-    let report = trial(3, Script::Release, SHORT_DAY, &overlays, None);
+    let report = run_trial(3, Script::Release, SHORT_LENGTH, &overlays, None);
     assert!(report.passed(), "{}", report.text());
 }
 
 #[test]
-fn a_log_that_nobody_reads_stops_no_coordinator() {
-    let report = trial(3, Script::Release, PLANTED_DAY, &[Overlay::LogUnread], None);
+fn an_unread_log_stops_no_coordinator() {
+    let report = run_trial(3, Script::Release, PLANTED_LENGTH, &[Overlay::LogUnread], None);
     assert!(report.passed(), "{}", report.text());
 }
 
 #[test]
-fn the_judge_tells_proxies_that_lack_lines() {
-    let report = trial(1, Script::Release, PLANTED_DAY, &[], Some(PlantedBreak::LinesDropped));
+fn proxies_without_lines_are_detected() {
+    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(PlantedBreak::LinesDropped));
     assert!(report.found(Reading::Lines) > 0, "{}", report.text());
 }
 
 #[test]
-fn the_judge_tells_operations_that_get_no_answer() {
-    let report = trial(1, Script::Release, PLANTED_DAY, &[], Some(PlantedBreak::SilentServers));
+fn unanswered_operations_are_detected() {
+    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(PlantedBreak::SilentServers));
     assert!(report.found(Reading::Operations) > 0, "{}", report.text());
 }
 
 #[test]
-fn the_judge_tells_heartbeats_that_are_answered_late() {
-    let report = trial(1, Script::Release, PLANTED_DAY, &[], Some(PlantedBreak::LateAnswers));
+fn late_heartbeat_answers_are_detected() {
+    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(PlantedBreak::LateAnswers));
     assert!(report.found(Reading::Control) > 0, "{}", report.text());
     assert_eq!(report.found(Reading::Lines), 0, "{}", report.text());
 }
