--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -141,7 +141,7 @@
         /// together with another coordinator, all proxies moved to the first coordinator, and its planned restart.
         #[arg(long)]
         incident: bool,
-        /// Number of threads that write_json the processor busy during the run of each seed.
+        /// Number of threads that keep the processor busy during the run of each seed.
         #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u16).range(0..=64))]
         busy: u16,
         /// Limits each coordinator to a quarter of a core for a randomly chosen interval.
@@ -150,7 +150,7 @@
         /// Program to test, another build of this one; by default this program.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Library that makes system_failure calls fail, preloaded into every other coordinator.
+        /// Library that makes system calls fail, preloaded into every other coordinator.
         #[arg(long)]
         fault_library: Option<PathBuf>,
         /// Folder for configurations and logs; by default a temporary folder, removed at the end.
--- a/crates/craneknot-cli/src/trial.rs
+++ b/crates/craneknot-cli/src/trial.rs
@@ -38,7 +38,7 @@
     /// Program to test, another build of this one; by default this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Library that makes system_failure calls fail and steps clocks; some faults need it.
+    /// Library that makes system calls fail and steps clocks; some faults need it.
     #[arg(long)]
     fault_library: Option<PathBuf>,
     /// Writes the reports to this file, as JSON.
