--- a/crates/craneknot-agent/src/dial.rs
+++ b/crates/craneknot-agent/src/dialer.rs
@@ -6,62 +6,62 @@
 use rand_pcg::Pcg32;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum DialState {
     /// Waits until it dials again.
-    Resting,
+    Backoff,
     /// Dialled, not connected yet.
-    Dialling,
+    Connecting,
     /// Connected, nothing heard yet.
-    Asking,
+    Connected,
     /// The coordinator answers.
     Following,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum DialEvent {
     /// The moment to dial has come.
-    Due,
+    BackoffElapsed,
     Connected,
     /// The coordinator has answered.
-    Heard,
+    Responded,
     /// The connection failed, broke or fell silent.
     Lost,
     /// It says that another one is in charge.
-    Sent,
+    Redirected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum DialAction {
     Nothing,
     Dial,
     /// Ask for all kinds.
-    Ask,
+    Subscribe,
     /// The next failure waits as short as the first.
-    Calm,
+    ResetBackoff,
     /// Wait, then the same coordinator again: it answered, and may be back at once.
-    Again,
+    RetrySame,
     /// Wait twice as long, then the next coordinator.
-    Next,
+    TryNext,
     /// At once to the one that was named.
-    Go,
+    FollowRedirect,
 }
 
 /// State, sign, next state, effect.
-const MOVES: &[(State, Sign, State, Effect)] = &[
-    (State::Resting, Sign::Due, State::Dialling, Effect::Dial),
-    (State::Dialling, Sign::Connected, State::Asking, Effect::Ask),
-    (State::Asking, Sign::Heard, State::Following, Effect::Calm),
-    (State::Dialling, Sign::Lost, State::Resting, Effect::Next),
-    (State::Asking, Sign::Lost, State::Resting, Effect::Next),
-    (State::Following, Sign::Lost, State::Resting, Effect::Again),
-    (State::Asking, Sign::Sent, State::Resting, Effect::Go),
-    (State::Following, Sign::Sent, State::Resting, Effect::Go),
+const MOVES: &[(DialState, DialEvent, DialState, DialAction)] = &[
+    (DialState::Backoff, DialEvent::BackoffElapsed, DialState::Connecting, DialAction::Dial),
+    (DialState::Connecting, DialEvent::Connected, DialState::Connected, DialAction::Subscribe),
+    (DialState::Connected, DialEvent::Responded, DialState::Following, DialAction::ResetBackoff),
+    (DialState::Connecting, DialEvent::Lost, DialState::Backoff, DialAction::TryNext),
+    (DialState::Connected, DialEvent::Lost, DialState::Backoff, DialAction::TryNext),
+    (DialState::Following, DialEvent::Lost, DialState::Backoff, DialAction::RetrySame),
+    (DialState::Connected, DialEvent::Redirected, DialState::Backoff, DialAction::FollowRedirect),
+    (DialState::Following, DialEvent::Redirected, DialState::Backoff, DialAction::FollowRedirect),
 ];
 
 const SENT_MOST: u32 = 4; // times sent on without an answer: two that send us to one another know no better
 
-pub struct Dial {
-    state: State,
+pub struct Dialer {
+    state: DialState,
     coordinators: usize,
     at: usize,
     least: Nanos,
@@ -72,12 +72,12 @@
     rng: Pcg32,
 }
 
-impl Dial {
+impl Dialer {
     /// Begins with the first coordinator, after a wait drawn by chance: a whole fleet may start at once.
     pub fn new(coordinators: usize, least: Nanos, most: Nanos, seed: u64, now: Nanos) -> Self {
         let rng = Pcg32::seed_from_u64(seed);
-        let (state, at, failures) = (State::Resting, 0, 0);
-        let mut dial = Dial {
+        let (state, at, failures) = (DialState::Backoff, 0, 0);
+        let mut dial = Dialer {
             state,
             coordinators: coordinators.max(1),
             at,
@@ -92,7 +92,7 @@
         dial
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> DialState {
         self.state
     }
 
@@ -102,8 +102,8 @@
     }
 
     /// When to dial.
-    pub fn next_at(&self) -> Option<Nanos> {
-        (self.state == State::Resting).then_some(self.until)
+    pub fn next_dial_at(&self) -> Option<Nanos> {
+        (self.state == DialState::Backoff).then_some(self.until)
     }
 
     fn rest(&mut self, now: Nanos, longest: Nanos) {
@@ -112,32 +112,32 @@
     }
 
     /// Another coordinator is named as the one in charge.
-    pub fn send_to(&mut self, now: Nanos, coordinator: usize) {
+    pub fn redirect_to(&mut self, now: Nanos, coordinator: usize) {
         self.sent += 1;
         if self.sent > SENT_MOST || coordinator >= self.coordinators {
             self.sent = 0;
-            self.sign(now, Sign::Lost);
-        } else if self.sign(now, Sign::Sent) == Effect::Go {
+            self.handle(now, DialEvent::Lost);
+        } else if self.handle(now, DialEvent::Redirected) == DialAction::FollowRedirect {
             self.at = coordinator;
         }
     }
 
-    pub fn sign(&mut self, now: Nanos, sign: Sign) -> Effect {
-        if sign == Sign::Due && now < self.until {
-            return Effect::Nothing;
+    pub fn handle(&mut self, now: Nanos, event: DialEvent) -> DialAction {
+        if event == DialEvent::BackoffElapsed && now < self.until {
+            return DialAction::Nothing;
         }
-        let row = MOVES.iter().find(|row| row.0 == self.state && row.1 == sign);
-        let Some((_, _, next, effect)) = row else { return Effect::Nothing };
+        let row = MOVES.iter().find(|row| row.0 == self.state && row.1 == event);
+        let Some((_, _, next, effect)) = row else { return DialAction::Nothing };
         self.state = *next;
         match effect {
-            Effect::Nothing | Effect::Dial | Effect::Ask => {}
-            Effect::Calm => (self.failures, self.sent) = (0, 0),
-            Effect::Go => self.until = now,
-            Effect::Again => {
+            DialAction::Nothing | DialAction::Dial | DialAction::Subscribe => {}
+            DialAction::ResetBackoff => (self.failures, self.sent) = (0, 0),
+            DialAction::FollowRedirect => self.until = now,
+            DialAction::RetrySame => {
                 self.failures = 1;
                 self.rest(now, self.least);
             }
-            Effect::Next => {
+            DialAction::TryNext => {
                 self.at = (self.at + 1) % self.coordinators;
                 // A round through all of them counts as one failure: the next one may well stand.
                 let rounds = self.failures / self.coordinators as u32;
@@ -158,16 +158,16 @@
 
     #[test]
     fn a_lost_coordinator_is_tried_again_before_the_next() {
-        let mut dial = Dial::new(2, LEAST, MOST, 7, Nanos(0));
-        let start = dial.next_at().unwrap();
-        assert_eq!(dial.sign(start, Sign::Due), Effect::Dial);
-        assert_eq!(dial.sign(start, Sign::Connected), Effect::Ask);
-        assert_eq!(dial.sign(start, Sign::Heard), Effect::Calm);
-        assert_eq!(dial.sign(start, Sign::Lost), Effect::Again);
+        let mut dial = Dialer::new(2, LEAST, MOST, 7, Nanos(0));
+        let start = dial.next_dial_at().unwrap();
+        assert_eq!(dial.handle(start, DialEvent::BackoffElapsed), DialAction::Dial);
+        assert_eq!(dial.handle(start, DialEvent::Connected), DialAction::Subscribe);
+        assert_eq!(dial.handle(start, DialEvent::Responded), DialAction::ResetBackoff);
+        assert_eq!(dial.handle(start, DialEvent::Lost), DialAction::RetrySame);
         assert_eq!(dial.coordinator(), 0);
-        let again = dial.next_at().unwrap();
-        assert_eq!(dial.sign(again, Sign::Due), Effect::Dial);
-        assert_eq!(dial.sign(again, Sign::Lost), Effect::Next);
+        let again = dial.next_dial_at().unwrap();
+        assert_eq!(dial.handle(again, DialEvent::BackoffElapsed), DialAction::Dial);
+        assert_eq!(dial.handle(again, DialEvent::Lost), DialAction::TryNext);
         assert_eq!(dial.coordinator(), 1);
     }
 
@@ -175,14 +175,14 @@
     fn waits_grow_to_their_bound_and_are_spread() {
         let mut waits = Vec::new();
         for seed in 0..200 {
-            let (mut dial, mut now) = (Dial::new(2, LEAST, MOST, seed, Nanos(0)), Nanos(0));
+            let (mut dial, mut now) = (Dialer::new(2, LEAST, MOST, seed, Nanos(0)), Nanos(0));
             for _ in 0..20 {
-                now = now.max(dial.next_at().unwrap());
-                dial.sign(now, Sign::Due);
-                dial.sign(now, Sign::Lost);
-                assert!(dial.next_at().unwrap() - now <= MOST);
+                now = now.max(dial.next_dial_at().unwrap());
+                dial.handle(now, DialEvent::BackoffElapsed);
+                dial.handle(now, DialEvent::Lost);
+                assert!(dial.next_dial_at().unwrap() - now <= MOST);
             }
-            waits.push((dial.next_at().unwrap() - now).secs());
+            waits.push((dial.next_dial_at().unwrap() - now).secs());
         }
         let mean = waits.iter().sum::<f64>() / waits.len() as f64;
         assert!((0.8..1.2).contains(&mean), "{mean}");
@@ -191,27 +191,27 @@
 
     #[test]
     fn signs_out_of_place_change_nothing() {
-        let mut dial = Dial::new(1, LEAST, MOST, 7, Nanos(0));
-        for sign in [Sign::Connected, Sign::Heard, Sign::Lost] {
-            assert_eq!(dial.sign(Nanos(0), sign), Effect::Nothing);
-            assert_eq!(dial.state(), State::Resting);
+        let mut dial = Dialer::new(1, LEAST, MOST, 7, Nanos(0));
+        for event in [DialEvent::Connected, DialEvent::Responded, DialEvent::Lost] {
+            assert_eq!(dial.handle(Nanos(0), event), DialAction::Nothing);
+            assert_eq!(dial.state(), DialState::Backoff);
         }
     }
 
     /// Two coordinators with different views may send an agent to one another: it must not spin between them.
     #[test]
     fn one_that_is_sent_to_and_fro_waits_in_the_end() {
-        let (mut dial, mut now) = (Dial::new(2, LEAST, MOST, 7, Nanos(0)), Nanos(0));
+        let (mut dial, mut now) = (Dialer::new(2, LEAST, MOST, 7, Nanos(0)), Nanos(0));
         let mut waited = 0;
         for round in 0..20 {
-            now = now.max(dial.next_at().unwrap());
-            dial.sign(now, Sign::Due);
-            dial.sign(now, Sign::Connected);
+            now = now.max(dial.next_dial_at().unwrap());
+            dial.handle(now, DialEvent::BackoffElapsed);
+            dial.handle(now, DialEvent::Connected);
             let before = now;
-            dial.send_to(now, (round + 1) % 2);
-            waited += usize::from(dial.next_at().unwrap() > before);
+            dial.redirect_to(now, (round + 1) % 2);
+            waited += usize::from(dial.next_dial_at().unwrap() > before);
         }
         assert!(waited >= 3, "{waited}");
-        assert_eq!(dial.sign(now, Sign::Sent), Effect::Nothing);
+        assert_eq!(dial.handle(now, DialEvent::Redirected), DialAction::Nothing);
     }
 }
--- a/crates/craneknot-agent/src/sums.rs
+++ b/crates/craneknot-agent/src/load_totals.rs
@@ -1,4 +1,4 @@
-//! Sums of what a proxy met that have not reached a coordinator yet. Their memory is bounded: reports are added up,
+//! LoadTotals of what a proxy met that have not reached a coordinator yet. Their memory is bounded: reports are added up,
 //! not queued, and what is older than is of use is dropped.
 
 use std::collections::BTreeMap;
@@ -50,25 +50,25 @@
 
 /// What waits to be sent, and what was sent and is not answered yet.
 #[derive(Default)]
-pub struct Sums {
+pub struct LoadTotals {
     classes: BTreeMap<String, Class>,
     /// The report under way, and when it was closed; it is sent again as it is after a broken connection.
-    under_way: Option<(u64, Vec<ClusterStats>)>,
-    left_out: u64,
+    in_flight: Option<(u64, Vec<ClusterStats>)>,
+    omitted_parts: u64,
 }
 
-impl Sums {
+impl LoadTotals {
     /// Adds a proxy's report.
     pub fn add(&mut self, report: &LoadStatsRequest) {
         for cluster in &report.cluster_stats {
             if self.classes.len() >= CLASSES_MOST && !self.classes.contains_key(&cluster.cluster_name) {
-                self.left_out += 1;
+                self.omitted_parts += 1;
                 continue;
             }
             let class = self.classes.entry(cluster.cluster_name.clone()).or_default();
             if class.seconds + cluster.load_report_interval.0 > SPAN_MOST {
                 *class = Class::default();
-                self.left_out += 1;
+                self.omitted_parts += 1;
             }
             class.seconds += cluster.load_report_interval.0;
             class.dropped = class.dropped.saturating_add(cluster.total_dropped_requests.0);
@@ -82,7 +82,7 @@
                     let address = &stats.address.socket_address;
                     let key = (address.address.clone(), address.port_value);
                     if locality.endpoints.len() >= ENDPOINTS_MOST && !locality.endpoints.contains_key(&key) {
-                        self.left_out += 1;
+                        self.omitted_parts += 1;
                         continue;
                     }
                     let endpoint = locality.endpoints.entry(key).or_default();
@@ -98,14 +98,14 @@
     }
 
     /// Parts of reports that were left out for the bounds.
-    pub fn left_out(&self) -> u64 {
-        self.left_out
+    pub fn omitted_parts(&self) -> u64 {
+        self.omitted_parts
     }
 
     /// The report to send now: the one that is not answered yet, else a new one of all that waits, closed now.
     pub fn close(&mut self, now: Nanos) -> (u64, Vec<ClusterStats>) {
-        if let Some(under_way) = &self.under_way {
-            return under_way.clone();
+        if let Some(in_flight) = &self.in_flight {
+            return in_flight.clone();
         }
         let classes = std::mem::take(&mut self.classes).into_iter();
         let stats = classes.map(|(cluster_name, class)| ClusterStats {
@@ -126,18 +126,18 @@
                 .collect(),
         });
         let report = (now.0 / 1_000_000, stats.collect());
-        self.under_way = Some(report.clone());
+        self.in_flight = Some(report.clone());
         report
     }
 
     /// The report under way was answered.
-    pub fn answered(&mut self) {
-        self.under_way = None;
+    pub fn acknowledge(&mut self) {
+        self.in_flight = None;
     }
 
     /// Another coordinator is followed: it must not be told what may have been counted by the last one already.
-    pub fn forget_under_way(&mut self) {
-        self.under_way = None;
+    pub fn discard_in_flight(&mut self) {
+        self.in_flight = None;
     }
 }
 
@@ -180,8 +180,8 @@
     }
 
     #[test]
-    fn unsent_reports_add_up_and_one_under_way_is_sent_again_as_it_was() {
-        let mut sums = Sums::default();
+    fn unsent_reports_add_up_and_one_in_flight_is_sent_again_as_it_was() {
+        let mut sums = LoadTotals::default();
         sums.add(&report(1..3, 1.0));
         sums.add(&report(2..4, 0.5));
         let first = sums.close(Nanos::from_millis(500));
@@ -192,7 +192,7 @@
         assert_eq!(good, [2, 4, 2]);
         sums.add(&report(1..2, 1.0));
         assert_eq!(sums.close(Nanos::from_millis(900)), first);
-        sums.answered();
+        sums.acknowledge();
         let next = sums.close(Nanos::from_millis(900));
         assert_eq!((next.0, next.1[0].load_report_interval.0), (900, 1.0));
     }
@@ -200,13 +200,13 @@
     /// While no coordinator answers, an agent must not grow, nor tell of minutes ago once one does.
     #[test]
     fn memory_and_age_are_bounded() {
-        let mut sums = Sums::default();
+        let mut sums = LoadTotals::default();
         for _ in 0..50 {
             sums.add(&report(1..3_000, 1.0));
         }
         let stats = &sums.close(Nanos(0)).1[0];
         assert!(stats.load_report_interval.0 <= SPAN_MOST);
         assert_eq!(stats.upstream_locality_stats[0].upstream_endpoint_stats.len(), ENDPOINTS_MOST);
-        assert!(sums.left_out() > 0);
+        assert!(sums.omitted_parts() > 0);
     }
 }
--- a/crates/craneknot-agent/src/hold.rs
+++ b/crates/craneknot-agent/src/proxy_resources.rs
@@ -19,7 +19,7 @@
 }
 
 impl Version {
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let (source, number) = text.rsplit_once('/')?;
         Some(Version { source: source.to_owned(), number: number.parse().ok()? })
     }
@@ -44,7 +44,7 @@
 
 type Contents = BTreeMap<String, Held>;
 
-/// A file that is to be swapped in; [`Holding::commit`] once it is.
+/// A file that is to be swapped in; [`ProxyResources::commit`] once it is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Staged {
     pub kind: Kind,
@@ -64,14 +64,14 @@
 }
 
 #[derive(Default)]
-pub struct Holding {
+pub struct ProxyResources {
     contents: BTreeMap<Kind, Contents>,
     versions: BTreeMap<Kind, Version>,
     warming: Option<Staged>,
     swaps: u64,
 }
 
-impl Holding {
+impl ProxyResources {
     /// Takes what a file holds that an earlier life of the agent left; one that is not whole counts as not there.
     pub fn restore(&mut self, kind: Kind, text: &[u8]) -> Result<(), String> {
         let (version, response) = discovery::read_file(kind, text).map_err(|fault| fault.to_string())?;
@@ -92,18 +92,18 @@
     }
 
     /// The table that each class is bound to.
-    pub fn bound(&self) -> BTreeMap<String, String> {
+    pub fn bound_tables(&self) -> BTreeMap<String, String> {
         let clusters = self.contents.get(&Kind::Clusters).into_iter().flatten();
         clusters.map(|(class, held)| (class.clone(), held.table.clone())).collect()
     }
 
     /// Prints of what a coordinator that takes over need not send again: by table its lines and its levels.
-    pub fn prints(&self) -> BTreeMap<String, (String, String)> {
+    pub fn fingerprints(&self) -> BTreeMap<String, (String, String)> {
         let text = |kind: Kind, table: &String| {
             let held = self.contents.get(&kind).and_then(|contents| contents.get(table));
             held.map_or(String::new(), |held| discovery::print_of(held.text.as_bytes()))
         };
-        let tables = self.bound().into_values();
+        let tables = self.bound_tables().into_values();
         tables.map(|t| (t.clone(), (text(Kind::Endpoints, &t), text(Kind::Routes, &t)))).collect()
     }
 
@@ -144,8 +144,8 @@
     }
 
     /// Weighs a response.
-    pub fn weigh(&mut self, kind: Kind, response: &DiscoveryResponse) -> Result<Verdict, Status> {
-        let version = Version::read(&response.version_info).ok_or_else(|| {
+    pub fn evaluate(&mut self, kind: Kind, response: &DiscoveryResponse) -> Result<Verdict, Status> {
+        let version = Version::parse(&response.version_info).ok_or_else(|| {
             Status::invalid(format!("version {:?} is not source/number", response.version_info))
         })?;
         // A former coordinator's order, however late it comes, is never followed after one of a later epoch.
@@ -217,7 +217,7 @@
     }
 
     /// The bindings that wait have waited too long: they are given up.
-    pub fn give_up_warming(&mut self) -> Option<Status> {
+    pub fn cancel_warming(&mut self) -> Option<Status> {
         let staged = self.warming.take()?;
         let missing = self.missing(&staged).unwrap_or_default();
         Some(Status::invalid(format!("table {missing:?} never came")))
@@ -304,8 +304,8 @@
         serde_json::to_string(&meaning::cluster(class, table, "RANDOM")).unwrap()
     }
 
-    fn take(holding: &mut Holding, kind: Kind, number: u64, resources: Vec<String>) -> Vec<Kind> {
-        match holding.weigh(kind, &response(kind, number, resources)).unwrap() {
+    fn take(holding: &mut ProxyResources, kind: Kind, number: u64, resources: Vec<String>) -> Vec<Kind> {
+        match holding.evaluate(kind, &response(kind, number, resources)).unwrap() {
             Verdict::Swap(staged) => {
                 let mut done = vec![kind];
                 let mut next = holding.commit(staged);
@@ -322,21 +322,21 @@
     /// A binding told before its table must not leave the proxy without lines.
     #[test]
     fn bindings_wait_for_their_tables() {
-        let mut holding = Holding::default();
+        let mut holding = ProxyResources::default();
         assert_eq!(take(&mut holding, Kind::Clusters, 1, vec![cluster("read", "t1")]), []);
         assert_eq!(holding.lines("read"), None);
         let done = take(&mut holding, Kind::Endpoints, 1, vec![table("t1", 9)]);
         assert_eq!(done, [Kind::Endpoints, Kind::Clusters]);
         assert_eq!(holding.lines("read"), Some(vec![("127.0.0.1:9".to_owned(), 1.0)]));
         assert_eq!(take(&mut holding, Kind::Clusters, 2, vec![cluster("read", "t2")]), []);
-        assert!(holding.give_up_warming().unwrap().message.contains("t2"));
+        assert!(holding.cancel_warming().unwrap().message.contains("t2"));
         assert!(holding.lines("read").is_some());
     }
 
     /// A binding that waits must not, once swapped in, drop the tables that a later binding will name.
     #[test]
     fn tables_outlast_their_binding_a_while() {
-        let mut holding = Holding::default();
+        let mut holding = ProxyResources::default();
         take(&mut holding, Kind::Endpoints, 1, vec![table("t1", 1)]);
         take(&mut holding, Kind::Clusters, 1, vec![cluster("read", "t1")]);
         take(&mut holding, Kind::Endpoints, 2, vec![table("t2", 2)]);
@@ -350,25 +350,25 @@
 
     #[test]
     fn one_bad_resource_refuses_them_all() {
-        let mut holding = Holding::default();
+        let mut holding = ProxyResources::default();
         take(&mut holding, Kind::Endpoints, 1, vec![table("t1", 9)]);
         let before = holding.of(Kind::Endpoints);
         let weightless = table("t3", 9).replace("10000", "0");
         let nowhere = table("t3", 9).replace("127.0.0.1", "somewhere");
         for bad in [weightless, nowhere, "{}".to_owned(), "[]".to_owned(), table("t2", 7)] {
             let answer = response(Kind::Endpoints, 2, vec![table("t2", 8), bad]);
-            assert!(holding.weigh(Kind::Endpoints, &answer).is_err());
+            assert!(holding.evaluate(Kind::Endpoints, &answer).is_err());
             assert_eq!(holding.of(Kind::Endpoints), before);
         }
         let other = response(Kind::Routes, 2, vec![]);
-        assert!(holding.weigh(Kind::Endpoints, &other).is_err());
+        assert!(holding.evaluate(Kind::Endpoints, &other).is_err());
     }
 
     #[test]
     fn a_new_life_goes_on_from_the_files_and_takes_no_torn_one() {
-        let mut holding = Holding::default();
-        let text = |holding: &mut Holding, kind, resources| {
-            let Ok(Verdict::Swap(staged)) = holding.weigh(kind, &response(kind, 3, resources)) else {
+        let mut holding = ProxyResources::default();
+        let text = |holding: &mut ProxyResources, kind, resources| {
+            let Ok(Verdict::Swap(staged)) = holding.evaluate(kind, &response(kind, 3, resources)) else {
                 panic!()
             };
             let text = staged.text.clone();
@@ -377,14 +377,14 @@
         };
         let endpoints = text(&mut holding, Kind::Endpoints, vec![table("t1", 9)]);
         let clusters = text(&mut holding, Kind::Clusters, vec![cluster("read", "t1")]);
-        let mut next = Holding::default();
+        let mut next = ProxyResources::default();
         next.restore(Kind::Endpoints, endpoints.as_bytes()).unwrap();
         next.restore(Kind::Clusters, clusters.as_bytes()).unwrap();
         assert_eq!(
             (next.lines("read"), next.version(Kind::Endpoints).text().as_str()),
             (holding.lines("read"), "a-1/3")
         );
-        assert!(Holding::default()
+        assert!(ProxyResources::default()
             .restore(Kind::Endpoints, &endpoints.as_bytes()[..endpoints.len() - 9])
             .is_err());
     }
--- a/crates/craneknot-agent/src/shell.rs
+++ b/crates/craneknot-agent/src/shell.rs
@@ -18,9 +18,9 @@
 use http::{header, HeaderName, Method, Response, StatusCode};
 use tracing::{debug, info, warn};
 
-use crate::dial::{Dial, Effect, Sign, State};
-use crate::hold::{Holding, Staged, Verdict};
-use crate::sums::Sums;
+use crate::dialer::{DialAction, DialEvent, DialState, Dialer};
+use crate::load_totals::LoadTotals;
+use crate::proxy_resources::{ProxyResources, Staged, Verdict};
 
 const JSON: (HeaderName, &str) = (header::CONTENT_TYPE, "application/json");
 const FIRST_PERIOD: Nanos = Nanos::from_millis(1_000); // ms; until a coordinator says how often it wants reports
@@ -49,8 +49,8 @@
 struct Follower {
     node: NodeSettings,
     folder: PathBuf,
-    holding: Holding,
-    dial: Dial,
+    holding: ProxyResources,
+    dial: Dialer,
     stream: Option<ConnId>,
     stream_reader: ResponseReader,
     asked: VecDeque<Kind>,
@@ -60,7 +60,7 @@
     reports: Option<ConnId>,
     reports_reader: ResponseReader,
     reports_since: Option<Nanos>,
-    sums: Sums,
+    sums: LoadTotals,
 }
 
 /// Called after each swap: the proxy's name, the kind, and the version swapped in.
@@ -104,7 +104,7 @@
         for (place, node) in settings.nodes.iter().enumerate() {
             let folder = folder.join(&node.folder);
             fs::create_dir_all(&folder)?;
-            let mut holding = Holding::default();
+            let mut holding = ProxyResources::default();
             for kind in Kind::ALL {
                 // What a kill left half written is of no use.
                 let _ = fs::remove_file(folder.join(format!("{}{FRESH}", kind.file())));
@@ -122,8 +122,8 @@
                 }
             }
             let dial =
-                Dial::new(settings.coordinators.len(), least, most, seed.wrapping_add(place as u64), now);
-            reactor.set_timer(dial.next_at().unwrap_or(now), Due::Dial(place));
+                Dialer::new(settings.coordinators.len(), least, most, seed.wrapping_add(place as u64), now);
+            reactor.set_timer(dial.next_dial_at().unwrap_or(now), Due::Dial(place));
             followers.push(Follower {
                 node: node.clone(),
                 folder,
@@ -138,7 +138,7 @@
                 reports: None,
                 reports_reader: ResponseReader::new(HttpLimits::default()),
                 reports_since: None,
-                sums: Sums::default(),
+                sums: LoadTotals::default(),
             });
         }
         let by_name =
@@ -173,18 +173,18 @@
     }
 
     /// Takes these signals as a wish to end.
-    pub fn end_on(&mut self, signals: SignalFlags) {
+    pub fn stop_on_signals(&mut self, signals: SignalFlags) {
         self.reactor.watch_signals(signals);
     }
 
     /// Runs until a signal ends it.
     pub fn run(&mut self) -> io::Result<()> {
-        while self.round(None)? {}
+        while self.run_once(None)? {}
         Ok(())
     }
 
     /// Waits for what happens, `most` at the longest, and acts on it; false: a signal asks for the end.
-    pub fn round(&mut self, most: Option<std::time::Duration>) -> io::Result<bool> {
+    pub fn run_once(&mut self, most: Option<std::time::Duration>) -> io::Result<bool> {
         self.reactor.poll(most)?;
         while let Some(happened) = self.reactor.next_event() {
             match happened {
@@ -228,13 +228,13 @@
         let now = self.reactor.now();
         match due {
             Due::Dial(place) => {
-                if self.followers[place].dial.sign(now, Sign::Due) == Effect::Dial {
+                if self.followers[place].dial.handle(now, DialEvent::BackoffElapsed) == DialAction::Dial {
                     self.dial(place, now);
                 }
             }
             Due::DialOver(place, conn) => {
                 let follower = &self.followers[place];
-                if follower.stream == Some(conn) && follower.dial.state() == State::Dialling {
+                if follower.stream == Some(conn) && follower.dial.state() == DialState::Connecting {
                     self.lost(place, "no connection in time");
                 }
             }
@@ -243,7 +243,7 @@
                 let follower = &mut self.followers[place];
                 if follower.warming == Some(count) {
                     follower.warming = None;
-                    if let Some(status) = follower.holding.give_up_warming() {
+                    if let Some(status) = follower.holding.cancel_warming() {
                         self.ask(place, Kind::Clusters, Some(status));
                     }
                 }
@@ -268,18 +268,18 @@
         self.end_stream(place);
         let now = self.reactor.now();
         let follower = &mut self.followers[place];
-        let followed = follower.dial.state() == State::Following;
+        let followed = follower.dial.state() == DialState::Following;
         let before = follower.dial.coordinator();
-        follower.dial.sign(now, Sign::Lost);
+        follower.dial.handle(now, DialEvent::Lost);
         if follower.dial.coordinator() != before {
-            follower.sums.forget_under_way();
+            follower.sums.discard_in_flight();
         }
         if followed {
             warn!(proxy = %follower.node.id, cause, "lost the coordinator; the files stand");
         } else {
             debug!(proxy = %follower.node.id, cause, "no coordinator");
         }
-        if let Some(at) = follower.dial.next_at() {
+        if let Some(at) = follower.dial.next_dial_at() {
             self.reactor.set_timer(at, Due::Dial(place));
         }
     }
@@ -293,7 +293,7 @@
         follower.asked.clear();
         follower.nonces.clear();
         follower.warming = None;
-        follower.holding.give_up_warming();
+        follower.holding.cancel_warming();
         follower.reports_since = None;
     }
 
@@ -310,9 +310,9 @@
                 self.end_stream(place);
                 let now = self.reactor.now();
                 let follower = &mut self.followers[place];
-                follower.sums.forget_under_way();
-                follower.dial.send_to(now, coordinator);
-                if let Some(at) = follower.dial.next_at() {
+                follower.sums.discard_in_flight();
+                follower.dial.redirect_to(now, coordinator);
+                if let Some(at) = follower.dial.next_dial_at() {
                     self.reactor.set_timer(at, Due::Dial(place));
                 }
             }
@@ -323,7 +323,9 @@
     fn stream_connected(&mut self, place: usize, conn: ConnId) {
         let now = self.reactor.now();
         let follower = &mut self.followers[place];
-        if follower.dial.sign(now, Sign::Connected) != Effect::Ask || follower.stream != Some(conn) {
+        if follower.dial.handle(now, DialEvent::Connected) != DialAction::Subscribe
+            || follower.stream != Some(conn)
+        {
             return;
         }
         follower.stream_reader = ResponseReader::new(limits());
@@ -341,8 +343,8 @@
             metadata: BTreeMap::from([
                 ("usual_rate".to_owned(), node.usual_rate.into()),
                 // What it follows now: one that takes over need not move it.
-                ("bound".to_owned(), serde_json::json!(self.followers[place].holding.bound())),
-                ("prints".to_owned(), serde_json::json!(self.followers[place].holding.prints())),
+                ("bound".to_owned(), serde_json::json!(self.followers[place].holding.bound_tables())),
+                ("prints".to_owned(), serde_json::json!(self.followers[place].holding.fingerprints())),
             ]),
         }
     }
@@ -392,10 +394,10 @@
         };
         match answer.status() {
             StatusCode::OK => {
-                self.followers[place].dial.sign(now, Sign::Heard);
+                self.followers[place].dial.handle(now, DialEvent::Responded);
             }
             StatusCode::NOT_MODIFIED => {
-                self.followers[place].dial.sign(now, Sign::Heard);
+                self.followers[place].dial.handle(now, DialEvent::Responded);
                 return self.ask(place, kind, None);
             }
             StatusCode::TEMPORARY_REDIRECT => return self.sent_on(place, answer),
@@ -412,7 +414,7 @@
         };
         let follower = &mut self.followers[place];
         follower.nonces.insert(kind, response.nonce.clone());
-        match follower.holding.weigh(kind, &response) {
+        match follower.holding.evaluate(kind, &response) {
             Ok(Verdict::Swap(staged)) => self.swap(place, staged),
             Ok(Verdict::Warming { missing }) => {
                 debug!(proxy = %follower.node.id, missing, "bindings wait for their tables");
@@ -459,7 +461,7 @@
     /// Sends what waits, or what was not answered; a coordinator that leaves a report unanswered is gone.
     fn report(&mut self, place: usize, now: Nanos) {
         let follower = &mut self.followers[place];
-        if !matches!(follower.dial.state(), State::Asking | State::Following) {
+        if !matches!(follower.dial.state(), DialState::Connected | DialState::Following) {
             return;
         }
         if let Some(since) = follower.reports_since {
@@ -505,8 +507,8 @@
             Ok(Some(answer)) => {
                 let follower = &mut self.followers[place];
                 follower.reports_since = None;
-                follower.sums.answered();
-                follower.dial.sign(now, Sign::Heard);
+                follower.sums.acknowledge();
+                follower.dial.handle(now, DialEvent::Responded);
                 if let Ok(wanted) = serde_json::from_slice::<LoadStatsResponse>(answer.body()) {
                     let period = Nanos::from_secs(wanted.load_reporting_interval.0);
                     self.period = period.clamp(PERIODS.0, PERIODS.1);
--- a/crates/craneknot-agent/tests/broken.rs
+++ b/crates/craneknot-agent/tests/broken.rs
@@ -1,6 +1,6 @@
 //! Broken responses and files: refused with a cause, never a panic, and what stood stays.
 
-use craneknot_agent::hold::{Holding, Verdict};
+use craneknot_agent::proxy_resources::{ProxyResources, Verdict};
 use craneknot_xds::discovery::{file_text, read_file, DiscoveryResponse, Kind};
 use craneknot_xds::meaning::{self, Admission, Line};
 use craneknot_xds::resources::HealthStatus;
@@ -34,16 +34,16 @@
 fn changed_responses_are_taken_whole_or_refused_with_a_cause() {
     fn survives(kind: u8, changes: Vec<(u16, u8)>) -> bool {
         let kind = Kind::ALL[usize::from(kind) % 3];
-        let mut holding = Holding::default();
+        let mut holding = ProxyResources::default();
         for kind in [Kind::Endpoints, Kind::Clusters] {
             let whole: DiscoveryResponse = serde_json::from_slice(&response(kind)).unwrap();
-            let Ok(Verdict::Swap(staged)) = holding.weigh(kind, &whole) else { return false };
+            let Ok(Verdict::Swap(staged)) = holding.evaluate(kind, &whole) else { return false };
             holding.commit(staged);
         }
         let before = holding.lines("read");
         let text = changed(response(kind), &changes);
         let Ok(read) = serde_json::from_slice::<DiscoveryResponse>(&text) else { return true };
-        let verdict = holding.weigh(kind, &read);
+        let verdict = holding.evaluate(kind, &read);
         let clear =
             verdict.as_ref().err().is_none_or(|status| !status.message.is_empty() && status.code != 0);
         // Weighing alone changes nothing.
--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -306,7 +306,7 @@
             let clock = Arc::new(SteadyClock::new());
             let shell = craneknot_agent::shell::Shell::new(read, folder_of(&settings), clock);
             let mut shell = shell.map_err(system)?;
-            shell.end_on(signals);
+            shell.stop_on_signals(signals);
             shell.run().map_err(system)
         }
         Command::Check { file, kind } => {
--- a/crates/craneknot-cli/tests/agent.rs
+++ b/crates/craneknot-cli/tests/agent.rs
@@ -46,7 +46,7 @@
     let end = Instant::now() + Duration::from_secs(20);
     while !done() {
         assert!(Instant::now() < end, "{what} never came");
-        shell.round(Some(Duration::from_millis(10))).unwrap();
+        shell.run_once(Some(Duration::from_millis(10))).unwrap();
     }
 }
 
@@ -142,7 +142,7 @@
     until(&mut shell, "the first tables", || holds(folder.path(), "9001"));
     drop(first);
     for _ in 0..20 {
-        shell.round(Some(Duration::from_millis(10))).unwrap();
+        shell.run_once(Some(Duration::from_millis(10))).unwrap();
         assert!(holds(folder.path(), "9001"));
     }
 }
--- a/crates/craneknot-cli/tests/shared.rs
+++ b/crates/craneknot-cli/tests/shared.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use craneknot_agent::hold::{Holding, Verdict};
+use craneknot_agent::proxy_resources::{ProxyResources, Verdict};
 use craneknot_agent::shell::Shell;
 use craneknot_reactor::SteadyClock;
 use craneknot_settings::{parse, AgentSettings};
@@ -31,7 +31,7 @@
     let end = Instant::now() + Duration::from_secs(20);
     while !done() {
         assert!(Instant::now() < end, "{what} never came");
-        shell.round(Some(Duration::from_millis(10))).unwrap();
+        shell.run_once(Some(Duration::from_millis(10))).unwrap();
     }
 }
 
@@ -51,8 +51,9 @@
 
 #[test]
 fn an_older_epoch_is_refused_for_good_also_after_a_restart() {
-    let mut holding = Holding::default();
-    let take = |holding: &mut Holding, version: &str| match holding.weigh(Kind::Endpoints, &response(version))
+    let mut holding = ProxyResources::default();
+    let take = |holding: &mut ProxyResources, version: &str| match holding
+        .evaluate(Kind::Endpoints, &response(version))
     {
         Ok(Verdict::Swap(staged)) => {
             let text = staged.text.clone();
@@ -66,11 +67,11 @@
     let text = take(&mut holding, "e5:a-1/3").unwrap();
     assert_eq!(take(&mut holding, "e4:b-1/8"), Err(9));
     assert_eq!(take(&mut holding, "b-1/9"), Err(9));
-    let mut next = Holding::default();
+    let mut next = ProxyResources::default();
     next.restore(Kind::Endpoints, text.as_bytes()).unwrap();
     assert_eq!((next.epoch(), take(&mut next, "e4:b-1/10")), (5, Err(9)));
     // Another kind's file is enough to know.
-    assert!(next.weigh(Kind::Routes, &response("e1:c/1")).is_err());
+    assert!(next.evaluate(Kind::Routes, &response("e1:c/1")).is_err());
     assert!(take(&mut next, "e5:a-1/4").is_ok());
 }
 
--- a/crates/craneknot-cli/tests/simulation.rs
+++ b/crates/craneknot-cli/tests/simulation.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use craneknot::interface::Nanos;
-use craneknot_agent::hold::{Holding, Verdict};
+use craneknot_agent::proxy_resources::{ProxyResources, Verdict};
 use craneknot_coordinator::desk::{body, Desk, Output, StreamId};
 use craneknot_coordinator::session::Answer;
 use craneknot_settings::{parse, CoordinatorSettings};
@@ -47,7 +47,7 @@
 struct Agent {
     stream: Option<StreamId>,
     joined: Nanos,
-    holding: Holding,
+    holding: ProxyResources,
     nonces: BTreeMap<Kind, String>,
     /// On their way, with the moment of arrival.
     answers: VecDeque<(Nanos, Kind, Option<DiscoveryResponse>)>,
@@ -137,7 +137,7 @@
         agent.answers.clear();
         agent.asks.clear();
         agent.bare_since.clear();
-        agent.holding.give_up_warming();
+        agent.holding.cancel_warming();
         self.desk.leave(self.now, stream);
     }
 
@@ -245,7 +245,7 @@
         let Some(response) = response else { return self.ask(place, kind, None) };
         let agent = &mut self.agents[place];
         agent.nonces.insert(kind, response.nonce.clone());
-        let verdict = agent.holding.weigh(kind, &response).unwrap();
+        let verdict = agent.holding.evaluate(kind, &response).unwrap();
         let Verdict::Swap(staged) = verdict else { panic!("bindings came before their tables") };
         if agent.disk_fails {
             agent.hampered = now;
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -5,16 +5,16 @@
 impl World<'_> {
     pub(super) fn dial(&mut self, proxy: usize) {
         let held = &mut self.proxies[proxy];
-        if !held.agent || held.dial.sign(self.now, Sign::Due) != Effect::Dial {
+        if !held.agent || held.dial.handle(self.now, DialEvent::BackoffElapsed) != DialAction::Dial {
             return;
         }
         let coordinator = held.order[held.dial.coordinator()];
         if self.desks[coordinator].is_none() {
-            held.dial.sign(self.now, Sign::Lost);
-            let at = held.dial.next_at().unwrap_or(self.now);
+            held.dial.handle(self.now, DialEvent::Lost);
+            let at = held.dial.next_dial_at().unwrap_or(self.now);
             return self.set(at, Event::Dial(proxy));
         }
-        held.dial.sign(self.now, Sign::Connected);
+        held.dial.handle(self.now, DialEvent::Connected);
         self.next += 1;
         let stream = StreamId(self.next);
         held.stream = Some((coordinator, stream));
@@ -56,8 +56,8 @@
                 locality: Locality::zone(&self.plan.proxy_zones[proxy]),
                 metadata: BTreeMap::from([
                     ("usual_rate".to_owned(), usual.into()),
-                    ("bound".to_owned(), serde_json::json!(held.holding.bound())),
-                    ("prints".to_owned(), serde_json::json!(held.holding.prints())),
+                    ("bound".to_owned(), serde_json::json!(held.holding.bound_tables())),
+                    ("prints".to_owned(), serde_json::json!(held.holding.fingerprints())),
                 ]),
                 ..Node::default()
             }),
@@ -92,10 +92,10 @@
             let at = held.stalled_until;
             return self.set(at, Event::ToAgent { proxy, stream, kind, response });
         }
-        held.dial.sign(self.now, Sign::Heard);
+        held.dial.handle(self.now, DialEvent::Responded);
         let Some(response) = response else { return self.request(proxy, kind, None) };
         held.nonces.insert(kind, response.nonce.clone());
-        match held.holding.weigh(kind, &response) {
+        match held.holding.evaluate(kind, &response) {
             Ok(Verdict::Swap(staged)) => {
                 let mut next = Some(staged);
                 while let Some(staged) = next.take() {
@@ -144,23 +144,23 @@
         }
         self.end_stream(proxy);
         let held = &mut self.proxies[proxy];
-        held.waits.forget_under_way();
+        held.waits.discard_in_flight();
         let place = held.order.iter().position(|coordinator| *coordinator == to).unwrap_or(usize::MAX);
-        held.dial.send_to(self.now, place);
-        let at = held.dial.next_at().unwrap_or(self.now);
+        held.dial.redirect_to(self.now, place);
+        let at = held.dial.next_dial_at().unwrap_or(self.now);
         self.set(at, Event::Dial(proxy));
     }
 
     pub(super) fn redial(&mut self, proxy: usize) {
         let held = &mut self.proxies[proxy];
         let before = held.dial.coordinator();
-        if held.dial.state() != State::Resting {
-            held.dial.sign(self.now, Sign::Lost);
+        if held.dial.state() != DialState::Backoff {
+            held.dial.handle(self.now, DialEvent::Lost);
         }
         if held.dial.coordinator() != before {
-            held.waits.forget_under_way();
+            held.waits.discard_in_flight();
         }
-        let at = held.dial.next_at().unwrap_or(self.now);
+        let at = held.dial.next_dial_at().unwrap_or(self.now);
         self.set(at, Event::Dial(proxy));
     }
 
@@ -220,7 +220,7 @@
         if let Some(desk) = &mut self.desks[coordinator] {
             let _ = desk.report(self.now, &report);
             self.proxies[proxy].unanswered = None;
-            self.proxies[proxy].waits.answered();
+            self.proxies[proxy].waits.acknowledge();
             self.wake_desk(coordinator);
         }
     }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use craneknot::interface::{LoadReport, Nanos, ProbeOutcome, ServerId};
-use craneknot_agent::dial::{Dial, Effect, Sign, State};
-use craneknot_agent::hold::{Holding, Verdict};
+use craneknot_agent::dialer::{DialAction, DialEvent, DialState, Dialer};
+use craneknot_agent::proxy_resources::{ProxyResources, Verdict};
 use craneknot_coordinator::desk::{body, Desk, Output, Refused, StreamId};
 use craneknot_coordinator::ledger::{Ledger, Told as LedgerTold};
 use craneknot_coordinator::session::Answer as Told;
@@ -142,16 +142,16 @@
     up: bool,
     down_since: Option<Nanos>,
     chooser: Chooser,
-    holding: Holding,
+    holding: ProxyResources,
     nonces: BTreeMap<Kind, String>,
-    dial: Dial,
+    dial: Dialer,
     order: Vec<usize>,
     stream: Option<(usize, StreamId)>,
     agent: bool,
     sums: Sums,
     sums_since: Nanos,
     /// What the agent has still to send.
-    waits: craneknot_agent::sums::Sums,
+    waits: craneknot_agent::load_totals::LoadTotals,
     /// Since when a report has had no answer.
     unanswered: Option<Nanos>,
     paths: BTreeMap<usize, f64>,
@@ -340,15 +340,15 @@
                 up: true,
                 down_since: None,
                 chooser: Chooser::new(classes.clone(), script.habits.ejects, script.habits.keep_away.0, seed),
-                holding: Holding::default(),
+                holding: ProxyResources::default(),
                 nonces: BTreeMap::new(),
-                dial: Dial::new(count, least, most, seed ^ 0xd1a1, START),
+                dial: Dialer::new(count, least, most, seed ^ 0xd1a1, START),
                 order,
                 stream: None,
                 agent: true,
                 sums: Sums::default(),
                 sums_since: START,
-                waits: craneknot_agent::sums::Sums::default(),
+                waits: craneknot_agent::load_totals::LoadTotals::default(),
                 unanswered: None,
                 paths: BTreeMap::new(),
                 stalled_until: Nanos(0),
@@ -410,7 +410,7 @@
         }
         for proxy in 0..world.proxies.len() {
             world.log.add(world.now, What::Proxy { proxy, up: true });
-            let at = world.proxies[proxy].dial.next_at().unwrap_or(world.now);
+            let at = world.proxies[proxy].dial.next_dial_at().unwrap_or(world.now);
             world.set(at, Event::Dial(proxy));
             let spread = Nanos(world.rng.random_range(0..script.report_period.0 .0.max(1)));
             world.set(START + spread, Event::Report(proxy));
--- a/crates/craneknot-rehearsal/src/measure.rs
+++ b/crates/craneknot-rehearsal/src/measure.rs
@@ -314,7 +314,7 @@
         }
     }));
     while !stop.load(Ordering::SeqCst) {
-        if shell.round(Some(Duration::from_millis(50))).is_err() {
+        if shell.run_once(Some(Duration::from_millis(50))).is_err() {
             return;
         }
     }
