--- a/crates/craneknot-agent/src/shell.rs
+++ b/crates/craneknot-agent/src/shell.rs
@@ -12,7 +12,7 @@
 use craneknot_http::{request, response, Limits as HttpLimits, RequestReader, ResponseReader};
 use craneknot_reactor::{Clock, ConnId, Limits, Reactor, ReactorEvent, SignalFlags};
 use craneknot_settings::{AgentSettings, NodeSettings};
-use craneknot_store::{replace, Disk, RealDisk, FRESH};
+use craneknot_store::{replace, Disk, RealDisk, TEMPORARY_SUFFIX};
 use craneknot_xds::discovery::{DiscoveryRequest, DiscoveryResponse, Kind, Locality, Node, Status};
 use craneknot_xds::load::{self, LoadStatsRequest, LoadStatsResponse, Seconds, CLOSED_AT};
 use http::{header, HeaderName, Method, Response, StatusCode};
@@ -107,7 +107,7 @@
             let mut holding = ProxyResources::default();
             for kind in Kind::ALL {
                 // What a kill left half written is of no use.
-                let _ = fs::remove_file(folder.join(format!("{}{FRESH}", kind.file())));
+                let _ = fs::remove_file(folder.join(format!("{}{TEMPORARY_SUFFIX}", kind.file())));
                 match fs::read(folder.join(kind.file())) {
                     Ok(text) => match holding.restore(kind, &text) {
                         Ok(()) => debug!(proxy = %node.id, ?kind, "goes on from the file that stands"),
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -520,7 +520,7 @@
             let mut status = serde_json::to_value(self.desk.status(now)).unwrap_or_default();
             status["log_lines_dropped"] = self.log_lines_dropped.get().into();
             if let Some(shared) = &self.shared {
-                let health = shared.store.health();
+                let health = shared.store.stats();
                 status["store"] = serde_json::json!({
                     "records": health.records, "bytes": health.bytes, "writes": health.writes, "failed": health.failed
                 });
--- a/crates/craneknot-store/examples/store_figures.rs
+++ b/crates/craneknot-store/examples/store_figures.rs
@@ -28,7 +28,7 @@
         let bytes = std::fs::metadata(&path).map_or(0, |file| file.len());
         println!(
             "{proxies:>6} proxies: {each:.2} ms a synced write, {opened:.1} ms to open {} records, file of {} KiB",
-            store.health().records,
+            store.stats().records,
             bytes / 1024
         );
     }
--- a/crates/craneknot-store/src/files.rs
+++ b/crates/craneknot-store/src/files.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// What a file is called while it is being written; one that is left over is of no use to anyone.
-pub const FRESH: &str = ".fresh";
+pub const TEMPORARY_SUFFIX: &str = ".fresh";
 
 /// The steps of a replacement, so that tests can fail or end at each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,19 +78,19 @@
 }
 
 /// The path under which a file is written before it is renamed into its place.
-pub fn fresh_path(path: &Path) -> PathBuf {
+pub fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_owned();
-    name.push(FRESH);
+    name.push(TEMPORARY_SUFFIX);
     path.with_file_name(name)
 }
 
 /// Replaces a file; after an error the old one stands.
 pub fn replace(disk: &dyn Disk, path: &Path, text: &[u8]) -> io::Result<()> {
-    let fresh = fresh_path(path);
-    let done = disk.write(&fresh, text).and_then(|()| disk.rename(&fresh, path));
+    let temporary = temporary_path(path);
+    let done = disk.write(&temporary, text).and_then(|()| disk.rename(&temporary, path));
     if done.is_err() {
         // A full disk has most need of the room.
-        let _ = fs::remove_file(&fresh);
+        let _ = fs::remove_file(&temporary);
     }
     done
 }
--- a/crates/craneknot-store/src/lib.rs
+++ b/crates/craneknot-store/src/lib.rs
@@ -3,5 +3,5 @@
 mod files;
 mod records;
 
-pub use files::{replace, Disk, FailingDisk, RealDisk, Step, FRESH};
-pub use records::{Health, Store, StoreError};
+pub use files::{replace, Disk, FailingDisk, RealDisk, Step, TEMPORARY_SUFFIX};
+pub use records::{Store, StoreError, StoreStats};
--- a/crates/craneknot-store/src/records.rs
+++ b/crates/craneknot-store/src/records.rs
@@ -62,7 +62,7 @@
 
 /// What the store has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
+pub struct StoreStats {
     pub records: usize,
     pub bytes: u64,
     pub writes: u64,
@@ -97,7 +97,7 @@
     }
 
     /// A store on another layer than files, for tests.
-    pub fn open_on(backend: impl StorageBackend) -> Result<Self, StoreError> {
+    pub fn open_with_backend(backend: impl StorageBackend) -> Result<Self, StoreError> {
         Self::begin(|| Ok(Builder::new().set_cache_size(CACHE).create_with_backend(backend)?))
     }
 
@@ -196,9 +196,9 @@
         }
     }
 
-    pub fn health(&self) -> Health {
+    pub fn stats(&self) -> StoreStats {
         let bytes = self.records.iter().map(|(name, value)| (name.len() + value.len()) as u64).sum();
-        Health { records: self.records.len(), bytes, writes: self.writes, failed: self.failed }
+        StoreStats { records: self.records.len(), bytes, writes: self.writes, failed: self.failed }
     }
 }
 
--- a/crates/craneknot-store/tests/faults.rs
+++ b/crates/craneknot-store/tests/faults.rs
@@ -141,7 +141,7 @@
 #[test]
 fn cut_at_any_write_it_opens_to_the_last_whole_one() {
     let whole = Faulty::default();
-    run(&mut Store::open_on(whole.clone()).unwrap(), 0);
+    run(&mut Store::open_with_backend(whole.clone()).unwrap(), 0);
     let all = whole.calls();
     assert!(all > 30, "{all} calls");
     for end in 1..=all {
@@ -150,12 +150,12 @@
             let layer = Faulty::default();
             layer.0.lock().unwrap().ends_at = Some(end);
             let mut done = 0;
-            if let Ok(mut store) = Store::open_on(layer.clone()) {
+            if let Ok(mut store) = Store::open_with_backend(layer.clone()) {
                 done = run(&mut store, 0);
                 // The process is killed: nothing is closed in order.
                 std::mem::forget(store);
             }
-            let mut store = match Store::open_on(layer.crash(&mut rng)) {
+            let mut store = match Store::open_with_backend(layer.crash(&mut rng)) {
                 Ok(store) => store,
                 // Cut while it was begun, before anything was written: it says so.
                 Err(StoreError::Damaged { .. }) if done == 0 => continue,
@@ -171,7 +171,7 @@
 #[test]
 fn a_full_disk_is_told_and_what_stood_stands() {
     let layer = Faulty::default();
-    let mut store = Store::open_on(layer.clone()).unwrap();
+    let mut store = Store::open_with_backend(layer.clone()).unwrap();
     let done = run(&mut store, 0);
     {
         let mut layer = layer.0.lock().unwrap();
@@ -179,7 +179,7 @@
     }
     let full = store.put(&[("fleet/saved", Some(b"more"))]).unwrap_err();
     assert!(matches!(full, StoreError::Full), "{full}");
-    assert_eq!((holds(&store), store.health().failed), (done, 1));
+    assert_eq!((holds(&store), store.stats().failed), (done, 1));
 }
 
 /// Wherever a bit flips, the store either holds what was written, or says that it is damaged.
@@ -189,10 +189,10 @@
     let (mut told, mut harmless) = (0, 0);
     for _ in 0..400 {
         let layer = Faulty::default();
-        let done = run(&mut Store::open_on(layer.clone()).unwrap(), 0);
+        let done = run(&mut Store::open_with_backend(layer.clone()).unwrap(), 0);
         let (at, bit) = (rng.random_range(0..layer.length()), rng.random_range(0..8));
         layer.flip(at, bit);
-        match Store::open_on(layer.crash(&mut rng)) {
+        match Store::open_with_backend(layer.crash(&mut rng)) {
             Ok(store) => {
                 assert_eq!(holds(&store), done, "bit {bit} of byte {at}");
                 harmless += 1;
@@ -204,7 +204,7 @@
     assert!(harmless > 0, "{told} told, {harmless} harmless");
     // In a record itself it is always told.
     let layer = Faulty::default();
-    run(&mut Store::open_on(layer.clone()).unwrap(), 0);
+    run(&mut Store::open_with_backend(layer.clone()).unwrap(), 0);
     let last = value(WRITES);
     let places: Vec<usize> = {
         let layer = layer.0.lock().unwrap();
@@ -220,7 +220,7 @@
     for at in places {
         layer.flip(at + 7, 1);
     }
-    assert!(matches!(Store::open_on(layer), Err(StoreError::Damaged { .. })));
+    assert!(matches!(Store::open_with_backend(layer), Err(StoreError::Damaged { .. })));
 }
 
 #[test]
