--- a/crates/craneknot-agent/src/dialer.rs
+++ b/crates/craneknot-agent/src/dialer.rs
@@ -1,53 +1,54 @@
-//! Whom to dial, and when: one coordinator at a time, the next one after a failure, with waits that double and
-//! are drawn by chance, so that the agents of a lost coordinator do not come all at once.
+//! Chooses which coordinator to connect to and when: one at a time, the next one after a failure, with exponential
+//! backoff and jitter, so that the agents of a failed coordinator do not all reconnect at once.
 
 use craneknot::interface::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
+/// The state of the connection to a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialState {
-    /// Waits until it dials again.
+    /// Waiting until the next connection attempt.
     Backoff,
-    /// Dialled, not connected yet.
     Connecting,
-    /// Connected, nothing heard yet.
+    /// Connected, without a response yet.
     Connected,
-    /// The coordinator answers.
+    /// The coordinator responds.
     Following,
 }
 
+/// An event on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialEvent {
-    /// The moment to dial has come.
     BackoffElapsed,
     Connected,
-    /// The coordinator has answered.
+    /// The coordinator sent a response.
     Responded,
-    /// The connection failed, broke or fell silent.
+    /// The connection failed, broke or timed out.
     Lost,
-    /// It says that another one is in charge.
+    /// The coordinator named another one as the leader.
     Redirected,
 }
 
+/// The action to take after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialAction {
     Nothing,
     Dial,
-    /// Ask for all kinds.
+    /// Request resources of all kinds.
     Subscribe,
-    /// The next failure waits as short as the first.
+    /// Reset the backoff: the next failure waits no longer than the first.
     ResetBackoff,
-    /// Wait, then the same coordinator again: it answered, and may be back at once.
+    /// Retry the same coordinator after a wait: it responded before, and may be back soon.
     RetrySame,
-    /// Wait twice as long, then the next coordinator.
+    /// Try the next coordinator after a wait, which doubles once all of them have failed.
     TryNext,
-    /// At once to the one that was named.
+    /// Connect at once to the coordinator that was named.
     FollowRedirect,
 }
 
-/// State, sign, next state, effect.
-const MOVES: &[(DialState, DialEvent, DialState, DialAction)] = &[
+/// State, event, next state, action.
+const TRANSITIONS: &[(DialState, DialEvent, DialState, DialAction)] = &[
     (DialState::Backoff, DialEvent::BackoffElapsed, DialState::Connecting, DialAction::Dial),
     (DialState::Connecting, DialEvent::Connected, DialState::Connected, DialAction::Subscribe),
     (DialState::Connected, DialEvent::Responded, DialState::Following, DialAction::ResetBackoff),
@@ -58,94 +59,107 @@
     (DialState::Following, DialEvent::Redirected, DialState::Backoff, DialAction::FollowRedirect),
 ];
 
-const SENT_MOST: u32 = 4; // times sent on without an answer: two that send us to one another know no better
+const MAX_REDIRECTS: u32 = 4; // without a response in between; two coordinators may redirect to each other
 
+/// Selects the coordinator and the time of each connection attempt.
 pub struct Dialer {
     state: DialState,
     coordinators: usize,
-    at: usize,
-    least: Nanos,
-    most: Nanos,
+    current: usize,
+    initial_backoff: Nanos,
+    max_backoff: Nanos,
     failures: u32,
-    sent: u32,
-    until: Nanos,
+    redirects: u32,
+    dial_at: Nanos,
     rng: Pcg32,
 }
 
 impl Dialer {
-    /// Begins with the first coordinator, after a wait drawn by chance: a whole fleet may start at once.
-    pub fn new(coordinators: usize, least: Nanos, most: Nanos, seed: u64, now: Nanos) -> Self {
+    /// Begins with the first coordinator after a random wait, because a whole fleet may start at once.
+    pub fn new(
+        coordinators: usize,
+        initial_backoff: Nanos,
+        max_backoff: Nanos,
+        seed: u64,
+        now: Nanos,
+    ) -> Self {
         let rng = Pcg32::seed_from_u64(seed);
-        let (state, at, failures) = (DialState::Backoff, 0, 0);
-        let mut dial = Dialer {
+        let (state, current, failures) = (DialState::Backoff, 0, 0);
+        let mut dialer = Dialer {
             state,
             coordinators: coordinators.max(1),
-            at,
-            least,
-            most,
+            current,
+            initial_backoff,
+            max_backoff,
             failures,
-            sent: 0,
-            until: now,
+            redirects: 0,
+            dial_at: now,
             rng,
         };
-        dial.rest(now, least);
-        dial
+        dialer.back_off(now, initial_backoff);
+        dialer
     }
 
     pub fn state(&self) -> DialState {
         self.state
     }
 
-    /// The place of the coordinator that is or will be followed.
+    /// The index of the coordinator that is or will be followed.
     pub fn coordinator(&self) -> usize {
-        self.at
+        self.current
     }
 
-    /// When to dial.
+    /// The time of the next connection attempt, while backing off.
     pub fn next_dial_at(&self) -> Option<Nanos> {
-        (self.state == DialState::Backoff).then_some(self.until)
+        (self.state == DialState::Backoff).then_some(self.dial_at)
     }
 
-    fn rest(&mut self, now: Nanos, longest: Nanos) {
-        // Full jitter: anywhere from nothing to the whole wait.
-        self.until = now + Nanos((longest.0 as f64 * self.rng.random::<f64>()) as u64);
+    fn back_off(&mut self, now: Nanos, max_wait: Nanos) {
+        // Full jitter: uniform between zero and the whole wait.
+        self.dial_at = now + Nanos((max_wait.0 as f64 * self.rng.random::<f64>()) as u64);
     }
 
-    /// Another coordinator is named as the one in charge.
+    /// Handles a redirect to the coordinator with this index. Too many redirects, or an unknown index, count as a lost
+    /// connection.
     pub fn redirect_to(&mut self, now: Nanos, coordinator: usize) {
-        self.sent += 1;
-        if self.sent > SENT_MOST || coordinator >= self.coordinators {
-            self.sent = 0;
+        self.redirects += 1;
+        if self.redirects > MAX_REDIRECTS || coordinator >= self.coordinators {
+            self.redirects = 0;
             self.handle(now, DialEvent::Lost);
         } else if self.handle(now, DialEvent::Redirected) == DialAction::FollowRedirect {
-            self.at = coordinator;
+            self.current = coordinator;
         }
     }
 
+    /// Applies an event and returns the action to take; an event without a transition in this state is ignored.
     pub fn handle(&mut self, now: Nanos, event: DialEvent) -> DialAction {
-        if event == DialEvent::BackoffElapsed && now < self.until {
+        if event == DialEvent::BackoffElapsed && now < self.dial_at {
             return DialAction::Nothing;
         }
-        let row = MOVES.iter().find(|row| row.0 == self.state && row.1 == event);
-        let Some((_, _, next, effect)) = row else { return DialAction::Nothing };
+        let transition =
+            TRANSITIONS.iter().find(|transition| transition.0 == self.state && transition.1 == event);
+        let Some((_, _, next, action)) = transition else { return DialAction::Nothing };
         self.state = *next;
-        match effect {
+        match action {
             DialAction::Nothing | DialAction::Dial | DialAction::Subscribe => {}
-            DialAction::ResetBackoff => (self.failures, self.sent) = (0, 0),
-            DialAction::FollowRedirect => self.until = now,
+            DialAction::ResetBackoff => (self.failures, self.redirects) = (0, 0),
+            DialAction::FollowRedirect => self.dial_at = now,
             DialAction::RetrySame => {
                 self.failures = 1;
-                self.rest(now, self.least);
+                self.back_off(now, self.initial_backoff);
             }
             DialAction::TryNext => {
-                self.at = (self.at + 1) % self.coordinators;
-                // A round through all of them counts as one failure: the next one may well stand.
+                self.current = (self.current + 1) % self.coordinators;
+                // A round through all coordinators counts as one failure, because the next one may be available.
                 let rounds = self.failures / self.coordinators as u32;
                 self.failures += 1;
-                self.rest(now, Nanos(self.least.0.saturating_mul(1 << rounds.min(20))).min(self.most));
+                self.back_off(
+                    now,
+                    Nanos(self.initial_backoff.0.saturating_mul(1 << rounds.min(20))).min(self.max_backoff),
+                );
             }
         }
-        *effect
+        *action
     }
 }
 
@@ -153,36 +167,37 @@
 mod tests {
     use super::*;
 
-    const LEAST: Nanos = Nanos::from_millis(100);
-    const MOST: Nanos = Nanos::from_millis(2_000);
+    const INITIAL_BACKOFF: Nanos = Nanos::from_millis(100);
+    const MAX_BACKOFF: Nanos = Nanos::from_millis(2_000);
 
     #[test]
-    fn a_lost_coordinator_is_tried_again_before_the_next() {
-        let mut dial = Dialer::new(2, LEAST, MOST, 7, Nanos(0));
-        let start = dial.next_dial_at().unwrap();
-        assert_eq!(dial.handle(start, DialEvent::BackoffElapsed), DialAction::Dial);
-        assert_eq!(dial.handle(start, DialEvent::Connected), DialAction::Subscribe);
-        assert_eq!(dial.handle(start, DialEvent::Responded), DialAction::ResetBackoff);
-        assert_eq!(dial.handle(start, DialEvent::Lost), DialAction::RetrySame);
-        assert_eq!(dial.coordinator(), 0);
-        let again = dial.next_dial_at().unwrap();
-        assert_eq!(dial.handle(again, DialEvent::BackoffElapsed), DialAction::Dial);
-        assert_eq!(dial.handle(again, DialEvent::Lost), DialAction::TryNext);
-        assert_eq!(dial.coordinator(), 1);
+    fn a_lost_coordinator_is_retried_before_the_next() {
+        let mut dialer = Dialer::new(2, INITIAL_BACKOFF, MAX_BACKOFF, 7, Nanos(0));
+        let start = dialer.next_dial_at().unwrap();
+        assert_eq!(dialer.handle(start, DialEvent::BackoffElapsed), DialAction::Dial);
+        assert_eq!(dialer.handle(start, DialEvent::Connected), DialAction::Subscribe);
+        assert_eq!(dialer.handle(start, DialEvent::Responded), DialAction::ResetBackoff);
+        assert_eq!(dialer.handle(start, DialEvent::Lost), DialAction::RetrySame);
+        assert_eq!(dialer.coordinator(), 0);
+        let again = dialer.next_dial_at().unwrap();
+        assert_eq!(dialer.handle(again, DialEvent::BackoffElapsed), DialAction::Dial);
+        assert_eq!(dialer.handle(again, DialEvent::Lost), DialAction::TryNext);
+        assert_eq!(dialer.coordinator(), 1);
     }
 
     #[test]
-    fn waits_grow_to_their_bound_and_are_spread() {
+    fn backoff_grows_to_its_limit_and_is_jittered() {
         let mut waits = Vec::new();
         for seed in 0..200 {
-            let (mut dial, mut now) = (Dialer::new(2, LEAST, MOST, seed, Nanos(0)), Nanos(0));
+            let (mut dialer, mut now) =
+                (Dialer::new(2, INITIAL_BACKOFF, MAX_BACKOFF, seed, Nanos(0)), Nanos(0));
             for _ in 0..20 {
-                now = now.max(dial.next_dial_at().unwrap());
-                dial.handle(now, DialEvent::BackoffElapsed);
-                dial.handle(now, DialEvent::Lost);
-                assert!(dial.next_dial_at().unwrap() - now <= MOST);
+                now = now.max(dialer.next_dial_at().unwrap());
+                dialer.handle(now, DialEvent::BackoffElapsed);
+                dialer.handle(now, DialEvent::Lost);
+                assert!(dialer.next_dial_at().unwrap() - now <= MAX_BACKOFF);
             }
-            waits.push((dial.next_dial_at().unwrap() - now).secs());
+            waits.push((dialer.next_dial_at().unwrap() - now).secs());
         }
         let mean = waits.iter().sum::<f64>() / waits.len() as f64;
         assert!((0.8..1.2).contains(&mean), "{mean}");
@@ -190,28 +205,29 @@
     }
 
     #[test]
-    fn signs_out_of_place_change_nothing() {
-        let mut dial = Dialer::new(1, LEAST, MOST, 7, Nanos(0));
+    fn unexpected_events_change_nothing() {
+        let mut dialer = Dialer::new(1, INITIAL_BACKOFF, MAX_BACKOFF, 7, Nanos(0));
         for event in [DialEvent::Connected, DialEvent::Responded, DialEvent::Lost] {
-            assert_eq!(dial.handle(Nanos(0), event), DialAction::Nothing);
-            assert_eq!(dial.state(), DialState::Backoff);
+            assert_eq!(dialer.handle(Nanos(0), event), DialAction::Nothing);
+            assert_eq!(dialer.state(), DialState::Backoff);
         }
     }
 
-    /// Two coordinators with different views may send an agent to one another: it must not spin between them.
+    /// Two coordinators with different views of the leader may redirect an agent to each other: it must back off, not
+    /// alternate between them without a pause.
     #[test]
-    fn one_that_is_sent_to_and_fro_waits_in_the_end() {
-        let (mut dial, mut now) = (Dialer::new(2, LEAST, MOST, 7, Nanos(0)), Nanos(0));
-        let mut waited = 0;
+    fn an_agent_redirected_back_and_forth_backs_off() {
+        let (mut dialer, mut now) = (Dialer::new(2, INITIAL_BACKOFF, MAX_BACKOFF, 7, Nanos(0)), Nanos(0));
+        let mut waits = 0;
         for round in 0..20 {
-            now = now.max(dial.next_dial_at().unwrap());
-            dial.handle(now, DialEvent::BackoffElapsed);
-            dial.handle(now, DialEvent::Connected);
+            now = now.max(dialer.next_dial_at().unwrap());
+            dialer.handle(now, DialEvent::BackoffElapsed);
+            dialer.handle(now, DialEvent::Connected);
             let before = now;
-            dial.redirect_to(now, (round + 1) % 2);
-            waited += usize::from(dial.next_dial_at().unwrap() > before);
+            dialer.redirect_to(now, (round + 1) % 2);
+            waits += usize::from(dialer.next_dial_at().unwrap() > before);
         }
-        assert!(waited >= 3, "{waited}");
-        assert_eq!(dial.handle(now, DialEvent::Redirected), DialAction::Nothing);
+        assert!(waits >= 3, "{waits}");
+        assert_eq!(dialer.handle(now, DialEvent::Redirected), DialAction::Nothing);
     }
 }
--- a/crates/craneknot-agent/src/load_totals.rs
+++ b/crates/craneknot-agent/src/load_totals.rs
@@ -1,5 +1,5 @@
-//! LoadTotals of what a proxy met that have not reached a coordinator yet. Their memory is bounded: reports are added up,
-//! not queued, and what is older than is of use is dropped.
+//! Totals of a proxy's load reports that no coordinator has acknowledged yet. Their memory is bounded: reports are
+//! added up, not queued, and totals that cover too long a time are dropped.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 use craneknot_xds::load::*;
 use craneknot_xds::resources::Address;
 
-const CLASSES_MOST: usize = 64; // of one proxy: more is a report gone wrong
-const ENDPOINTS_MOST: usize = 2_048; // of one class: what comes beyond is left out
-const SPAN_MOST: f64 = 20.0; // s; sums over more say nothing of now: they begin anew
+const MAX_CLASSES: usize = 64; // per proxy; more indicates a faulty report
+const MAX_ENDPOINTS: usize = 2_048; // per locality of a class; further endpoints are omitted
+const MAX_SPAN_SECONDS: f64 = 20.0; // longer totals do not reflect the current load and are reset
 
 #[derive(Default)]
 struct Class {
@@ -36,37 +36,38 @@
     metrics: BTreeMap<String, (u64, f64)>,
 }
 
-fn add_metrics(held: &mut BTreeMap<String, (u64, f64)>, metrics: &[MetricStats]) {
+fn add_metrics(totals: &mut BTreeMap<String, (u64, f64)>, metrics: &[MetricStats]) {
     for metric in metrics.iter().filter(|metric| metric.total_metric_value.is_finite()) {
-        let sum = held.entry(metric.metric_name.clone()).or_default();
-        sum.0 = sum.0.saturating_add(metric.num_requests_finished_with_metric.0);
-        sum.1 += metric.total_metric_value;
+        let total = totals.entry(metric.metric_name.clone()).or_default();
+        total.0 = total.0.saturating_add(metric.num_requests_finished_with_metric.0);
+        total.1 += metric.total_metric_value;
     }
 }
 
-fn metrics_of(held: &BTreeMap<String, (u64, f64)>) -> Vec<MetricStats> {
-    held.iter().map(|(name, (count, total))| MetricStats::new(name, *count, *total)).collect()
+fn metric_stats(totals: &BTreeMap<String, (u64, f64)>) -> Vec<MetricStats> {
+    totals.iter().map(|(name, (count, total))| MetricStats::new(name, *count, *total)).collect()
 }
 
-/// What waits to be sent, and what was sent and is not answered yet.
+/// Totals that wait to be sent, and the report that was sent and is not acknowledged yet.
 #[derive(Default)]
 pub struct LoadTotals {
     classes: BTreeMap<String, Class>,
-    /// The report under way, and when it was closed; it is sent again as it is after a broken connection.
+    /// The report in flight, with the time in milliseconds at which it was closed; it is sent again unchanged after
+    /// a broken connection.
     in_flight: Option<(u64, Vec<ClusterStats>)>,
     omitted_parts: u64,
 }
 
 impl LoadTotals {
-    /// Adds a proxy's report.
+    /// Adds a proxy's report to the totals.
     pub fn add(&mut self, report: &LoadStatsRequest) {
         for cluster in &report.cluster_stats {
-            if self.classes.len() >= CLASSES_MOST && !self.classes.contains_key(&cluster.cluster_name) {
+            if self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(&cluster.cluster_name) {
                 self.omitted_parts += 1;
                 continue;
             }
             let class = self.classes.entry(cluster.cluster_name.clone()).or_default();
-            if class.seconds + cluster.load_report_interval.0 > SPAN_MOST {
+            if class.seconds + cluster.load_report_interval.0 > MAX_SPAN_SECONDS {
                 *class = Class::default();
                 self.omitted_parts += 1;
             }
@@ -81,7 +82,7 @@
                 for stats in &stats.upstream_endpoint_stats {
                     let address = &stats.address.socket_address;
                     let key = (address.address.clone(), address.port_value);
-                    if locality.endpoints.len() >= ENDPOINTS_MOST && !locality.endpoints.contains_key(&key) {
+                    if locality.endpoints.len() >= MAX_ENDPOINTS && !locality.endpoints.contains_key(&key) {
                         self.omitted_parts += 1;
                         continue;
                     }
@@ -97,12 +98,12 @@
         }
     }
 
-    /// Parts of reports that were left out for the bounds.
+    /// Number of parts of reports that were omitted because of the limits.
     pub fn omitted_parts(&self) -> u64 {
         self.omitted_parts
     }
 
-    /// The report to send now: the one that is not answered yet, else a new one of all that waits, closed now.
+    /// The report to send now: the one in flight, otherwise a new one of all pending totals, closed now.
     pub fn close(&mut self, now: Nanos) -> (u64, Vec<ClusterStats>) {
         if let Some(in_flight) = &self.in_flight {
             return in_flight.clone();
@@ -115,12 +116,12 @@
             upstream_locality_stats: class
                 .localities
                 .into_iter()
-                .map(|(place, locality)| LocalityStats {
-                    locality: place,
+                .map(|(name, locality)| LocalityStats {
+                    locality: name,
                     total_successful_requests: Count(locality.successful),
                     total_error_requests: Count(locality.error),
                     total_issued_requests: Count(locality.issued),
-                    load_metric_stats: metrics_of(&locality.metrics),
+                    load_metric_stats: metric_stats(&locality.metrics),
                     upstream_endpoint_stats: locality.endpoints.into_iter().map(endpoint_stats).collect(),
                 })
                 .collect(),
@@ -130,12 +131,13 @@
         report
     }
 
-    /// The report under way was answered.
+    /// Marks the report in flight as acknowledged.
     pub fn acknowledge(&mut self) {
         self.in_flight = None;
     }
 
-    /// Another coordinator is followed: it must not be told what may have been counted by the last one already.
+    /// Discards the report in flight when another coordinator is followed: the previous one may have counted it
+    /// already.
     pub fn discard_in_flight(&mut self) {
         self.in_flight = None;
     }
@@ -148,7 +150,7 @@
         total_error_requests: Count(endpoint.error),
         total_issued_requests: Count(endpoint.issued),
         total_requests_in_progress: Count(endpoint.in_progress),
-        load_metric_stats: metrics_of(&endpoint.metrics),
+        load_metric_stats: metric_stats(&endpoint.metrics),
     }
 }
 
@@ -180,33 +182,35 @@
     }
 
     #[test]
-    fn unsent_reports_add_up_and_one_in_flight_is_sent_again_as_it_was() {
-        let mut sums = LoadTotals::default();
-        sums.add(&report(1..3, 1.0));
-        sums.add(&report(2..4, 0.5));
-        let first = sums.close(Nanos::from_millis(500));
+    fn unsent_reports_add_up_and_one_in_flight_is_sent_again_unchanged() {
+        let mut totals = LoadTotals::default();
+        totals.add(&report(1..3, 1.0));
+        totals.add(&report(2..4, 0.5));
+        let first = totals.close(Nanos::from_millis(500));
         let stats = &first.1[0];
         assert_eq!((stats.load_report_interval.0, stats.total_dropped_requests), (1.5, Count(8)));
         let endpoints = &stats.upstream_locality_stats[0].upstream_endpoint_stats;
-        let good: Vec<u64> = endpoints.iter().map(|endpoint| endpoint.total_successful_requests.0).collect();
-        assert_eq!(good, [2, 4, 2]);
-        sums.add(&report(1..2, 1.0));
-        assert_eq!(sums.close(Nanos::from_millis(900)), first);
-        sums.acknowledge();
-        let next = sums.close(Nanos::from_millis(900));
+        let successful: Vec<u64> =
+            endpoints.iter().map(|endpoint| endpoint.total_successful_requests.0).collect();
+        assert_eq!(successful, [2, 4, 2]);
+        totals.add(&report(1..2, 1.0));
+        assert_eq!(totals.close(Nanos::from_millis(900)), first);
+        totals.acknowledge();
+        let next = totals.close(Nanos::from_millis(900));
         assert_eq!((next.0, next.1[0].load_report_interval.0), (900, 1.0));
     }
 
-    /// While no coordinator answers, an agent must not grow, nor tell of minutes ago once one does.
+    /// While no coordinator answers, the agent's memory must stay bounded, and the report that is sent afterwards
+    /// must not cover minutes that have long passed.
     #[test]
     fn memory_and_age_are_bounded() {
-        let mut sums = LoadTotals::default();
+        let mut totals = LoadTotals::default();
         for _ in 0..50 {
-            sums.add(&report(1..3_000, 1.0));
+            totals.add(&report(1..3_000, 1.0));
         }
-        let stats = &sums.close(Nanos(0)).1[0];
-        assert!(stats.load_report_interval.0 <= SPAN_MOST);
-        assert_eq!(stats.upstream_locality_stats[0].upstream_endpoint_stats.len(), ENDPOINTS_MOST);
-        assert!(sums.omitted_parts() > 0);
+        let stats = &totals.close(Nanos(0)).1[0];
+        assert!(stats.load_report_interval.0 <= MAX_SPAN_SECONDS);
+        assert_eq!(stats.upstream_locality_stats[0].upstream_endpoint_stats.len(), MAX_ENDPOINTS);
+        assert!(totals.omitted_parts() > 0);
     }
 }
--- a/crates/craneknot-agent/src/proxy_resources.rs
+++ b/crates/craneknot-agent/src/proxy_resources.rs
@@ -1,5 +1,6 @@
-//! What a proxy holds, and what may take its place. A response is taken whole or refused whole; bindings are
-//! swapped in only once the tables they name are there, so that a proxy never follows a binding into nothing.
+//! The resources that a proxy uses, and which new ones may replace them. A response is accepted or rejected as a
+//! whole. Bindings are applied only once the tables that they name are present, so that a proxy is never bound to a
+//! table that it does not have.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +8,12 @@
 use craneknot_xds::meaning;
 use craneknot_xds::resources::{Cluster, ClusterLoadAssignment, RouteConfiguration};
 
-const TABLES_MOST: usize = 4_096; // tables a proxy can hold: it has a few classes and one table for each
-const LINES_MOST: usize = 20_000; // lines of a table: more than any fleet has servers
-const KEPT: u64 = 2; // swaps of bindings that a table outlasts without being named: its binding may be on its way
+const MAX_TABLES: usize = 4_096; // a proxy has a few classes and one table for each
+const MAX_TABLE_LINES: usize = 20_000; // more than any fleet has servers
+/// Number of replacements of the bindings for which an unreferenced table is kept: its binding may be in transit.
+const UNREFERENCED_TABLE_RETENTION: u64 = 2;
 
-/// Who ordered something, and its number.
+/// The version of a resource: the coordinator that sent it, with its epoch, and a number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Version {
     pub source: String,
@@ -34,17 +36,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Held {
+struct Resource {
     text: String,
-    /// Swaps of bindings there had been when it came.
-    came: u64,
-    /// The table that a binding names.
+    /// The number of binding replacements before this resource was received.
+    received_at_swap: u64,
+    /// The table that a binding names; empty for other kinds.
     table: String,
 }
 
-type Contents = BTreeMap<String, Held>;
+type Contents = BTreeMap<String, Resource>;
 
-/// A file that is to be swapped in; [`ProxyResources::commit`] once it is.
+/// A file that is ready to be written; call [`ProxyResources::commit`] once it has been.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Staged {
     pub kind: Kind,
@@ -53,16 +55,17 @@
     contents: Contents,
 }
 
-/// What becomes of a response.
+/// The outcome of evaluating a valid response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Swap(Staged),
-    /// Bindings whose tables have not come yet.
+    /// Bindings whose tables have not been received yet.
     Warming {
         missing: String,
     },
 }
 
+/// The resources that a proxy uses, by kind, with their versions, and the bindings that wait for their tables.
 #[derive(Default)]
 pub struct ProxyResources {
     contents: BTreeMap<Kind, Contents>,
@@ -72,11 +75,11 @@
 }
 
 impl ProxyResources {
-    /// Takes what a file holds that an earlier life of the agent left; one that is not whole counts as not there.
+    /// Restores the contents of a file that was written before a restart of the agent; a damaged file is rejected.
     pub fn restore(&mut self, kind: Kind, text: &[u8]) -> Result<(), String> {
-        let (version, response) = discovery::read_file(kind, text).map_err(|fault| fault.to_string())?;
+        let (version, response) = discovery::read_file(kind, text).map_err(|error| error.to_string())?;
         let FileVersion { source, number, .. } = version;
-        let contents = self.read(kind, &response).map_err(|status| status.message)?;
+        let contents = self.parse(kind, &response).map_err(|status| status.message)?;
         self.contents.insert(kind, contents);
         self.versions.insert(kind, Version { source, number });
         Ok(())
@@ -86,7 +89,7 @@
         self.versions.get(&kind).cloned().unwrap_or_default()
     }
 
-    /// The latest epoch that was followed, of all that stands on the disk.
+    /// The latest epoch among all applied versions.
     pub fn epoch(&self) -> u64 {
         self.versions.values().map(|version| discovery::epoch_of(&version.source)).max().unwrap_or(0)
     }
@@ -94,38 +97,45 @@
     /// The table that each class is bound to.
     pub fn bound_tables(&self) -> BTreeMap<String, String> {
         let clusters = self.contents.get(&Kind::Clusters).into_iter().flatten();
-        clusters.map(|(class, held)| (class.clone(), held.table.clone())).collect()
+        clusters.map(|(class, binding)| (class.clone(), binding.table.clone())).collect()
     }
 
-    /// Prints of what a coordinator that takes over need not send again: by table its lines and its levels.
+    /// Fingerprints of each bound table's lines and levels, by table: a coordinator that takes over need not send
+    /// these again.
     pub fn fingerprints(&self) -> BTreeMap<String, (String, String)> {
-        let text = |kind: Kind, table: &String| {
-            let held = self.contents.get(&kind).and_then(|contents| contents.get(table));
-            held.map_or(String::new(), |held| discovery::print_of(held.text.as_bytes()))
+        let fingerprint = |kind: Kind, table: &String| {
+            let resource = self.contents.get(&kind).and_then(|contents| contents.get(table));
+            resource.map_or(String::new(), |resource| discovery::print_of(resource.text.as_bytes()))
         };
         let tables = self.bound_tables().into_values();
-        tables.map(|t| (t.clone(), (text(Kind::Endpoints, &t), text(Kind::Routes, &t)))).collect()
+        tables
+            .map(|t| (t.clone(), (fingerprint(Kind::Endpoints, &t), fingerprint(Kind::Routes, &t))))
+            .collect()
     }
 
-    fn of(&self, kind: Kind) -> Contents {
+    fn contents_of(&self, kind: Kind) -> Contents {
         self.contents.get(&kind).cloned().unwrap_or_default()
     }
 
-    /// Reads every resource of a response; the first that a proxy could not take refuses them all.
-    fn read(&self, kind: Kind, response: &DiscoveryResponse) -> Result<Contents, Status> {
+    /// Parses every resource of a response; the first invalid one rejects the whole response.
+    fn parse(&self, kind: Kind, response: &DiscoveryResponse) -> Result<Contents, Status> {
         if response.type_url != kind.type_url() {
-            return Err(Status::invalid(format!("{} in place of {}", response.type_url, kind.type_url())));
+            return Err(Status::invalid(format!(
+                "type URL {} instead of {}",
+                response.type_url,
+                kind.type_url()
+            )));
         }
-        if response.resources.len() > TABLES_MOST {
+        if response.resources.len() > MAX_TABLES {
             return Err(Status::invalid(format!(
-                "{} resources; {TABLES_MOST} at most",
+                "{} resources; the limit is {MAX_TABLES}",
                 response.resources.len()
             )));
         }
         let mut contents = Contents::new();
-        for (place, resource) in response.resources.iter().enumerate() {
-            let text = resource.get();
-            let wrong = |cause: String| Status::invalid(format!("resource {place}: {cause}"));
+        for (index, resource_json) in response.resources.iter().enumerate() {
+            let text = resource_json.get();
+            let invalid = |cause: String| Status::invalid(format!("resource {index}: {cause}"));
             let (name, table) = match kind {
                 Kind::Endpoints => (table_name(text), String::new()),
                 Kind::Routes => (routes_name(text), String::new()),
@@ -134,39 +144,42 @@
                     Err(cause) => (Err(cause), String::new()),
                 },
             };
-            let name = name.map_err(wrong)?;
-            let held = Held { text: text.to_owned(), came: self.swaps, table };
-            if contents.insert(name.clone(), held).is_some() {
-                return Err(wrong(format!("{name:?} comes twice")));
+            let name = name.map_err(invalid)?;
+            let resource = Resource { text: text.to_owned(), received_at_swap: self.swaps, table };
+            if contents.insert(name.clone(), resource).is_some() {
+                return Err(invalid(format!("duplicate name {name:?}")));
             }
         }
         Ok(contents)
     }
 
-    /// Weighs a response.
+    /// Decides whether a response can be applied now; an error rejects it. Changes no applied resource.
     pub fn evaluate(&mut self, kind: Kind, response: &DiscoveryResponse) -> Result<Verdict, Status> {
         let version = Version::parse(&response.version_info).ok_or_else(|| {
-            Status::invalid(format!("version {:?} is not source/number", response.version_info))
+            Status::invalid(format!("version {:?} is not of the form source/number", response.version_info))
         })?;
-        // A former coordinator's order, however late it comes, is never followed after one of a later epoch.
-        let (epoch, followed) = (discovery::epoch_of(&version.source), self.epoch());
-        if epoch < followed {
+        // A late order of a former coordinator must not be applied after one of a later epoch.
+        let (epoch, applied) = (discovery::epoch_of(&version.source), self.epoch());
+        if epoch < applied {
             return Err(Status::outdated(format!(
-                "epoch {epoch} is older than {followed}, which was followed"
+                "epoch {epoch} is older than epoch {applied}, which was already applied"
             )));
         }
-        let news = self.read(kind, response)?;
+        let received = self.parse(kind, response)?;
         let contents = match kind {
-            // Tables and levels come as they change; bindings always come whole.
+            // Tables and levels are sent incrementally; bindings are always sent in full.
             Kind::Endpoints | Kind::Routes => {
-                let mut contents = self.of(kind);
-                contents.extend(news);
+                let mut contents = self.contents_of(kind);
+                contents.extend(received);
                 contents
             }
-            Kind::Clusters => news,
+            Kind::Clusters => received,
         };
-        if contents.len() > TABLES_MOST {
-            return Err(Status::invalid(format!("{} tables held; {TABLES_MOST} at most", contents.len())));
+        if contents.len() > MAX_TABLES {
+            return Err(Status::invalid(format!(
+                "{} tables in total; the limit is {MAX_TABLES}",
+                contents.len()
+            )));
         }
         let staged = self.stage(kind, version, contents);
         match self.missing(&staged) {
@@ -179,20 +192,20 @@
     }
 
     fn stage(&self, kind: Kind, version: Version, contents: Contents) -> Staged {
-        let resources: Vec<&str> = contents.values().map(|held| held.text.as_str()).collect();
+        let resources: Vec<&str> = contents.values().map(|resource| resource.text.as_str()).collect();
         let text = discovery::file_text(kind, &version.source, version.number, &resources);
         Staged { kind, version, text, contents }
     }
 
-    /// The first table that bindings name and that is not there.
+    /// The first table that bindings name and that is not present.
     fn missing(&self, staged: &Staged) -> Option<String> {
         let tables = self.contents.get(&Kind::Endpoints);
-        let there = |name: &String| tables.is_some_and(|tables| tables.contains_key(name));
-        let named = staged.contents.values().map(|held| &held.table).filter(|name| !name.is_empty());
-        named.into_iter().find(|name| !there(name)).cloned()
+        let is_present = |name: &String| tables.is_some_and(|tables| tables.contains_key(name));
+        let named = staged.contents.values().map(|resource| &resource.table).filter(|name| !name.is_empty());
+        named.into_iter().find(|name| !is_present(name)).cloned()
     }
 
-    /// A staged file has been swapped in. Bindings that waited for it can follow: they are given back.
+    /// Records that a staged file has been written. Returns bindings that waited for it and can now be applied.
     pub fn commit(&mut self, staged: Staged) -> Option<Staged> {
         let Staged { kind, version, contents, .. } = staged;
         self.versions.insert(kind, version);
@@ -200,9 +213,11 @@
             self.swaps += 1;
             let swaps = self.swaps;
             for kind in [Kind::Endpoints, Kind::Routes] {
-                let named = |name: &String| contents.values().any(|held| held.table == *name);
-                let held = self.contents.entry(kind).or_default();
-                held.retain(|name, held| named(name) || held.came + KEPT > swaps);
+                let is_named = |name: &String| contents.values().any(|resource| resource.table == *name);
+                let resources = self.contents.entry(kind).or_default();
+                resources.retain(|name, resource| {
+                    is_named(name) || resource.received_at_swap + UNREFERENCED_TABLE_RETENTION > swaps
+                });
             }
             self.warming = None;
         }
@@ -216,11 +231,11 @@
         }
     }
 
-    /// The bindings that wait have waited too long: they are given up.
+    /// Discards the waiting bindings and returns the status that rejects them.
     pub fn cancel_warming(&mut self) -> Option<Status> {
         let staged = self.warming.take()?;
         let missing = self.missing(&staged).unwrap_or_default();
-        Some(Status::invalid(format!("table {missing:?} never came")))
+        Some(Status::invalid(format!("table {missing:?} was not received in time")))
     }
 
     /// The lines of the table that a class is bound to.
@@ -237,21 +252,21 @@
         return Err("a table without a name".into());
     }
     let endpoints = || table.endpoints.iter().flat_map(|zone| &zone.lb_endpoints);
-    if endpoints().count() > LINES_MOST {
-        return Err(format!("table {:?} has more than {LINES_MOST} lines", table.cluster_name));
+    if endpoints().count() > MAX_TABLE_LINES {
+        return Err(format!("table {:?} has more than {MAX_TABLE_LINES} lines", table.cluster_name));
     }
-    let mut sum: u64 = 0;
+    let mut weights: u64 = 0;
     for endpoint in endpoints() {
         let address = &endpoint.endpoint.address.socket_address;
         if address.address.parse::<std::net::IpAddr>().is_err() || address.port_value == 0 {
-            return Err(format!("{:?} is no address that can be dialled", address.text()));
+            return Err(format!("{:?} is not a valid address and port", address.text()));
         }
         if endpoint.load_balancing_weight == 0 {
-            return Err(format!("{} has weight 0; weights begin with 1", address.text()));
+            return Err(format!("{} has weight 0; the minimum is 1", address.text()));
         }
-        sum += u64::from(endpoint.load_balancing_weight);
+        weights += u64::from(endpoint.load_balancing_weight);
     }
-    match u32::try_from(sum) {
+    match u32::try_from(weights) {
         Ok(_) => Ok(table.cluster_name),
         Err(_) => Err(format!("the weights of table {:?} exceed 32 bits", table.cluster_name)),
     }
@@ -304,85 +319,91 @@
         serde_json::to_string(&meaning::cluster(class, table, "RANDOM")).unwrap()
     }
 
-    fn take(holding: &mut ProxyResources, kind: Kind, number: u64, resources: Vec<String>) -> Vec<Kind> {
-        match holding.evaluate(kind, &response(kind, number, resources)).unwrap() {
+    fn apply(
+        resources: &mut ProxyResources,
+        kind: Kind,
+        number: u64,
+        new_resources: Vec<String>,
+    ) -> Vec<Kind> {
+        match resources.evaluate(kind, &response(kind, number, new_resources)).unwrap() {
             Verdict::Swap(staged) => {
-                let mut done = vec![kind];
-                let mut next = holding.commit(staged);
+                let mut applied = vec![kind];
+                let mut next = resources.commit(staged);
                 while let Some(staged) = next {
-                    done.push(staged.kind);
-                    next = holding.commit(staged);
+                    applied.push(staged.kind);
+                    next = resources.commit(staged);
                 }
-                done
+                applied
             }
             Verdict::Warming { .. } => Vec::new(),
         }
     }
 
-    /// A binding told before its table must not leave the proxy without lines.
+    /// A binding that arrives before its table must not leave the proxy without lines.
     #[test]
     fn bindings_wait_for_their_tables() {
-        let mut holding = ProxyResources::default();
-        assert_eq!(take(&mut holding, Kind::Clusters, 1, vec![cluster("read", "t1")]), []);
-        assert_eq!(holding.lines("read"), None);
-        let done = take(&mut holding, Kind::Endpoints, 1, vec![table("t1", 9)]);
-        assert_eq!(done, [Kind::Endpoints, Kind::Clusters]);
-        assert_eq!(holding.lines("read"), Some(vec![("127.0.0.1:9".to_owned(), 1.0)]));
-        assert_eq!(take(&mut holding, Kind::Clusters, 2, vec![cluster("read", "t2")]), []);
-        assert!(holding.cancel_warming().unwrap().message.contains("t2"));
-        assert!(holding.lines("read").is_some());
+        let mut resources = ProxyResources::default();
+        assert_eq!(apply(&mut resources, Kind::Clusters, 1, vec![cluster("read", "t1")]), []);
+        assert_eq!(resources.lines("read"), None);
+        let applied = apply(&mut resources, Kind::Endpoints, 1, vec![table("t1", 9)]);
+        assert_eq!(applied, [Kind::Endpoints, Kind::Clusters]);
+        assert_eq!(resources.lines("read"), Some(vec![("127.0.0.1:9".to_owned(), 1.0)]));
+        assert_eq!(apply(&mut resources, Kind::Clusters, 2, vec![cluster("read", "t2")]), []);
+        assert!(resources.cancel_warming().unwrap().message.contains("t2"));
+        assert!(resources.lines("read").is_some());
     }
 
-    /// A binding that waits must not, once swapped in, drop the tables that a later binding will name.
+    /// Applying a binding that waited must not drop the tables that a later binding will name.
     #[test]
-    fn tables_outlast_their_binding_a_while() {
-        let mut holding = ProxyResources::default();
-        take(&mut holding, Kind::Endpoints, 1, vec![table("t1", 1)]);
-        take(&mut holding, Kind::Clusters, 1, vec![cluster("read", "t1")]);
-        take(&mut holding, Kind::Endpoints, 2, vec![table("t2", 2)]);
-        take(&mut holding, Kind::Clusters, 2, vec![cluster("read", "t1"), cluster("write", "t1")]);
-        assert_eq!(take(&mut holding, Kind::Clusters, 3, vec![cluster("read", "t2")]), [Kind::Clusters]);
+    fn tables_are_kept_for_a_while_after_their_binding() {
+        let mut resources = ProxyResources::default();
+        apply(&mut resources, Kind::Endpoints, 1, vec![table("t1", 1)]);
+        apply(&mut resources, Kind::Clusters, 1, vec![cluster("read", "t1")]);
+        apply(&mut resources, Kind::Endpoints, 2, vec![table("t2", 2)]);
+        apply(&mut resources, Kind::Clusters, 2, vec![cluster("read", "t1"), cluster("write", "t1")]);
+        assert_eq!(apply(&mut resources, Kind::Clusters, 3, vec![cluster("read", "t2")]), [Kind::Clusters]);
         for number in 4..8 {
-            take(&mut holding, Kind::Clusters, number, vec![cluster("read", "t2")]);
+            apply(&mut resources, Kind::Clusters, number, vec![cluster("read", "t2")]);
         }
-        assert_eq!(holding.of(Kind::Endpoints).keys().collect::<Vec<_>>(), ["t2"]);
+        assert_eq!(resources.contents_of(Kind::Endpoints).keys().collect::<Vec<_>>(), ["t2"]);
     }
 
     #[test]
-    fn one_bad_resource_refuses_them_all() {
-        let mut holding = ProxyResources::default();
-        take(&mut holding, Kind::Endpoints, 1, vec![table("t1", 9)]);
-        let before = holding.of(Kind::Endpoints);
-        let weightless = table("t3", 9).replace("10000", "0");
-        let nowhere = table("t3", 9).replace("127.0.0.1", "somewhere");
-        for bad in [weightless, nowhere, "{}".to_owned(), "[]".to_owned(), table("t2", 7)] {
-            let answer = response(Kind::Endpoints, 2, vec![table("t2", 8), bad]);
-            assert!(holding.evaluate(Kind::Endpoints, &answer).is_err());
-            assert_eq!(holding.of(Kind::Endpoints), before);
+    fn one_invalid_resource_rejects_the_whole_response() {
+        let mut resources = ProxyResources::default();
+        apply(&mut resources, Kind::Endpoints, 1, vec![table("t1", 9)]);
+        let before = resources.contents_of(Kind::Endpoints);
+        let zero_weight = table("t3", 9).replace("10000", "0");
+        let invalid_address = table("t3", 9).replace("127.0.0.1", "somewhere");
+        for invalid in [zero_weight, invalid_address, "{}".to_owned(), "[]".to_owned(), table("t2", 7)] {
+            let answer = response(Kind::Endpoints, 2, vec![table("t2", 8), invalid]);
+            assert!(resources.evaluate(Kind::Endpoints, &answer).is_err());
+            assert_eq!(resources.contents_of(Kind::Endpoints), before);
         }
         let other = response(Kind::Routes, 2, vec![]);
-        assert!(holding.evaluate(Kind::Endpoints, &other).is_err());
+        assert!(resources.evaluate(Kind::Endpoints, &other).is_err());
     }
 
     #[test]
-    fn a_new_life_goes_on_from_the_files_and_takes_no_torn_one() {
-        let mut holding = ProxyResources::default();
-        let text = |holding: &mut ProxyResources, kind, resources| {
-            let Ok(Verdict::Swap(staged)) = holding.evaluate(kind, &response(kind, 3, resources)) else {
+    fn a_restart_restores_the_files_and_rejects_a_truncated_one() {
+        let mut resources = ProxyResources::default();
+        let text = |resources: &mut ProxyResources, kind, new_resources| {
+            let Ok(Verdict::Swap(staged)) = resources.evaluate(kind, &response(kind, 3, new_resources))
+            else {
                 panic!()
             };
             let text = staged.text.clone();
-            holding.commit(staged);
+            resources.commit(staged);
             text
         };
-        let endpoints = text(&mut holding, Kind::Endpoints, vec![table("t1", 9)]);
-        let clusters = text(&mut holding, Kind::Clusters, vec![cluster("read", "t1")]);
-        let mut next = ProxyResources::default();
-        next.restore(Kind::Endpoints, endpoints.as_bytes()).unwrap();
-        next.restore(Kind::Clusters, clusters.as_bytes()).unwrap();
+        let endpoints = text(&mut resources, Kind::Endpoints, vec![table("t1", 9)]);
+        let clusters = text(&mut resources, Kind::Clusters, vec![cluster("read", "t1")]);
+        let mut restored = ProxyResources::default();
+        restored.restore(Kind::Endpoints, endpoints.as_bytes()).unwrap();
+        restored.restore(Kind::Clusters, clusters.as_bytes()).unwrap();
         assert_eq!(
-            (next.lines("read"), next.version(Kind::Endpoints).text().as_str()),
-            (holding.lines("read"), "a-1/3")
+            (restored.lines("read"), restored.version(Kind::Endpoints).text().as_str()),
+            (resources.lines("read"), "a-1/3")
         );
         assert!(ProxyResources::default()
             .restore(Kind::Endpoints, &endpoints.as_bytes()[..endpoints.len() - 9])
