--- a/crates/craneknot-agent/src/shell.rs
+++ b/crates/craneknot-agent/src/shell.rs
@@ -28,7 +28,7 @@
 /// The shortest and longest report period that a coordinator may set.
 const REPORT_PERIOD_LIMITS: (Nanos, Nanos) = (Nanos::from_millis(50), Nanos::from_millis(60_000));
 const CONNECT_TIMEOUT: Nanos = Nanos::from_millis(2_000);
-const WARMING_TIMEOUT: Nanos = Nanos::from_millis(5_000); // then bindings whose tables are missing are rejected
+const WARMING_TIMEOUT: Nanos = Nanos::from_millis(5_000); // bindings with missing tables are then rejected
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A timer of the follower with this index.
@@ -287,7 +287,7 @@
             follower.totals.discard_in_flight();
         }
         if was_following {
-            warn!(proxy = %follower.node.id, cause, "lost the connection to the coordinator; keeping the current files");
+            warn!(proxy = %follower.node.id, cause, "lost the coordinator; keeping the current files");
         } else {
             debug!(proxy = %follower.node.id, cause, "cannot reach the coordinator");
         }
--- a/crates/craneknot-store/src/files.rs
+++ b/crates/craneknot-store/src/files.rs
@@ -1,15 +1,17 @@
-//! A file replaced in one step: written beside its place, synced, renamed there. A reader that opens the path sees
-//! the old text or the new one, whole, and a kill at any moment leaves one of them.
+//! Atomic file replacement: the new file is written beside the old one, synced and renamed over it. A reader
+//! that opens the path sees either the old contents or the new ones in full, and so does one after a kill at
+//! any moment.
 
 use std::cell::Cell;
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What a file is called while it is being written; one that is left over is of no use to anyone.
+/// Suffix of a file while it is being written. A left-over file with this suffix is incomplete and can be
+/// removed.
 pub const TEMPORARY_SUFFIX: &str = ".fresh";
 
-/// The steps of a replacement, so that tests can fail or end at each.
+/// The steps of a replacement, so that tests can inject a failure at each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Write,
@@ -17,13 +19,13 @@
     Rename,
 }
 
-/// Where files are replaced.
+/// The file operations of a replacement.
 pub trait Disk {
     fn write(&self, path: &Path, text: &[u8]) -> io::Result<()>;
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// The machine's own; `sync` false trusts the machine not to lose power.
+/// The real file system. Without `sync` a power loss may lose or truncate files.
 #[derive(Clone, Copy, Debug)]
 pub struct RealDisk {
     pub sync: bool,
@@ -49,7 +51,8 @@
     }
 }
 
-/// A disk that fails at a step, for tests: a full one writes a part and gives up.
+/// A disk that fails at a given step, for tests; a failing write leaves half of the contents, as on a full
+/// disk.
 pub struct FailingDisk {
     pub fails_at: Cell<Option<Step>>,
 }
@@ -77,22 +80,22 @@
     }
 }
 
-/// The path under which a file is written before it is renamed into its place.
+/// The path under which a file is written before it is renamed.
 pub fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_owned();
     name.push(TEMPORARY_SUFFIX);
     path.with_file_name(name)
 }
 
-/// Replaces a file; after an error the old one stands.
+/// Replaces a file atomically; after an error the old file is unchanged.
 pub fn replace(disk: &dyn Disk, path: &Path, text: &[u8]) -> io::Result<()> {
     let temporary = temporary_path(path);
-    let done = disk.write(&temporary, text).and_then(|()| disk.rename(&temporary, path));
-    if done.is_err() {
-        // A full disk has most need of the room.
+    let result = disk.write(&temporary, text).and_then(|()| disk.rename(&temporary, path));
+    if result.is_err() {
+        // Frees the space, which matters most when the disk is full.
         let _ = fs::remove_file(&temporary);
     }
-    done
+    result
 }
 
 #[cfg(test)]
@@ -100,7 +103,7 @@
     use super::*;
 
     #[test]
-    fn whatever_step_fails_the_old_file_stands_whole() {
+    fn the_old_file_is_unchanged_whichever_step_fails() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("table.json");
         replace(&RealDisk { sync: true }, &path, b"old text").unwrap();
--- a/crates/craneknot-store/src/lib.rs
+++ b/crates/craneknot-store/src/lib.rs
@@ -1,4 +1,5 @@
-//! What must survive a kill at any byte: files replaced in one step, and a store of records on a crash-safe library.
+//! Storage that survives a kill at any byte: atomic file replacement, and a store of records on a crash-safe
+//! library.
 
 mod files;
 mod records;
--- a/crates/craneknot-store/src/records.rs
+++ b/crates/craneknot-store/src/records.rs
@@ -1,5 +1,5 @@
-//! Records by name, on `redb`: a write is on the disk when it returns, all of it or nothing. Each value carries a checksum
-//! of its own (XXH3, with its name as the seed), so that a bit that flips while no one writes is told too.
+//! Named records on `redb`. A write is atomic, and durable when it returns. Each value carries a checksum of
+//! its own (XXH3, with its name as the seed), so that a bit that flips between writes is detected too.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,34 +11,34 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 const RECORDS: TableDefinition<&str, &[u8]> = TableDefinition::new("records");
-const SUM: usize = 8; // bytes of a checksum, before its value
-const CACHE: usize = 4 * 1024 * 1024; // bytes the library may keep: the records are few
+const CHECKSUM_BYTES: usize = 8; // stored before the value
+const CACHE_BYTES: usize = 4 * 1024 * 1024; // small, because there are few records
 
-/// Why the store cannot be used, and what to do.
+/// An error of the store; its text says what the operator can do.
 #[derive(Debug)]
 pub enum StoreError {
-    /// A part is not as it was written.
+    /// Contents differ from what was written.
     Damaged {
-        what: String,
+        problem: String,
     },
-    /// The disk is full; what was there before stands.
+    /// The disk is full; the records saved before are unchanged.
     Full,
     Io(io::Error),
-    /// Another process has it open.
+    /// Another process has the store open.
     InUse,
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Damaged { what } => write!(
+            StoreError::Damaged { problem } => write!(
                 f,
-                "the store is damaged: {what}; move the file aside and start without it: this coordinator then takes part \
-                 as a new one, and proxies still refuse whatever is older than what they followed"
+                "the store is damaged: {problem}; move the file aside and start without it: this coordinator then joins \
+                 as a new member, and proxies still reject epochs older than those that they have applied"
             ),
-            StoreError::Full => write!(f, "the disk of the store is full; what was saved before stands: free some room"),
+            StoreError::Full => write!(f, "the disk of the store is full; earlier records are unchanged: free some space"),
             StoreError::Io(cause) => write!(f, "the store cannot be read or written: {cause}"),
-            StoreError::InUse => write!(f, "the store is in use: does another coordinator run with the same settings?"),
+            StoreError::InUse => write!(f, "the store is in use: is another coordinator running with the same settings?"),
         }
     }
 }
@@ -48,19 +48,19 @@
 fn classify(cause: redb::Error) -> StoreError {
     match cause {
         redb::Error::Io(cause) if cause.kind() == io::ErrorKind::StorageFull => StoreError::Full,
-        // Not a store, or one that was cut while it was begun.
+        // Not a store, or one whose creation was interrupted.
         redb::Error::Io(cause)
             if matches!(cause.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof) =>
         {
-            StoreError::Damaged { what: cause.to_string() }
+            StoreError::Damaged { problem: cause.to_string() }
         }
         redb::Error::Io(cause) => StoreError::Io(cause),
         redb::Error::DatabaseAlreadyOpen => StoreError::InUse,
-        other => StoreError::Damaged { what: other.to_string() },
+        other => StoreError::Damaged { problem: other.to_string() },
     }
 }
 
-/// What the store has done so far.
+/// Size of the store, and the numbers of successful and failed writes since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreStats {
     pub records: usize,
@@ -70,70 +70,71 @@
 }
 
 pub struct Store {
-    /// Taken when the store is dropped.
+    /// `None` only while the store is being dropped.
     database: Option<Database>,
-    /// What stands on the disk, for reading.
+    /// Copy of the records on disk, for reading.
     records: BTreeMap<String, Vec<u8>>,
     writes: u64,
     failed: u64,
 }
 
-fn checksum(name: &str, value: &[u8]) -> [u8; SUM] {
+fn checksum(name: &str, value: &[u8]) -> [u8; CHECKSUM_BYTES] {
     xxh3_64_with_seed(value, xxh3_64(name.as_bytes())).to_le_bytes()
 }
 
-/// The library trusts what it has written: what a flipped bit makes of its pages may also end in a panic.
-fn guarded<T>(what: &str, act: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, StoreError> {
-    match catch_unwind(AssertUnwindSafe(act)) {
-        Ok(done) => done.map_err(classify),
-        Err(_) => Err(StoreError::Damaged { what: format!("{what} failed within") }),
+/// Runs `call` and turns a panic into [`StoreError::Damaged`]: the library trusts the pages that it has
+/// written, so a flipped bit in one may make it panic.
+fn catch_panics<T>(operation: &str, call: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, StoreError> {
+    match catch_unwind(AssertUnwindSafe(call)) {
+        Ok(result) => result.map_err(classify),
+        Err(_) => Err(StoreError::Damaged { problem: format!("{operation} panicked in the library") }),
     }
 }
 
 impl Store {
-    /// Opens a store, or begins one: to the last write that was whole.
+    /// Opens a store at its last complete write, or creates a new one.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
-        Self::begin(|| Ok(Builder::new().set_cache_size(CACHE).create(path)?))
+        Self::open_database(|| Ok(Builder::new().set_cache_size(CACHE_BYTES).create(path)?))
     }
 
-    /// A store on another layer than files, for tests.
+    /// Opens a store on another backend than a file, for tests.
     pub fn open_with_backend(backend: impl StorageBackend) -> Result<Self, StoreError> {
-        Self::begin(|| Ok(Builder::new().set_cache_size(CACHE).create_with_backend(backend)?))
+        Self::open_database(|| Ok(Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(backend)?))
     }
 
-    fn begin(open: impl FnOnce() -> Result<Database, redb::Error>) -> Result<Self, StoreError> {
-        let database = guarded("opening", open)?;
+    fn open_database(open: impl FnOnce() -> Result<Database, redb::Error>) -> Result<Self, StoreError> {
+        let database = catch_panics("opening", open)?;
         let mut store = Store { database: Some(database), records: BTreeMap::new(), writes: 0, failed: 0 };
-        store.read()?;
+        store.load_records()?;
         Ok(store)
     }
 
-    fn read(&mut self) -> Result<(), StoreError> {
+    fn load_records(&mut self) -> Result<(), StoreError> {
         let Some(database) = &self.database else { return Ok(()) };
-        let read = guarded("reading", || {
+        let loaded = catch_panics("reading", || {
             let transaction = database.begin_read()?;
-            let mut read = Vec::new();
+            let mut entries = Vec::new();
             match transaction.open_table(RECORDS) {
                 Ok(table) => {
                     for entry in table.iter()? {
                         let (name, value) = entry?;
-                        read.push((name.value().to_owned(), value.value().to_vec()));
+                        entries.push((name.value().to_owned(), value.value().to_vec()));
                     }
                 }
-                // Nothing was ever written.
+                // Nothing has been written yet.
                 Err(redb::TableError::TableDoesNotExist(_)) => {}
                 Err(cause) => return Err(cause.into()),
             }
-            Ok(read)
+            Ok(entries)
         })?;
-        for (name, value) in read {
-            match value.split_at_checked(SUM) {
+        for (name, value) in loaded {
+            match value.split_at_checked(CHECKSUM_BYTES) {
                 Some((sum, value)) if sum == checksum(&name, value) => {
                     self.records.insert(name, value.to_vec())
                 }
                 Some(_) | None => {
                     return Err(StoreError::Damaged {
-                        what: format!("record {name:?} is not as it was written"),
+                        problem: format!("the checksum of record {name:?} does not match"),
                     });
                 }
             };
@@ -145,30 +146,31 @@
         self.records.get(name).map(Vec::as_slice)
     }
 
-    /// Records whose names begin so.
+    /// The records whose names begin with `prefix`.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from = self.records.range(prefix.to_owned()..);
-        let named = from.take_while(move |(name, _)| name.starts_with(prefix));
-        named.map(|(name, value)| (name.as_str(), value.as_slice()))
+        let matching = from.take_while(move |(name, _)| name.starts_with(prefix));
+        matching.map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// Writes these records, or removes those with no value, all in one step; on the disk when it returns.
+    /// Writes these records, or removes those without a value, in one transaction that is durable when this
+    /// returns.
     pub fn put(&mut self, changes: &[(&str, Option<&[u8]>)]) -> Result<(), StoreError> {
-        // What stands already need not be written again.
-        let news: Vec<_> = changes.iter().filter(|(name, value)| self.get(name) != *value).collect();
-        if news.is_empty() {
+        // Unchanged records are not written again.
+        let changed: Vec<_> = changes.iter().filter(|(name, value)| self.get(name) != *value).collect();
+        if changed.is_empty() {
             return Ok(());
         }
         let Some(database) = &self.database else { return Ok(()) };
-        let written = guarded("writing", || {
+        let result = catch_panics("writing", || {
             let transaction = database.begin_write()?;
             {
                 let mut table = transaction.open_table(RECORDS)?;
-                for (name, value) in &news {
+                for (name, value) in &changed {
                     match value {
                         Some(value) => {
-                            let whole = [&checksum(name, value)[..], value].concat();
-                            table.insert(*name, whole.as_slice())?;
+                            let stored = [&checksum(name, value)[..], value].concat();
+                            table.insert(*name, stored.as_slice())?;
                         }
                         None => {
                             table.remove(*name)?;
@@ -178,10 +180,10 @@
             }
             Ok(transaction.commit()?)
         });
-        match written {
+        match result {
             Ok(()) => {
                 self.writes += 1;
-                for (name, value) in news {
+                for (name, value) in changed {
                     match value {
                         Some(value) => self.records.insert((*name).to_owned(), value.to_vec()),
                         None => self.records.remove(*name),
@@ -204,7 +206,7 @@
 
 impl Drop for Store {
     fn drop(&mut self) {
-        // A damaged one may fail in closing too.
+        // Closing a damaged store may panic too.
         let database = self.database.take();
         let _ = catch_unwind(AssertUnwindSafe(|| drop(database)));
     }
--- a/crates/craneknot-store/tests/faults.rs
+++ b/crates/craneknot-store/tests/faults.rs
@@ -1,5 +1,6 @@
-//! A file layer that is cut, torn or fails at every write of a run, and bits that flip: the store opens to the last
-//! whole write, or says what is damaged; never a silent half.
+//! Fault injection below the store: interrupted, torn and failing writes at every backend call of a run, and
+//! flipped bits. The store must open at the last complete write or report the damage, and never return
+//! partial data.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -9,26 +10,30 @@
 use rand_pcg::Pcg32;
 use redb::StorageBackend;
 
-/// What lies on the disk, and what was written since the last sync and may be lost.
+/// A simulated disk: the synced contents, and writes since the last sync that a crash may lose.
 #[derive(Debug, Default)]
-struct Layer {
+struct SimulatedDisk {
     synced: Vec<u8>,
     written: Vec<u8>,
     pending: Vec<(u64, Vec<u8>)>,
     calls: u64,
-    /// From this call on, every one fails.
-    ends_at: Option<u64>,
+    /// Every call from this number on fails.
+    fails_from: Option<u64>,
     full: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Faulty(Arc<Mutex<Layer>>);
-
-impl Faulty {
-    fn call(&self, layer: &mut Layer) -> io::Result<()> {
-        layer.calls += 1;
-        if layer.ends_at.is_some_and(|end| layer.calls >= end) {
-            return Err(if layer.full { io::ErrorKind::StorageFull.into() } else { io::Error::other("cut") });
+struct FaultyBackend(Arc<Mutex<SimulatedDisk>>);
+
+impl FaultyBackend {
+    fn count_call(&self, disk: &mut SimulatedDisk) -> io::Result<()> {
+        disk.calls += 1;
+        if disk.fails_from.is_some_and(|call| disk.calls >= call) {
+            return Err(if disk.full {
+                io::ErrorKind::StorageFull.into()
+            } else {
+                io::Error::other("interrupted")
+            });
         }
         Ok(())
     }
@@ -37,31 +42,35 @@
         self.0.lock().unwrap().calls
     }
 
-    /// The machine ends: of what was not synced some lands, some not, and one write in part.
-    fn crash(&self, rng: &mut Pcg32) -> Faulty {
-        let layer = self.0.lock().unwrap();
-        let mut disk = layer.synced.clone();
-        let torn = rng.random_range(0..layer.pending.len().max(1));
-        for (place, (offset, data)) in layer.pending.iter().enumerate() {
+    /// Simulates a crash: each unsynced write is kept or lost at random, and one of them may be kept in part.
+    fn crash(&self, rng: &mut Pcg32) -> FaultyBackend {
+        let disk = self.0.lock().unwrap();
+        let mut contents = disk.synced.clone();
+        let torn = rng.random_range(0..disk.pending.len().max(1));
+        for (index, (offset, data)) in disk.pending.iter().enumerate() {
             if rng.random::<bool>() {
-                let part = if place == torn { rng.random_range(0..=data.len()) } else { data.len() };
+                let part = if index == torn { rng.random_range(0..=data.len()) } else { data.len() };
                 let end = *offset as usize + part;
-                if disk.len() < end {
-                    disk.resize(end, 0);
+                if contents.len() < end {
+                    contents.resize(end, 0);
                 }
-                disk[*offset as usize..end].copy_from_slice(&data[..part]);
+                contents[*offset as usize..end].copy_from_slice(&data[..part]);
             }
         }
-        let length = layer.written.len().max(disk.len());
-        disk.resize(length, 0);
-        Faulty(Arc::new(Mutex::new(Layer { synced: disk.clone(), written: disk, ..Layer::default() })))
+        let length = disk.written.len().max(contents.len());
+        contents.resize(length, 0);
+        FaultyBackend(Arc::new(Mutex::new(SimulatedDisk {
+            synced: contents.clone(),
+            written: contents,
+            ..SimulatedDisk::default()
+        })))
     }
 
     fn flip(&self, at: usize, bit: u8) {
-        let mut layer = self.0.lock().unwrap();
-        let at = at % layer.written.len();
-        layer.written[at] ^= 1 << (bit % 8);
-        layer.synced = layer.written.clone();
+        let mut disk = self.0.lock().unwrap();
+        let at = at % disk.written.len();
+        disk.written[at] ^= 1 << (bit % 8);
+        disk.synced = disk.written.clone();
     }
 
     fn length(&self) -> usize {
@@ -69,44 +78,44 @@
     }
 }
 
-impl StorageBackend for Faulty {
+impl StorageBackend for FaultyBackend {
     fn len(&self) -> io::Result<u64> {
         Ok(self.0.lock().unwrap().written.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let layer = self.0.lock().unwrap();
+        let disk = self.0.lock().unwrap();
         let from = offset as usize;
-        let part = layer.written.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let part = disk.written.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(part);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut layer = self.0.lock().unwrap();
-        self.call(&mut layer)?;
-        layer.written.resize(len as usize, 0);
-        layer.synced.resize(len as usize, 0);
+        let mut disk = self.0.lock().unwrap();
+        self.count_call(&mut disk)?;
+        disk.written.resize(len as usize, 0);
+        disk.synced.resize(len as usize, 0);
         Ok(())
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        let mut layer = self.0.lock().unwrap();
-        self.call(&mut layer)?;
-        layer.synced = layer.written.clone();
-        layer.pending.clear();
+        let mut disk = self.0.lock().unwrap();
+        self.count_call(&mut disk)?;
+        disk.synced = disk.written.clone();
+        disk.pending.clear();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut layer = self.0.lock().unwrap();
-        self.call(&mut layer)?;
+        let mut disk = self.0.lock().unwrap();
+        self.count_call(&mut disk)?;
         let (from, to) = (offset as usize, offset as usize + data.len());
-        if layer.written.len() < to {
-            layer.written.resize(to, 0);
+        if disk.written.len() < to {
+            disk.written.resize(to, 0);
         }
-        layer.written[from..to].copy_from_slice(data);
-        layer.pending.push((offset, data.to_vec()));
+        disk.written[from..to].copy_from_slice(data);
+        disk.pending.push((offset, data.to_vec()));
         Ok(())
     }
 }
@@ -117,99 +126,101 @@
     number.to_string().repeat(200).into_bytes()
 }
 
-/// Two records that always change together; how many writes were acknowledged.
-fn run(store: &mut Store, from: u64) -> u64 {
-    let mut done = from;
+/// Writes two records that always change together; returns the number of the last acknowledged write.
+fn write_records(store: &mut Store, from: u64) -> u64 {
+    let mut acknowledged = from;
     for number in from + 1..=from + WRITES {
         let value = value(number);
         match store.put(&[("fleet/saved", Some(&value)), ("proxy/1", Some(&value))]) {
-            Ok(()) => done = number,
+            Ok(()) => acknowledged = number,
             Err(_) => break,
         }
     }
-    done
+    acknowledged
 }
 
-fn holds(store: &Store) -> u64 {
+fn last_write(store: &Store) -> u64 {
     let read = |name: &str| store.get(name).map(<[u8]>::to_vec);
-    let (one, two) = (read("fleet/saved"), read("proxy/1"));
-    assert_eq!(one, two, "a write landed by half");
-    let found = (1..=4 * WRITES).find(|number| one == Some(value(*number)));
-    one.map_or(0, |one| found.unwrap_or_else(|| panic!("{} bytes that were never written", one.len())))
+    let (first, second) = (read("fleet/saved"), read("proxy/1"));
+    assert_eq!(first, second, "a write was applied in part");
+    let found = (1..=4 * WRITES).find(|number| first == Some(value(*number)));
+    first.map_or(0, |value| found.unwrap_or_else(|| panic!("{} bytes that were never written", value.len())))
 }
 
 #[test]
-fn cut_at_any_write_it_opens_to_the_last_whole_one() {
-    let whole = Faulty::default();
-    run(&mut Store::open_with_backend(whole.clone()).unwrap(), 0);
-    let all = whole.calls();
-    assert!(all > 30, "{all} calls");
-    for end in 1..=all {
+fn after_an_interruption_at_any_call_it_opens_at_the_last_complete_write() {
+    let complete = FaultyBackend::default();
+    write_records(&mut Store::open_with_backend(complete.clone()).unwrap(), 0);
+    let call_count = complete.calls();
+    assert!(call_count > 30, "{call_count} calls");
+    for end in 1..=call_count {
         for seed in 0..4 {
             let mut rng = Pcg32::seed_from_u64(end * 10 + seed);
-            let layer = Faulty::default();
-            layer.0.lock().unwrap().ends_at = Some(end);
-            let mut done = 0;
-            if let Ok(mut store) = Store::open_with_backend(layer.clone()) {
-                done = run(&mut store, 0);
-                // The process is killed: nothing is closed in order.
+            let disk = FaultyBackend::default();
+            disk.0.lock().unwrap().fails_from = Some(end);
+            let mut acknowledged = 0;
+            if let Ok(mut store) = Store::open_with_backend(disk.clone()) {
+                acknowledged = write_records(&mut store, 0);
+                // Simulates a kill: the store is not closed.
                 std::mem::forget(store);
             }
-            let mut store = match Store::open_with_backend(layer.crash(&mut rng)) {
+            let mut store = match Store::open_with_backend(disk.crash(&mut rng)) {
                 Ok(store) => store,
-                // Cut while it was begun, before anything was written: it says so.
-                Err(StoreError::Damaged { .. }) if done == 0 => continue,
-                Err(cause) => panic!("cut at {end}, seed {seed}: {cause}"),
+                // Interrupted during creation, before any record was written: reported as damaged.
+                Err(StoreError::Damaged { .. }) if acknowledged == 0 => continue,
+                Err(cause) => panic!("interrupted at call {end}, seed {seed}: {cause}"),
             };
-            let held = holds(&store);
-            assert!(held == done || held == done + 1, "cut at {end}: {done} acknowledged, {held} held");
-            assert_eq!(run(&mut store, held), held + WRITES);
+            let found = last_write(&store);
+            assert!(
+                found == acknowledged || found == acknowledged + 1,
+                "interrupted at call {end}: {acknowledged} acknowledged, {found} found"
+            );
+            assert_eq!(write_records(&mut store, found), found + WRITES);
         }
     }
 }
 
 #[test]
-fn a_full_disk_is_told_and_what_stood_stands() {
-    let layer = Faulty::default();
-    let mut store = Store::open_with_backend(layer.clone()).unwrap();
-    let done = run(&mut store, 0);
+fn a_full_disk_is_reported_and_earlier_records_are_unchanged() {
+    let disk = FaultyBackend::default();
+    let mut store = Store::open_with_backend(disk.clone()).unwrap();
+    let acknowledged = write_records(&mut store, 0);
     {
-        let mut layer = layer.0.lock().unwrap();
-        (layer.ends_at, layer.full) = (Some(layer.calls + 1), true);
+        let mut disk = disk.0.lock().unwrap();
+        (disk.fails_from, disk.full) = (Some(disk.calls + 1), true);
     }
     let full = store.put(&[("fleet/saved", Some(b"more"))]).unwrap_err();
     assert!(matches!(full, StoreError::Full), "{full}");
-    assert_eq!((holds(&store), store.stats().failed), (done, 1));
+    assert_eq!((last_write(&store), store.stats().failed), (acknowledged, 1));
 }
 
-/// Wherever a bit flips, the store either holds what was written, or says that it is damaged.
+/// Wherever a bit flips, the store must either return what was written or report that it is damaged.
 #[test]
-fn a_flipped_bit_is_never_taken_for_what_was_written() {
+fn a_flipped_bit_never_yields_other_data_than_was_written() {
     let mut rng = Pcg32::seed_from_u64(5);
-    let (mut told, mut harmless) = (0, 0);
+    let (mut detected, mut harmless) = (0, 0);
     for _ in 0..400 {
-        let layer = Faulty::default();
-        let done = run(&mut Store::open_with_backend(layer.clone()).unwrap(), 0);
-        let (at, bit) = (rng.random_range(0..layer.length()), rng.random_range(0..8));
-        layer.flip(at, bit);
-        match Store::open_with_backend(layer.crash(&mut rng)) {
+        let disk = FaultyBackend::default();
+        let acknowledged = write_records(&mut Store::open_with_backend(disk.clone()).unwrap(), 0);
+        let (at, bit) = (rng.random_range(0..disk.length()), rng.random_range(0..8));
+        disk.flip(at, bit);
+        match Store::open_with_backend(disk.crash(&mut rng)) {
             Ok(store) => {
-                assert_eq!(holds(&store), done, "bit {bit} of byte {at}");
+                assert_eq!(last_write(&store), acknowledged, "bit {bit} of byte {at}");
                 harmless += 1;
             }
-            Err(StoreError::Damaged { .. }) => told += 1,
+            Err(StoreError::Damaged { .. }) => detected += 1,
             Err(cause) => panic!("bit {bit} of byte {at}: {cause}"),
         }
     }
-    assert!(harmless > 0, "{told} told, {harmless} harmless");
-    // In a record itself it is always told.
-    let layer = Faulty::default();
-    run(&mut Store::open_with_backend(layer.clone()).unwrap(), 0);
+    assert!(harmless > 0, "{detected} detected, {harmless} harmless");
+    // In a record itself it is always detected.
+    let disk = FaultyBackend::default();
+    write_records(&mut Store::open_with_backend(disk.clone()).unwrap(), 0);
     let last = value(WRITES);
     let places: Vec<usize> = {
-        let layer = layer.0.lock().unwrap();
-        layer
-            .written
+        let disk = disk.0.lock().unwrap();
+        disk.written
             .windows(last.len())
             .enumerate()
             .filter(|(_, part)| *part == last)
@@ -218,13 +229,13 @@
     };
     assert!(!places.is_empty());
     for at in places {
-        layer.flip(at + 7, 1);
+        disk.flip(at + 7, 1);
     }
-    assert!(matches!(Store::open_with_backend(layer), Err(StoreError::Damaged { .. })));
+    assert!(matches!(Store::open_with_backend(disk), Err(StoreError::Damaged { .. })));
 }
 
 #[test]
-fn one_process_at_a_time() {
+fn only_one_process_can_open_the_store() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("store");
     let mut first = Store::open(&path).unwrap();
