--- a/crates/craneknot-wirehost/src/main.rs
+++ b/crates/craneknot-wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts isolated controllers on the simulator's wire: JSON lines in, JSON lines out.
+//! Hosts isolated controllers for the simulator: it reads events as JSON lines and writes actions as JSON
+//! lines.
 
 mod wire;
 
@@ -12,9 +13,9 @@
 use serde_json::{json, Value};
 
 use craneknot_settings::given::{self, GivenNames as Names};
-use wire::{Fault, Fields, Sheets};
+use wire::{Fields, InputError, ServerLists};
 
-/// One instance: its controller and the names it has met.
+/// One hosted controller, with the names of zones, kinds and classes that its messages have used.
 struct Instance {
     controller: Controller,
     names: Names,
@@ -23,80 +24,83 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("craneknot-wirehost: {fault}");
+        Err(error) => {
+            eprintln!("craneknot-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve() -> Result<(), Fault> {
+fn serve() -> Result<(), InputError> {
     panic::set_hook(Box::new(|info| eprintln!("craneknot-wirehost: decision failed: {info}")));
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
     let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
-    let mut sheets = Sheets::default();
+    let mut lists = ServerLists::default();
     let mut batch: Option<(Nanos, Value)> = None;
-    let mut waiting: Vec<(String, Vec<craneknot::interface::Event>)> = Vec::new();
+    let mut pending: Vec<(String, Vec<craneknot::interface::Event>)> = Vec::new();
     let mut text = Vec::new();
-    for number in 1.. {
+    for line in 1.. {
         text.clear();
-        let read = input.read_until(b'\n', &mut text).map_err(|e| Fault::at(number, e.to_string()))?;
-        if read == 0 {
+        let length = input.read_until(b'\n', &mut text).map_err(|e| InputError::at(line, e.to_string()))?;
+        if length == 0 {
             return match batch {
                 None => Ok(()),
-                Some(_) => Err(Fault::at(number, "input ends inside a batch".into())),
+                Some(_) => Err(InputError::at(line, "input ends inside a batch".into())),
             };
         }
         if text.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let message: Value =
-            serde_json::from_slice(&text).map_err(|e| Fault::at(number, format!("not a JSON value: {e}")))?;
-        let fields = Fields::new(&message).map_err(|what| Fault::at(number, what))?;
+        let message: Value = serde_json::from_slice(&text)
+            .map_err(|e| InputError::at(line, format!("not a JSON value: {e}")))?;
+        let fields = Fields::new(&message).map_err(|problem| InputError::at(line, problem))?;
         match (fields.name, &batch) {
             ("TICK", None) => {
-                let now = fields.time(1).map_err(|what| Fault::at(number, what))?;
-                let round = fields.raw(2).map_err(|what| Fault::at(number, what))?.clone();
-                batch = Some((now, round));
+                let now = fields.time(1).map_err(|problem| InputError::at(line, problem))?;
+                let tick = fields.raw(2).map_err(|problem| InputError::at(line, problem))?.clone();
+                batch = Some((now, tick));
             }
-            ("TICK", Some(_)) => return Err(Fault::at(number, "TICK inside a batch".into())),
-            (name, None) => return Err(Fault::at(number, format!("{name} outside a batch"))),
-            ("YOUR_TURN", Some((now, round))) => {
-                for (name, events) in waiting.drain(..) {
-                    answer(&mut instances, &name, *now, &events, &mut output)
-                        .map_err(|e| Fault::at(number, e.to_string()))?;
+            ("TICK", Some(_)) => return Err(InputError::at(line, "TICK inside a batch".into())),
+            (name, None) => return Err(InputError::at(line, format!("{name} outside a batch"))),
+            ("YOUR_TURN", Some((now, tick))) => {
+                for (name, events) in pending.drain(..) {
+                    run_step(&mut instances, &name, *now, &events, &mut output)
+                        .map_err(|e| InputError::at(line, e.to_string()))?;
                 }
-                writeln!(output, "{}", json!(["OK", round]))
+                writeln!(output, "{}", json!(["OK", tick]))
                     .and_then(|()| output.flush())
-                    .map_err(|e| Fault::at(number, e.to_string()))?;
+                    .map_err(|e| InputError::at(line, e.to_string()))?;
                 batch = None;
             }
-            ("SNAPSHOT_ROWS", Some(_)) => sheets.set(&fields).map_err(|what| Fault::at(number, what))?,
-            (name, Some((now, _))) if wire::known(name) => {
-                let instance = fields.text(1).map_err(|what| Fault::at(number, what))?;
+            ("SNAPSHOT_ROWS", Some(_)) => {
+                lists.set(&fields).map_err(|problem| InputError::at(line, problem))?
+            }
+            (name, Some((now, _))) if wire::is_known(name) => {
+                let instance = fields.text(1).map_err(|problem| InputError::at(line, problem))?;
                 match name {
                     "SPAWN" => {
-                        let born = spawn(&fields, *now).map_err(|what| Fault::at(number, what))?;
-                        instances.insert(instance.to_owned(), born);
-                        waiting.retain(|(name, _)| name != instance);
+                        let spawned =
+                            spawn(&fields, *now).map_err(|problem| InputError::at(line, problem))?;
+                        instances.insert(instance.to_owned(), spawned);
+                        pending.retain(|(name, _)| name != instance);
                     }
                     "DESTROY" => {
                         instances.remove(instance);
-                        waiting.retain(|(name, _)| name != instance);
+                        pending.retain(|(name, _)| name != instance);
                     }
                     _ => {
-                        let Some(known) = instances.get_mut(instance) else { continue };
-                        let event = wire::event(&fields, &mut known.names, &sheets)
-                            .map_err(|what| Fault::at(number, what))?;
-                        match waiting.iter_mut().find(|(name, _)| name == instance) {
+                        let Some(target) = instances.get_mut(instance) else { continue };
+                        let event = wire::event(&fields, &mut target.names, &lists)
+                            .map_err(|problem| InputError::at(line, problem))?;
+                        match pending.iter_mut().find(|(name, _)| name == instance) {
                             Some((_, events)) => events.extend(event),
-                            None => waiting.push((instance.to_owned(), event.into_iter().collect())),
+                            None => pending.push((instance.to_owned(), event.into_iter().collect())),
                         }
                     }
                 }
             }
-            // An event of a later wire.
+            // An event of a later version of the protocol.
             (_, Some(_)) => {}
         }
     }
@@ -106,12 +110,14 @@
 fn spawn(fields: &Fields, now: Nanos) -> Result<Instance, String> {
     let seed = fields.seed(2)?;
     let mut names = Names::default();
-    let settings = given::settings(fields.raw(3)?, &mut names).map_err(|what| format!("SPAWN: {what}"))?;
+    let settings =
+        given::settings(fields.raw(3)?, &mut names).map_err(|problem| format!("SPAWN: {problem}"))?;
     Ok(Instance { controller: Controller::new(settings, seed, now), names })
 }
 
-/// Lets one instance decide and writes its orders; a decision that fails is reported as its own.
-fn answer(
+/// Runs one step of an instance and writes its orders. A panic is reported as that instance's INTERNAL_ERROR,
+/// and the instance is removed.
+fn run_step(
     instances: &mut BTreeMap<String, Instance>,
     name: &str,
     now: Nanos,
--- a/crates/craneknot-wirehost/src/wire.rs
+++ b/crates/craneknot-wirehost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's JSON messages to interface types and back. Nothing is decided here.
+//! Converts the simulator's JSON messages to interface types and back; it makes no decisions.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,25 +8,25 @@
 use craneknot_settings::given::GivenNames as Names;
 use serde_json::{json, Value};
 
-/// What is wrong with the input, and on which line.
-pub struct Fault {
+/// An error in the input, with its line number.
+pub struct InputError {
     line: u64,
-    what: String,
+    problem: String,
 }
 
-impl Fault {
-    pub fn at(line: u64, what: String) -> Self {
-        Fault { line, what }
+impl InputError {
+    pub fn at(line: u64, problem: String) -> Self {
+        InputError { line, problem }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.problem)
     }
 }
 
-/// The values of one message, read by their place.
+/// The values of one message, accessed by index; index 0 is its name.
 pub struct Fields<'a> {
     pub name: &'a str,
     values: &'a [Value],
@@ -35,70 +35,71 @@
 impl<'a> Fields<'a> {
     pub fn new(message: &'a Value) -> Result<Self, String> {
         let values = message.as_array().ok_or("a message must be an array")?;
-        let name = values.first().and_then(Value::as_str).ok_or("a message must begin with its name")?;
+        let name =
+            values.first().and_then(Value::as_str).ok_or("the first value of a message must be its name")?;
         Ok(Fields { name, values })
     }
 
-    fn wrong(&self, place: usize, wanted: &str) -> String {
-        match self.values.get(place) {
-            Some(value) => format!("{} value {place}: {wanted} wanted, got {value}", self.name),
-            None => format!("{} value {place}: {wanted} wanted, missing", self.name),
+    fn unexpected(&self, index: usize, expected: &str) -> String {
+        match self.values.get(index) {
+            Some(value) => format!("{} value {index}: expected {expected}, got {value}", self.name),
+            None => format!("{} value {index}: expected {expected}, but it is missing", self.name),
         }
     }
 
-    pub fn raw(&self, place: usize) -> Result<&'a Value, String> {
-        self.values.get(place).ok_or_else(|| self.wrong(place, "a value"))
+    pub fn raw(&self, index: usize) -> Result<&'a Value, String> {
+        self.values.get(index).ok_or_else(|| self.unexpected(index, "a value"))
     }
 
-    pub fn text(&self, place: usize) -> Result<&'a str, String> {
-        self.values.get(place).and_then(Value::as_str).ok_or_else(|| self.wrong(place, "text"))
+    pub fn text(&self, index: usize) -> Result<&'a str, String> {
+        self.values.get(index).and_then(Value::as_str).ok_or_else(|| self.unexpected(index, "text"))
     }
 
-    fn number(&self, place: usize) -> Result<f64, String> {
-        self.values.get(place).and_then(Value::as_f64).ok_or_else(|| self.wrong(place, "a number"))
+    fn number(&self, index: usize) -> Result<f64, String> {
+        self.values.get(index).and_then(Value::as_f64).ok_or_else(|| self.unexpected(index, "a number"))
     }
 
-    /// A whole number from 0 on; a fraction of nothing behind the point is let pass.
-    fn whole(&self, place: usize) -> Result<u64, String> {
-        let value = self.values.get(place);
+    /// A non-negative integer; a float without a fractional part is accepted.
+    fn unsigned(&self, index: usize) -> Result<u64, String> {
+        let value = self.values.get(index);
         let exact = value.and_then(Value::as_u64);
-        let rounded =
+        let from_float =
             || value.and_then(Value::as_f64).filter(|x| *x >= 0.0 && x.fract() == 0.0).map(|x| x as u64);
-        exact.or_else(rounded).ok_or_else(|| self.wrong(place, "a whole number from 0 on"))
+        exact.or_else(from_float).ok_or_else(|| self.unexpected(index, "a non-negative integer"))
     }
 
-    pub fn seed(&self, place: usize) -> Result<u64, String> {
-        let value = self.raw(place)?;
+    pub fn seed(&self, index: usize) -> Result<u64, String> {
+        let value = self.raw(index)?;
         let signed = value.as_i64().map(|x| x as u64);
         let exact = value.as_u64().or(signed);
-        exact.or_else(|| value.as_f64().map(f64::to_bits)).ok_or_else(|| self.wrong(place, "a whole number"))
+        exact.or_else(|| value.as_f64().map(f64::to_bits)).ok_or_else(|| self.unexpected(index, "an integer"))
     }
 
-    fn small(&self, place: usize) -> Result<u16, String> {
-        u16::try_from(self.whole(place)?).map_err(|_| self.wrong(place, "a whole number below 65536"))
+    fn short(&self, index: usize) -> Result<u16, String> {
+        u16::try_from(self.unsigned(index)?).map_err(|_| self.unexpected(index, "an integer below 65536"))
     }
 
-    fn truth(&self, place: usize) -> Result<bool, String> {
-        self.values.get(place).and_then(Value::as_bool).ok_or_else(|| self.wrong(place, "true or false"))
+    fn boolean(&self, index: usize) -> Result<bool, String> {
+        self.values.get(index).and_then(Value::as_bool).ok_or_else(|| self.unexpected(index, "true or false"))
     }
 
-    pub fn time(&self, place: usize) -> Result<Nanos, String> {
-        Ok(Nanos::from_secs(self.number(place)?))
+    pub fn time(&self, index: usize) -> Result<Nanos, String> {
+        Ok(Nanos::from_secs(self.number(index)?))
     }
 
-    fn server(&self, place: usize) -> Result<ServerId, String> {
-        Ok(ServerId(Arc::from(self.text(place)?)))
+    fn server(&self, index: usize) -> Result<ServerId, String> {
+        Ok(ServerId(Arc::from(self.text(index)?)))
     }
 }
 
-/// A load report's values come in the order that the settings name.
+/// Reads a load report, whose values are in the order that the settings define.
 fn report(names: &Names, value: Option<&Value>) -> LoadReport {
     let values = value.and_then(Value::as_array);
-    names.report(|place, _| values?.get(place)?.as_f64())
+    names.report(|index, _| values?.get(index)?.as_f64())
 }
 
-/// One entry of a numbered list, with its names still the wire's.
-struct Row {
+/// One entry of a numbered server list, with the names as received.
+struct ListEntry {
     kind: String,
     cell: i64,
     server: ServerId,
@@ -108,37 +109,38 @@
     zone: String,
 }
 
-/// The numbered lists of the process, to which news of the servers refers.
+/// The numbered server lists, to which FLEET events refer.
 #[derive(Default)]
-pub struct Sheets(BTreeMap<u64, Vec<Row>>);
+pub struct ServerLists(BTreeMap<u64, Vec<ListEntry>>);
 
-impl Sheets {
+impl ServerLists {
     pub fn set(&mut self, fields: &Fields) -> Result<(), String> {
-        let rows = fields.raw(2)?.as_array().ok_or_else(|| fields.wrong(2, "entries"))?;
-        let rows = rows.iter().map(row).collect::<Result<Vec<_>, _>>()?;
-        self.0.insert(fields.whole(1)?, rows);
+        let list_entries = fields.raw(2)?.as_array().ok_or_else(|| fields.unexpected(2, "entries"))?;
+        let list_entries = list_entries.iter().map(list_entry).collect::<Result<Vec<_>, _>>()?;
+        self.0.insert(fields.unsigned(1)?, list_entries);
         Ok(())
     }
 }
 
-fn row(value: &Value) -> Result<Row, String> {
-    let bad = |what: &str| format!("SNAPSHOT_ROWS entry {value}: {what}");
-    let values = value.as_array().ok_or_else(|| bad("an array wanted"))?;
-    let text = |place: usize, what: &str| values.get(place).and_then(Value::as_str).ok_or_else(|| bad(what));
-    let number = |place: usize| values.get(place).and_then(Value::as_f64);
-    Ok(Row {
-        kind: text(0, "no kind")?.to_owned(),
+fn list_entry(value: &Value) -> Result<ListEntry, String> {
+    let error = |problem: &str| format!("SNAPSHOT_ROWS entry {value}: {problem}");
+    let values = value.as_array().ok_or_else(|| error("an array is expected"))?;
+    let text =
+        |index: usize, problem: &str| values.get(index).and_then(Value::as_str).ok_or_else(|| error(problem));
+    let number = |index: usize| values.get(index).and_then(Value::as_f64);
+    Ok(ListEntry {
+        kind: text(0, "the kind is missing")?.to_owned(),
         cell: number(1).map_or(0, |x| x as i64),
-        server: ServerId(Arc::from(text(2, "no server")?)),
+        server: ServerId(Arc::from(text(2, "the server is missing")?)),
         weight: number(3),
         started: number(4).filter(|at| *at > 0.0),
-        readiness: match text(5, "no mode")? {
+        readiness: match text(5, "the mode is missing")? {
             "up" => Readiness::Ready,
             "draining" => Readiness::Draining,
             "removed" => Readiness::Removed,
-            other => return Err(bad(&format!("unknown mode {other}"))),
+            other => return Err(error(&format!("unknown mode {other}"))),
         },
-        zone: text(6, "no zone")?.to_owned(),
+        zone: text(6, "the zone is missing")?.to_owned(),
     })
 }
 
@@ -160,12 +162,13 @@
     "SNAPSHOT_ROWS",
 ];
 
-pub fn known(name: &str) -> bool {
+pub fn is_known(name: &str) -> bool {
     EVENTS.contains(&name)
 }
 
-/// One event, or nothing where it speaks of what the settings do not have.
-pub fn event(fields: &Fields, names: &mut Names, sheets: &Sheets) -> Result<Option<Event>, String> {
+/// Converts one event; `None` if it names a class that the settings do not have, or is not an event of the
+/// interface.
+pub fn event(fields: &Fields, names: &mut Names, lists: &ServerLists) -> Result<Option<Event>, String> {
     Ok(Some(match fields.name {
         "FLEET" => {
             let scope = match fields.text(3)? {
@@ -175,37 +178,37 @@
                 "Error" => ListScope::Failed,
                 other => return Err(format!("FLEET: unknown scope {other}")),
             };
-            let rows = match scope {
+            let list_entries = match scope {
                 ListScope::Failed => &[][..],
                 _ => {
-                    let sheet = fields.whole(4)?;
-                    sheets.0.get(&sheet).ok_or_else(|| format!("FLEET: no list numbered {sheet}"))?
+                    let list = fields.unsigned(4)?;
+                    lists.0.get(&list).ok_or_else(|| format!("FLEET: no list with number {list}"))?
                 }
             };
-            let entries = rows
+            let entries = list_entries
                 .iter()
-                .map(|row| Listing {
-                    server: row.server.clone(),
-                    zone: names.zone(&row.zone),
-                    kind: names.kind(&row.kind),
-                    cell: CellId(row.cell),
-                    weight: row.weight,
-                    started: row.started.map(Nanos::from_secs),
+                .map(|entry| Listing {
+                    server: entry.server.clone(),
+                    zone: names.zone(&entry.zone),
+                    kind: names.kind(&entry.kind),
+                    cell: CellId(entry.cell),
+                    weight: entry.weight,
+                    started: entry.started.map(Nanos::from_secs),
                     is_start_certain: true,
-                    readiness: row.readiness,
+                    readiness: entry.readiness,
                 })
                 .collect();
             Event::List { scope, entries }
         }
         "ENROLLED" => Event::ProxyJoined {
-            proxy: ProxyId(fields.small(2)?),
+            proxy: ProxyId(fields.short(2)?),
             zone: names.zone(fields.text(3)?),
             usual_rate: fields.number(4)?,
         },
-        "LEFT" => Event::ProxyLeft { proxy: ProxyId(fields.small(2)?) },
+        "LEFT" => Event::ProxyLeft { proxy: ProxyId(fields.short(2)?) },
         "OBSERVED" => Event::TriesReported {
-            tries: fields.whole(2)?,
-            unanswered: fields.whole(3)?,
+            tries: fields.unsigned(2)?,
+            unanswered: fields.unsigned(3)?,
             server: fields.server(4)?,
             span: fields.time(5)?,
             latency: fields.time(6)?,
@@ -215,16 +218,16 @@
         "OFFERED_LOAD" => {
             let Some(class) = names.class(fields.text(3)?) else { return Ok(None) };
             Event::Demand {
-                proxy: ProxyId(fields.small(2)?),
+                proxy: ProxyId(fields.short(2)?),
                 class,
-                arrived: fields.whole(4)?,
-                unanswered: fields.whole(5)?,
+                arrived: fields.unsigned(4)?,
+                unanswered: fields.unsigned(5)?,
                 span: fields.time(6)?,
             }
         }
         "SAMPLED" => Event::Probed {
             server: fields.server(2)?,
-            outcome: match fields.whole(3)? {
+            outcome: match fields.unsigned(3)? {
                 0 => ProbeOutcome::Answered,
                 254 => ProbeOutcome::TurnedAway,
                 _ => ProbeOutcome::Failed,
@@ -232,17 +235,17 @@
             latency: fields.time(4)?,
             report: report(names, fields.values.get(5)),
         },
-        "RECEIPT" => Event::Applied { proxy: ProxyId(fields.small(2)?), mark: fields.small(3)? },
+        "RECEIPT" => Event::Applied { proxy: ProxyId(fields.short(2)?), mark: fields.short(3)? },
         "TIMEOUT_FIRED" => Event::Woken,
         "MAIL" => Event::PeerMessage {
-            peer: PeerId(fields.whole(2)? as u32),
-            body: bytes(fields.text(3)?).ok_or_else(|| fields.wrong(3, "hex digits"))?,
+            peer: PeerId(fields.unsigned(2)? as u32),
+            body: decode_hex(fields.text(3)?).ok_or_else(|| fields.unexpected(3, "hex digits"))?,
         },
         "ASSIGNED_TO_ME" => {
-            Event::SliceAssigned { slice: SliceId(fields.small(2)?), assigned: fields.truth(3)? }
+            Event::SliceAssigned { slice: SliceId(fields.short(2)?), assigned: fields.boolean(3)? }
         }
         "ON_RECORD" => Event::SliceLine {
-            slice: SliceId(fields.small(2)?),
+            slice: SliceId(fields.short(2)?),
             server: fields.server(3)?,
             weight: fields.number(4)?,
         },
@@ -250,9 +253,9 @@
             let Some(class) = names.class(fields.text(6)?) else { return Ok(None) };
             Event::SliceDemand {
                 span: fields.time(2)?,
-                unanswered: fields.whole(3)?,
-                slice: SliceId(fields.small(4)?),
-                arrived: fields.whole(5)?,
+                unanswered: fields.unsigned(3)?,
+                slice: SliceId(fields.short(4)?),
+                arrived: fields.unsigned(5)?,
                 class,
             }
         }
@@ -260,16 +263,16 @@
     }))
 }
 
-fn bytes(hex: &str) -> Option<Vec<u8>> {
+fn decode_hex(hex: &str) -> Option<Vec<u8>> {
     let digits = hex.as_bytes();
     if !digits.len().is_multiple_of(2) {
         return None;
     }
-    let read = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
-    digits.chunks(2).map(read).collect()
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
+    digits.chunks(2).map(byte).collect()
 }
 
-/// One order as the wire has it.
+/// Converts one order to the action message of the wire.
 pub fn action(instance: &str, order: &Order) -> Value {
     match order {
         Order::Line { table, server, weight } => json!(["WEIGH", instance, weight, table.0, &*server.0]),
@@ -277,13 +280,13 @@
             json!(["HAND_TABLE", instance, classes.0, proxy.0, table.0])
         }
         Order::Level { table, classes, level, retries: tries } => {
-            let how = match tries {
+            let retry_mode = match tries {
                 Retries::Never => 0,
                 Retries::IfNotExecuted => 1,
                 Retries::Once => 2,
                 Retries::Twice => 3,
             };
-            json!(["ALLOW", instance, classes.0, level, how, table.0])
+            json!(["ALLOW", instance, classes.0, level, retry_mode, table.0])
         }
         Order::Probe { server } => json!(["INSPECT", instance, &*server.0]),
         Order::Mark { mark } => json!(["STAMP", instance, mark, false]),
--- a/crates/craneknot-wirehost/tests/hosted.rs
+++ b/crates/craneknot-wirehost/tests/hosted.rs
@@ -1,5 +1,6 @@
-//! The same decisions in this process and in a hosted one play the same day to the last digit: nothing is lost or bent on the
-//! way there and back, and a difference between two builds is theirs.
+//! A simulated run gives identical results whether the decisions are made in this process or in a hosted one.
+//! The protocol must not lose or change a value: then a difference between two builds is due to the builds
+//! alone.
 
 use std::path::PathBuf;
 
@@ -9,8 +10,9 @@
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
 
-/// A day with every kind of news that the lines carry: lists, joins and leaves, probes, marks, lost answers.
-fn day(seed: u64) -> Script {
+/// A script with every kind of event that the protocol carries: lists, joins and leaves, probes, marks, lost
+/// answers.
+fn script(seed: u64) -> Script {
     let mut script = Script::built_in().unwrap();
     let trouble = |kind, at, length, part, strength| Trouble {
         kind,
@@ -33,25 +35,28 @@
 }
 
 #[test]
-fn a_hosted_build_plays_the_very_same_day() {
+fn a_hosted_build_gives_identical_results() {
     let hosted = Build::Hosted(PathBuf::from(env!("CARGO_BIN_EXE_craneknot-wirehost")));
     for seed in [1, 2] {
-        let script = day(seed);
-        let play = |build| play_whole(&script, Ask { build: Some(build), ..Ask::default() });
-        let (own, other) = (play(&Build::OwnCoarse), play(&hosted));
-        assert_eq!(other.fault, None);
-        assert_eq!(own.report.lines(), other.report.lines());
-        assert!(own.report.service.asked > 1_000);
-        let first =
-            own.records.iter().zip(&other.records).find(|(a, b)| format!("{a:?}") != format!("{b:?}"));
-        assert!(first.is_none() && own.records.len() == other.records.len(), "{first:?}");
+        let script = script(seed);
+        let run = |build| play_whole(&script, Ask { build: Some(build), ..Ask::default() });
+        let (local, remote) = (run(&Build::OwnCoarse), run(&hosted));
+        assert_eq!(remote.fault, None);
+        assert_eq!(local.report.lines(), remote.report.lines());
+        assert!(local.report.service.asked > 1_000);
+        let first_difference =
+            local.records.iter().zip(&remote.records).find(|(a, b)| format!("{a:?}") != format!("{b:?}"));
+        assert!(
+            first_difference.is_none() && local.records.len() == remote.records.len(),
+            "{first_difference:?}"
+        );
     }
 }
 
-/// A build that ends in the middle must not pass for one that decides badly.
+/// A build that exits during a run must be reported as a fault, not as a build with poor decisions.
 #[test]
-fn a_build_that_ends_is_a_fault_of_the_run() {
+fn a_build_that_exits_is_reported_as_a_fault() {
     let build = Build::Hosted(PathBuf::from("/bin/true"));
-    let played = play_whole(&day(3), Ask { build: Some(&build), ..Ask::default() });
+    let played = play_whole(&script(3), Ask { build: Some(&build), ..Ask::default() });
     assert!(played.fault.is_some());
 }
