--- a/crates/craneknot-fault-shim/src/lib.rs
+++ b/crates/craneknot-fault-shim/src/lib.rs
@@ -1,28 +1,29 @@
-//! A library that tests load into a process with `LD_PRELOAD`, so that its system calls fail as Linux documents and its
-//! wall clock is stepped. The program itself never uses it.
+//! A library that tests load into a process with `LD_PRELOAD`. It makes system calls fail in ways that Linux
+//! documents and steps the wall clock. The program itself never uses it.
 //!
 //! | variable | meaning |
 //! | --- | --- |
-//! | `CRANEKNOT_FAULTS` | rules, separated by `;`, such as `accept4=ECONNABORTED@0.2` (one call in five) or `socket=ENFILE#3` (the first three calls); `SHORT` in place of an error cuts a read or write to one byte |
-//! | `CRANEKNOT_FAULT_SEED` | which calls are struck; 0 if left out |
+//! | `CRANEKNOT_FAULTS` | rules, separated by `;`, such as `accept4=ECONNABORTED@0.2` (one call in five) or `socket=ENFILE#3` (the first three calls); `SHORT` instead of an error limits a read or write to one byte |
+//! | `CRANEKNOT_FAULT_SEED` | seed of the random choice of calls; 0 by default |
 //! | `CRANEKNOT_WALL_OFFSET_S` | seconds added to the wall clock, a whole number |
-//! | `CRANEKNOT_WALL_OFFSET_FILE` | a file with that number, read at every look at the clock, so that a test can step it |
+//! | `CRANEKNOT_WALL_OFFSET_FILE` | a file with such a number, read on every call to the clock, so that a test can step it |
 //!
-//! Calls on sockets are struck on IPv4 sockets alone, and `write` on standard error alone. The monotonic clock is left as it is.
+//! Faults are injected into socket calls on IPv4 sockets only, and into `write` on standard error only. The
+//! monotonic clock is not changed.
 
-mod next;
+mod real_function;
 mod rules;
 
 use std::ffi::{c_char, c_int, c_void};
 
 use libc::{iovec, mode_t, pthread_attr_t, pthread_t, sockaddr, socklen_t, ssize_t, timespec};
 
-use next::next;
+use real_function::real_function;
 use rules::{Call, Outcome};
 
-/// What a call returns that fails.
+/// Sets `errno` and returns the value of a failed call.
 fn fail(code: c_int) -> c_int {
-    // SAFETY: the location is this thread's own.
+    // SAFETY: the location belongs to this thread.
     unsafe { *libc::__errno_location() = code };
     -1
 }
@@ -30,18 +31,18 @@
 fn is_ipv4(fd: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    let place = (&raw mut domain).cast::<c_void>();
+    let option = (&raw mut domain).cast::<c_void>();
     // SAFETY: the option is an int, and both pointers are valid for the call.
-    let told = unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_DOMAIN, place, &raw mut length) };
-    told == 0 && domain == libc::AF_INET
+    let status = unsafe { libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_DOMAIN, option, &raw mut length) };
+    status == 0 && domain == libc::AF_INET
 }
 
-/// What the rules say of a call on a descriptor.
-fn strike(call: Call, fd: c_int) -> Outcome {
-    if !rules::names(call) || !is_ipv4(fd) {
+/// The outcome of a call on a descriptor: [`Outcome::Pass`] unless it is an IPv4 socket.
+fn socket_outcome(call: Call, fd: c_int) -> Outcome {
+    if !rules::has_rule(call) || !is_ipv4(fd) {
         return Outcome::Pass;
     }
-    rules::strike(call)
+    rules::outcome(call)
 }
 
 /// # Safety
@@ -49,11 +50,11 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET {
-        if let Outcome::Fail(code) = rules::strike(Call::Socket) {
+        if let Outcome::Fail(code) = rules::outcome(Call::Socket) {
             return fail(code);
         }
     }
-    let call: extern "C" fn(c_int, c_int, c_int) -> c_int = next!(b"socket\0");
+    let call: extern "C" fn(c_int, c_int, c_int) -> c_int = real_function!(b"socket\0");
     call(domain, kind, protocol)
 }
 
@@ -66,10 +67,11 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Outcome::Fail(code) = strike(Call::Accept4, fd) {
+    if let Outcome::Fail(code) = socket_outcome(Call::Accept4, fd) {
         return fail(code);
     }
-    let call: extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int = next!(b"accept4\0");
+    let call: extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int =
+        real_function!(b"accept4\0");
     call(fd, address, length, flags)
 }
 
@@ -77,10 +79,10 @@
 /// As connect(2).
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if let Outcome::Fail(code) = strike(Call::Connect, fd) {
+    if let Outcome::Fail(code) = socket_outcome(Call::Connect, fd) {
         return fail(code);
     }
-    let call: extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int = next!(b"connect\0");
+    let call: extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int = real_function!(b"connect\0");
     call(fd, address, length)
 }
 
@@ -88,8 +90,8 @@
 /// As recv(2).
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: usize, flags: c_int) -> ssize_t {
-    let call: extern "C" fn(c_int, *mut c_void, usize, c_int) -> ssize_t = next!(b"recv\0");
-    match strike(Call::Recv, fd) {
+    let call: extern "C" fn(c_int, *mut c_void, usize, c_int) -> ssize_t = real_function!(b"recv\0");
+    match socket_outcome(Call::Recv, fd) {
         Outcome::Pass => call(fd, buffer, length, flags),
         Outcome::Short => call(fd, buffer, length.min(1), flags),
         Outcome::Fail(code) => fail(code) as ssize_t,
@@ -100,8 +102,8 @@
 /// As send(2).
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: usize, flags: c_int) -> ssize_t {
-    let call: extern "C" fn(c_int, *const c_void, usize, c_int) -> ssize_t = next!(b"send\0");
-    match strike(Call::Send, fd) {
+    let call: extern "C" fn(c_int, *const c_void, usize, c_int) -> ssize_t = real_function!(b"send\0");
+    match socket_outcome(Call::Send, fd) {
         Outcome::Pass => call(fd, buffer, length, flags),
         Outcome::Short => call(fd, buffer, length.min(1), flags),
         Outcome::Fail(code) => fail(code) as ssize_t,
@@ -112,8 +114,8 @@
 /// As writev(2).
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let call: extern "C" fn(c_int, *const iovec, c_int) -> ssize_t = next!(b"writev\0");
-    match strike(Call::Writev, fd) {
+    let call: extern "C" fn(c_int, *const iovec, c_int) -> ssize_t = real_function!(b"writev\0");
+    match socket_outcome(Call::Writev, fd) {
         Outcome::Pass => call(fd, parts, count),
         Outcome::Short if count > 0 && (*parts).iov_len > 0 => {
             let first = iovec { iov_base: (*parts).iov_base, iov_len: 1 };
@@ -134,11 +136,12 @@
     event: *mut libc::epoll_event,
 ) -> c_int {
     if operation != libc::EPOLL_CTL_DEL {
-        if let Outcome::Fail(code) = strike(Call::EpollCtl, fd) {
+        if let Outcome::Fail(code) = socket_outcome(Call::EpollCtl, fd) {
             return fail(code);
         }
     }
-    let call: extern "C" fn(c_int, c_int, c_int, *mut libc::epoll_event) -> c_int = next!(b"epoll_ctl\0");
+    let call: extern "C" fn(c_int, c_int, c_int, *mut libc::epoll_event) -> c_int =
+        real_function!(b"epoll_ctl\0");
     call(epoll, operation, fd, event)
 }
 
@@ -148,24 +151,25 @@
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
-    wait: c_int,
+    max_events: c_int,
+    timeout: c_int,
 ) -> c_int {
-    if let Outcome::Fail(code) = rules::strike(Call::EpollWait) {
+    if let Outcome::Fail(code) = rules::outcome(Call::EpollWait) {
         return fail(code);
     }
-    let call: extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int = next!(b"epoll_wait\0");
-    call(epoll, events, most, wait)
+    let call: extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int =
+        real_function!(b"epoll_wait\0");
+    call(epoll, events, max_events, timeout)
 }
 
 /// # Safety
 /// As open(2).
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    if let Outcome::Fail(code) = rules::strike(Call::Open) {
+    if let Outcome::Fail(code) = rules::outcome(Call::Open) {
         return fail(code);
     }
-    let call: extern "C" fn(*const c_char, c_int, mode_t) -> c_int = next!(b"open64\0");
+    let call: extern "C" fn(*const c_char, c_int, mode_t) -> c_int = real_function!(b"open64\0");
     call(path, flags, mode)
 }
 
@@ -173,10 +177,10 @@
 /// As fsync(2).
 #[no_mangle]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if let Outcome::Fail(code) = rules::strike(Call::Fsync) {
+    if let Outcome::Fail(code) = rules::outcome(Call::Fsync) {
         return fail(code);
     }
-    let call: extern "C" fn(c_int) -> c_int = next!(b"fsync\0");
+    let call: extern "C" fn(c_int) -> c_int = real_function!(b"fsync\0");
     call(fd)
 }
 
@@ -184,18 +188,18 @@
 /// As write(2).
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: usize) -> ssize_t {
-    let call: extern "C" fn(c_int, *const c_void, usize) -> ssize_t = next!(b"write\0");
+    let call: extern "C" fn(c_int, *const c_void, usize) -> ssize_t = real_function!(b"write\0");
     if fd != libc::STDERR_FILENO {
         return call(fd, buffer, length);
     }
-    match rules::strike(Call::Write) {
+    match rules::outcome(Call::Write) {
         Outcome::Pass => call(fd, buffer, length),
         Outcome::Short => call(fd, buffer, length.min(1)),
         Outcome::Fail(code) => fail(code) as ssize_t,
     }
 }
 
-/// What a new thread runs.
+/// The function that a new thread runs.
 type ThreadStart = extern "C" fn(*mut c_void) -> *mut c_void;
 
 /// # Safety
@@ -207,11 +211,11 @@
     start: ThreadStart,
     argument: *mut c_void,
 ) -> c_int {
-    if let Outcome::Fail(code) = rules::strike(Call::PthreadCreate) {
+    if let Outcome::Fail(code) = rules::outcome(Call::PthreadCreate) {
         return code;
     }
     let call: extern "C" fn(*mut pthread_t, *const pthread_attr_t, ThreadStart, *mut c_void) -> c_int =
-        next!(b"pthread_create\0");
+        real_function!(b"pthread_create\0");
     call(thread, attributes, start, argument)
 }
 
@@ -219,10 +223,10 @@
 /// As clock_gettime(2).
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut timespec) -> c_int {
-    let call: extern "C" fn(c_int, *mut timespec) -> c_int = next!(b"clock_gettime\0");
-    let told = call(clock, time);
-    if told == 0 && clock == libc::CLOCK_REALTIME {
+    let call: extern "C" fn(c_int, *mut timespec) -> c_int = real_function!(b"clock_gettime\0");
+    let status = call(clock, time);
+    if status == 0 && clock == libc::CLOCK_REALTIME {
         (*time).tv_sec += rules::wall_offset();
     }
-    told
+    status
 }
--- a/crates/craneknot-fault-shim/src/rules.rs
+++ b/crates/craneknot-fault-shim/src/rules.rs
@@ -1,11 +1,11 @@
-//! Which calls fail, and how; and how far the wall clock is off. Read once, before the program begins, so that a signal
-//! handler can ask at any moment.
+//! The fault rules and the offset of the wall clock. They are read once, before the program starts, so that a
+//! signal handler can query them at any time.
 
 use std::ffi::c_int;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// The calls that can be struck.
+/// The calls into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Socket,
@@ -22,13 +22,13 @@
     PthreadCreate,
 }
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Pass,
-    /// It reads or writes one byte.
+    /// The call reads or writes at most one byte.
     Short,
-    /// It fails with this code.
+    /// The call fails with this error code.
     Fail(c_int),
 }
 
@@ -65,18 +65,18 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// How often a rule strikes.
-enum When {
-    /// One call in so many of 2^32.
-    Chance(u64),
-    /// So many calls, from the first.
+/// The calls to which a rule applies.
+enum Trigger {
+    /// Each call with this probability, in units of 2^-32.
+    Probability(u64),
+    /// The first calls, as many as this counter, which counts down.
     First(AtomicU64),
 }
 
 struct Rule {
     call: Call,
     outcome: Outcome,
-    when: When,
+    trigger: Trigger,
 }
 
 struct Rules {
@@ -87,34 +87,36 @@
 }
 
 static RULES: OnceLock<Rules> = OnceLock::new();
-static DRAWN: AtomicU64 = AtomicU64::new(0);
+static DRAW_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// Reads the variables as the library is loaded.
+/// Reads the environment variables when the library is loaded.
 #[used]
 #[link_section = ".init_array"]
 static INITIALIZE: extern "C" fn() = {
     extern "C" fn initialize() {
-        RULES.get_or_init(read);
+        RULES.get_or_init(read_variables);
     }
     initialize
 };
 
-fn number<T: std::str::FromStr>(name: &str) -> Option<T> {
+fn env_number<T: std::str::FromStr>(name: &str) -> Option<T> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn read() -> Rules {
+fn read_variables() -> Rules {
     let text = std::env::var("CRANEKNOT_FAULTS").unwrap_or_default();
     let rules = text.split(';').filter(|rule| !rule.is_empty()).map(|rule| {
         parse(rule).unwrap_or_else(|| {
-            eprintln!("CRANEKNOT_FAULTS: {rule:?} is no rule such as accept4=ECONNABORTED@0.2");
+            eprintln!(
+                "CRANEKNOT_FAULTS: {rule:?} is not a valid rule; an example is accept4=ECONNABORTED@0.2"
+            );
             std::process::abort()
         })
     });
     Rules {
         rules: rules.collect(),
-        seed: number("CRANEKNOT_FAULT_SEED").unwrap_or(0),
-        offset: number("CRANEKNOT_WALL_OFFSET_S").unwrap_or(0),
+        seed: env_number("CRANEKNOT_FAULT_SEED").unwrap_or(0),
+        offset: env_number("CRANEKNOT_WALL_OFFSET_S").unwrap_or(0),
         offset_file: std::env::var("CRANEKNOT_WALL_OFFSET_FILE").ok(),
     }
 }
@@ -122,53 +124,53 @@
 fn parse(rule: &str) -> Option<Rule> {
     let (call, rest) = rule.split_once('=')?;
     let call = CALLS.iter().find(|(name, _)| *name == call)?.1;
-    let (outcome, when) = match (rest.split_once('@'), rest.split_once('#')) {
+    let (outcome, trigger) = match (rest.split_once('@'), rest.split_once('#')) {
         (Some((outcome, share)), _) => {
-            (outcome, When::Chance((share.parse::<f64>().ok()? * 2f64.powi(32)) as u64))
+            (outcome, Trigger::Probability((share.parse::<f64>().ok()? * 2f64.powi(32)) as u64))
         }
-        (None, Some((outcome, count))) => (outcome, When::First(AtomicU64::new(count.parse().ok()?))),
+        (None, Some((outcome, count))) => (outcome, Trigger::First(AtomicU64::new(count.parse().ok()?))),
         (None, None) => return None,
     };
     let outcome = match outcome {
         "SHORT" => Outcome::Short,
         code => Outcome::Fail(ERRORS.iter().find(|(name, _)| *name == code)?.1),
     };
-    Some(Rule { call, outcome, when })
+    Some(Rule { call, outcome, trigger })
 }
 
-/// A number below 2^32, by the seed and how many were drawn before.
+/// A pseudo-random number below 2^32, which depends on the seed and on how many were drawn before.
 fn draw(seed: u64) -> u64 {
-    let drawn = DRAWN.fetch_add(1, Ordering::Relaxed);
-    let mut mixed = (seed ^ drawn.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let count = DRAW_COUNT.fetch_add(1, Ordering::Relaxed);
+    let mut mixed = (seed ^ count.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (mixed ^ (mixed >> 31)) >> 32
 }
 
-/// Whether any rule names a call.
-pub fn names(call: Call) -> bool {
+/// Whether any rule applies to this kind of call.
+pub fn has_rule(call: Call) -> bool {
     RULES.get().is_some_and(|rules| rules.rules.iter().any(|rule| rule.call == call))
 }
 
-/// What becomes of this call.
-pub fn strike(call: Call) -> Outcome {
+/// The outcome of this call by the first rule that applies to it.
+pub fn outcome(call: Call) -> Outcome {
     let Some(rules) = RULES.get() else { return Outcome::Pass };
     for rule in rules.rules.iter().filter(|rule| rule.call == call) {
-        let strikes = match &rule.when {
-            When::Chance(share) => draw(rules.seed) < *share,
-            When::First(left) => {
-                let fewer = |left: u64| left.checked_sub(1);
-                left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, fewer).is_ok()
+        let applies = match &rule.trigger {
+            Trigger::Probability(share) => draw(rules.seed) < *share,
+            Trigger::First(left) => {
+                let decrement = |left: u64| left.checked_sub(1);
+                left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
             }
         };
-        if strikes {
+        if applies {
             return rule.outcome;
         }
     }
     Outcome::Pass
 }
 
-/// Seconds that the wall clock is off.
+/// The offset of the wall clock, in seconds.
 pub fn wall_offset() -> i64 {
     let Some(rules) = RULES.get() else { return 0 };
     let in_file = rules.offset_file.as_ref().and_then(|file| std::fs::read_to_string(file).ok());
