--- a/crates/craneknot-wirehost/src/main.rs
+++ b/crates/craneknot-wirehost/src/main.rs
@@ -54,11 +54,11 @@
         }
         let message: Value = serde_json::from_slice(&text)
             .map_err(|e| InputError::at(line, format!("not a JSON value: {e}")))?;
-        let fields = Fields::new(&message).map_err(|problem| InputError::at(line, problem))?;
+        let fields = Fields::new(&message).map_err(|error| InputError::at(line, error))?;
         match (fields.name, &batch) {
             ("TICK", None) => {
-                let now = fields.time(1).map_err(|problem| InputError::at(line, problem))?;
-                let tick = fields.raw(2).map_err(|problem| InputError::at(line, problem))?.clone();
+                let now = fields.time(1).map_err(|error| InputError::at(line, error))?;
+                let tick = fields.raw(2).map_err(|error| InputError::at(line, error))?.clone();
                 batch = Some((now, tick));
             }
             ("TICK", Some(_)) => return Err(InputError::at(line, "TICK inside a batch".into())),
@@ -73,15 +73,12 @@
                     .map_err(|e| InputError::at(line, e.to_string()))?;
                 batch = None;
             }
-            ("SNAPSHOT_ROWS", Some(_)) => {
-                lists.set(&fields).map_err(|problem| InputError::at(line, problem))?
-            }
+            ("SNAPSHOT_ROWS", Some(_)) => lists.set(&fields).map_err(|error| InputError::at(line, error))?,
             (name, Some((now, _))) if wire::is_known(name) => {
-                let instance = fields.text(1).map_err(|problem| InputError::at(line, problem))?;
+                let instance = fields.text(1).map_err(|error| InputError::at(line, error))?;
                 match name {
                     "SPAWN" => {
-                        let spawned =
-                            spawn(&fields, *now).map_err(|problem| InputError::at(line, problem))?;
+                        let spawned = spawn(&fields, *now).map_err(|error| InputError::at(line, error))?;
                         instances.insert(instance.to_owned(), spawned);
                         pending.retain(|(name, _)| name != instance);
                     }
@@ -92,7 +89,7 @@
                     _ => {
                         let Some(target) = instances.get_mut(instance) else { continue };
                         let event = wire::event(&fields, &mut target.names, &lists)
-                            .map_err(|problem| InputError::at(line, problem))?;
+                            .map_err(|error| InputError::at(line, error))?;
                         match pending.iter_mut().find(|(name, _)| name == instance) {
                             Some((_, events)) => events.extend(event),
                             None => pending.push((instance.to_owned(), event.into_iter().collect())),
@@ -110,8 +107,7 @@
 fn spawn(fields: &Fields, now: Nanos) -> Result<Instance, String> {
     let seed = fields.seed(2)?;
     let mut names = Names::default();
-    let settings =
-        given::settings(fields.raw(3)?, &mut names).map_err(|problem| format!("SPAWN: {problem}"))?;
+    let settings = given::settings(fields.raw(3)?, &mut names).map_err(|error| format!("SPAWN: {error}"))?;
     Ok(Instance { controller: Controller::new(settings, seed, now), names })
 }
 
