--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -309,7 +309,7 @@
             let clock = Arc::new(SteadyClock::new());
             let shell = craneknot_agent::shell::Shell::new(parsed, parent_folder(&settings), clock);
             let mut shell = shell.map_err(system_failure)?;
-            shell.end_on(signals);
+            shell.stop_on_signals(signals);
             shell.run().map_err(system_failure)
         }
         Command::Check { file, kind } => {
--- a/crates/craneknot-cli/tests/agent.rs
+++ b/crates/craneknot-cli/tests/agent.rs
@@ -46,7 +46,7 @@
     let deadline = Instant::now() + Duration::from_secs(20);
     while !is_done() {
         assert!(Instant::now() < deadline, "timed out waiting for {expected}");
-        shell.round(Some(Duration::from_millis(10))).unwrap();
+        shell.run_once(Some(Duration::from_millis(10))).unwrap();
     }
 }
 
@@ -143,7 +143,7 @@
     run_until(&mut shell, "the first tables", || has_tables_with(folder.path(), "9001"));
     drop(first);
     for _ in 0..20 {
-        shell.round(Some(Duration::from_millis(10))).unwrap();
+        shell.run_once(Some(Duration::from_millis(10))).unwrap();
         assert!(has_tables_with(folder.path(), "9001"));
     }
 }
--- a/crates/craneknot-cli/tests/shared.rs
+++ b/crates/craneknot-cli/tests/shared.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use craneknot_agent::hold::{Holding, Verdict};
+use craneknot_agent::proxy_resources::{ProxyResources, Verdict};
 use craneknot_agent::shell::Shell;
 use craneknot_reactor::SteadyClock;
 use craneknot_settings::{parse, AgentSettings};
@@ -31,7 +31,7 @@
     let end = Instant::now() + Duration::from_secs(20);
     while !is_done() {
         assert!(Instant::now() < end, "timed out waiting for {expected}");
-        shell.round(Some(Duration::from_millis(10))).unwrap();
+        shell.run_once(Some(Duration::from_millis(10))).unwrap();
     }
 }
 
@@ -51,9 +51,9 @@
 
 #[test]
 fn an_older_epoch_is_rejected_also_after_a_restart() {
-    let mut holding = Holding::default();
-    let receive = |holding: &mut Holding, version: &str| match holding
-        .weigh(Kind::Endpoints, &endpoints_response(version))
+    let mut holding = ProxyResources::default();
+    let receive = |holding: &mut ProxyResources, version: &str| match holding
+        .evaluate(Kind::Endpoints, &endpoints_response(version))
     {
         Ok(Verdict::Swap(staged)) => {
             let text = staged.text.clone();
@@ -67,11 +67,11 @@
     let text = receive(&mut holding, "e5:a-1/3").unwrap();
     assert_eq!(receive(&mut holding, "e4:b-1/8"), Err(9));
     assert_eq!(receive(&mut holding, "b-1/9"), Err(9));
-    let mut restarted = Holding::default();
+    let mut restarted = ProxyResources::default();
     restarted.restore(Kind::Endpoints, text.as_bytes()).unwrap();
     assert_eq!((restarted.epoch(), receive(&mut restarted, "e4:b-1/10")), (5, Err(9)));
     // The file of one kind is enough to know the epoch for all kinds.
-    assert!(restarted.weigh(Kind::Routes, &endpoints_response("e1:c/1")).is_err());
+    assert!(restarted.evaluate(Kind::Routes, &endpoints_response("e1:c/1")).is_err());
     assert!(receive(&mut restarted, "e5:a-1/4").is_ok());
 }
 
