--- a/crates/craneknot-coordinator/src/desk.rs
+++ b/crates/craneknot-coordinator/src/desk.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use craneknot::interface::*;
 use craneknot::Controller;
-use craneknot_fleet::member::{self, Charge, Member};
-use craneknot_fleet::raft::{Role, Saved};
+use craneknot_fleet::member::{self, Member, Ownership};
+use craneknot_fleet::raft::{PersistentState, Role};
 use craneknot_fleet::view::Epoch;
 use craneknot_fleet::wire::Datagram;
 use craneknot_fleet::MemberId;
@@ -73,7 +73,7 @@
         to: String,
     },
     /// To be on the disk before what follows is sent.
-    Save(Saved),
+    Save(PersistentState),
     /// What proxies have followed, by name: to be kept when there is time.
     Keep(Vec<(String, String)>),
     /// To a fellow coordinator, by its name.
@@ -294,14 +294,14 @@
     }
 
     /// From now on the fleet is shared with others; `saved` is what an earlier life saved.
-    pub fn share(&mut self, settings: &CoordinatorSettings, saved: Saved, seed: u64, now: Nanos) {
+    pub fn share(&mut self, settings: &CoordinatorSettings, saved: PersistentState, seed: u64, now: Nanos) {
         let Some(shared) = &settings.shared else { return };
         let members = shared.members.iter().map(|member| MemberId::new(&member.name)).collect();
         // Placements within a proxy's own zone are numbered as they are met: such tables are not numbered alike.
         if !settings.fleet.classes.iter().any(|class| class.home_only) {
             self.book.set_source("fleet".to_owned());
         }
-        let timing = member::Timing::of_lease(shared.lease.0, shared.drift);
+        let timing = member::Timing::from_lease(shared.lease.0, shared.drift);
         // The date in milliseconds: later than that of any earlier life, and refuted where it is not.
         let incarnation = now.0 / 1_000_000;
         let me = MemberId::new(&settings.name);
@@ -318,14 +318,14 @@
     /// What the store says that a proxy followed: no order of ours may be of an older epoch.
     pub fn note_followed(&mut self, version: &str) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.note_epoch(Epoch(epoch_of(version)));
+            fleet.observe_epoch(Epoch(epoch_of(version)));
         }
     }
 
     /// A datagram of a fellow coordinator came.
     pub fn datagram(&mut self, now: Nanos, text: &[u8]) -> Result<(), String> {
-        let datagram = Datagram::read(text)?;
-        let outputs = self.fleet.as_mut().map(|fleet| fleet.take(now, datagram));
+        let datagram = Datagram::decode(text)?;
+        let outputs = self.fleet.as_mut().map(|fleet| fleet.handle(now, datagram));
         self.carry(outputs.unwrap_or_default());
         Ok(())
     }
@@ -339,10 +339,10 @@
                 }
                 member::Output::Send(to, datagram) => {
                     self.datagrams += 1;
-                    self.outputs.push(Output::Datagram { to: to.to_string(), text: datagram.text() });
+                    self.outputs.push(Output::Datagram { to: to.to_string(), text: datagram.encode() });
                 }
                 // What may be sent has changed.
-                member::Output::Changed => {
+                member::Output::OwnershipChanged => {
                     self.looked = None;
                     self.stirred.extend(self.streams.keys());
                 }
@@ -351,8 +351,8 @@
     }
 
     /// The epoch in which a proxy may be ordered now.
-    fn charge(&self, now: Nanos, proxy: &str) -> Charge {
-        self.fleet.as_ref().map_or(Charge::Mine(Epoch(0)), |fleet| fleet.charge(now, proxy))
+    fn charge(&self, now: Nanos, proxy: &str) -> Ownership {
+        self.fleet.as_ref().map_or(Ownership::Owned(Epoch(0)), |fleet| fleet.ownership(now, proxy))
     }
 
     /// Streams of proxies that are another one's charge are sent on; those of which no one is known to be end.
@@ -370,13 +370,13 @@
             let charge = self.charge(now, self.proxy_name(id));
             let Some(stream) = self.streams.get_mut(&id) else { continue };
             match charge {
-                Charge::Mine(_) => stream.unsure = None,
-                Charge::Elsewhere(to) => {
+                Ownership::Owned(_) => stream.unsure = None,
+                Ownership::OwnedBy(to) => {
                     self.sent_on += 1;
                     self.outputs.push(Output::SendOn { stream: id, to: to.to_string() });
                     self.leave(now, id);
                 }
-                Charge::Unknown => {
+                Ownership::Unknown => {
                     self.unsure += 1;
                     let since = *stream.unsure.get_or_insert(now);
                     if now - since >= UNSURE {
@@ -446,7 +446,7 @@
             return Err(Refused::OtherKind(request.type_url));
         }
         if let Some(fleet) = &mut self.fleet {
-            fleet.note_epoch(Epoch(epoch_of(&request.version_info)));
+            fleet.observe_epoch(Epoch(epoch_of(&request.version_info)));
         }
         if !self.streams.contains_key(&id) {
             let node = request.node.as_ref().filter(|node| !node.id.is_empty()).ok_or(Refused::NoNode)?;
@@ -482,12 +482,12 @@
             return Err(Refused::UnknownZone(node.locality.zone.clone()));
         }
         match self.charge(now, &node.id) {
-            Charge::Mine(_) => {}
-            Charge::Elsewhere(to) => {
+            Ownership::Owned(_) => {}
+            Ownership::OwnedBy(to) => {
                 self.sent_on += 1;
                 return Err(Refused::Elsewhere(to.to_string()));
             }
-            Charge::Unknown => return Err(Refused::NoCharge),
+            Ownership::Unknown => return Err(Refused::NoCharge),
         }
         let zone = self.names.zone(&node.locality.zone);
         let proxy = self.ids.join(&node.id).ok_or(Refused::NoNumberLeft)?;
@@ -643,12 +643,12 @@
             if !self.book.is_complete(stream.proxy) {
                 continue;
             }
-            let charge = self.fleet.as_ref().map(|fleet| fleet.charge(now, self.ids.name(stream.proxy)));
+            let charge = self.fleet.as_ref().map(|fleet| fleet.ownership(now, self.ids.name(stream.proxy)));
             let epoch = match charge {
                 None => 0,
-                Some(Charge::Mine(epoch)) => epoch.0,
+                Some(Ownership::Owned(epoch)) => epoch.0,
                 // It waits; a change of what may be done stirs all streams.
-                Some(Charge::Elsewhere(_) | Charge::Unknown) => continue,
+                Some(Ownership::OwnedBy(_) | Ownership::Unknown) => continue,
             };
             let (book, proxy) = (&mut self.book, stream.proxy);
             let answers = stream.session.answers(now, || book.all_of(proxy));
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use craneknot::interface::{Nanos, ProbeOutcome, ServerId};
-use craneknot_fleet::raft::Saved;
+use craneknot_fleet::raft::PersistentState;
 use craneknot_fleet::wire;
 use craneknot_http::{
     request, response, response_chunks, Limits as HttpLimits, RequestReader, ResponseReader,
@@ -119,14 +119,14 @@
         Ok(SharedEnd { store, socket, members })
     }
 
-    fn saved(&self) -> io::Result<Saved> {
+    fn saved(&self) -> io::Result<PersistentState> {
         match self.store.get(SAVED) {
             Some(text) => serde_json::from_slice(text).map_err(io::Error::other),
-            None => Ok(Saved::default()),
+            None => Ok(PersistentState::default()),
         }
     }
 
-    fn save(&mut self, saved: &Saved) -> Result<(), StoreError> {
+    fn save(&mut self, saved: &PersistentState) -> Result<(), StoreError> {
         let text = serde_json::to_vec(saved).unwrap_or_default();
         self.store.put(&[(SAVED, Some(&text))])
     }
@@ -630,7 +630,7 @@
     fn read_datagrams(&mut self) {
         let now = self.reactor.now();
         let Some(shared) = &self.shared else { return };
-        let mut buffer = vec![0; wire::LARGEST + 1];
+        let mut buffer = vec![0; wire::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..DATAGRAMS_A_TURN {
             match shared.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => {
--- a/crates/craneknot-fleet/src/member.rs
+++ b/crates/craneknot-fleet/src/member.rs
@@ -10,7 +10,7 @@
 
 use craneknot::interface::Nanos;
 
-use crate::raft::{self, Command, Raft, Role, Saved};
+use crate::raft::{self, Command, PersistentState, Raft, Role};
 use crate::swim::{self, Swim};
 use crate::view::{Epoch, View};
 use crate::wire::{Body, Datagram};
@@ -28,7 +28,7 @@
 
 impl Timing {
     /// All spans from the one that is promised: how long a lease lasts, and how wrong clocks may be.
-    pub fn of_lease(lease: Nanos, drift: f64) -> Self {
+    pub fn from_lease(lease: Nanos, drift: f64) -> Self {
         let part = |share: f64| Nanos((lease.0 as f64 * share) as u64);
         Timing {
             raft: raft::Timing { heartbeat: part(0.08), election: part(0.5), drift, lease },
@@ -41,19 +41,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// To be on the disk before what follows is sent.
-    Save(Saved),
+    Save(PersistentState),
     Send(MemberId, Datagram),
     /// What this member may do has changed.
-    Changed,
+    OwnershipChanged,
 }
 
 /// Whether this member may order a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Charge {
+pub enum Ownership {
     /// It may, in that epoch.
-    Mine(Epoch),
+    Owned(Epoch),
     /// Another one is in charge, or will be.
-    Elsewhere(MemberId),
+    OwnedBy(MemberId),
     /// No one can tell now.
     Unknown,
 }
@@ -104,7 +104,7 @@
         me: MemberId,
         members: &BTreeSet<MemberId>,
         timing: Timing,
-        saved: Saved,
+        saved: PersistentState,
         incarnation: u64,
         seed: u64,
         now: Nanos,
@@ -130,30 +130,30 @@
     }
 
     /// Whether this member may order that proxy now.
-    pub fn charge(&self, now: Nanos, proxy: &str) -> Charge {
+    pub fn ownership(&self, now: Nanos, proxy: &str) -> Ownership {
         let elsewhere = |owner: Option<&MemberId>| match owner {
-            Some(owner) if *owner != self.me => Charge::Elsewhere(owner.clone()),
-            Some(_) | None => Charge::Unknown,
+            Some(owner) if *owner != self.me => Ownership::OwnedBy(owner.clone()),
+            Some(_) | None => Ownership::Unknown,
         };
         let Some(lease) = self.lease.as_ref().filter(|lease| now < lease.until) else {
-            return elsewhere(self.raft.view().in_charge(proxy));
+            return elsewhere(self.raft.view().owner_of(proxy));
         };
-        if lease.view.in_charge(proxy) != Some(&self.me) {
-            return elsewhere(lease.view.in_charge(proxy));
+        if lease.view.owner_of(proxy) != Some(&self.me) {
+            return elsewhere(lease.view.owner_of(proxy));
         }
-        match lease.settled || lease.before.in_charge(proxy) == Some(&self.me) {
-            true => Charge::Mine(lease.view.epoch),
-            false => Charge::Unknown,
+        match lease.settled || lease.before.owner_of(proxy) == Some(&self.me) {
+            true => Ownership::Owned(lease.view.epoch),
+            false => Ownership::Unknown,
         }
     }
 
     /// A proxy has followed that epoch: ours must be no older, whatever became of our store.
-    pub fn note_epoch(&mut self, epoch: Epoch) {
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.seen = self.seen.max(epoch);
     }
 
     /// Until when this member may act on what it is in charge of; nothing: it may not.
-    pub fn acts_until(&self, now: Nanos) -> Option<Nanos> {
+    pub fn lease_valid_until(&self, now: Nanos) -> Option<Nanos> {
         self.lease.as_ref().map(|lease| lease.until).filter(|until| now < *until)
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// A datagram has come.
-    pub fn take(&mut self, now: Nanos, datagram: Datagram) -> Vec<Output> {
+    pub fn handle(&mut self, now: Nanos, datagram: Datagram) -> Vec<Output> {
         let mut out = Vec::new();
         let from = datagram.from;
         let known = self.members.contains(&from) || self.raft.voters().contains(&from);
@@ -232,12 +232,12 @@
         }
         match datagram.body {
             Body::Swim(message) => {
-                for (to, message) in self.swim.take(now, &from, message) {
+                for (to, message) in self.swim.handle(now, &from, message) {
                     out.push(Output::Send(to, self.datagram(Body::Swim(message))));
                 }
             }
             Body::Raft(message) => {
-                let steps = self.raft.take(now, &from, message);
+                let steps = self.raft.handle(now, &from, message);
                 self.carry(now, steps, &mut out);
             }
             Body::Renew { stamp, knows, seen } => {
@@ -307,8 +307,9 @@
     fn grant(&mut self, now: Nanos, to: &MemberId, stamp: Stamp, knows: Epoch) -> Option<Body> {
         let view = self.raft.view().clone();
         // Until an entry of our own term is certain, there may be newer views that we do not know to be so.
-        let leads =
-            self.raft.role() == Role::Leader && self.raft.leads_until() > now && self.raft.is_current();
+        let leads = self.raft.role() == Role::Leader
+            && self.raft.leader_lease_until() > now
+            && self.raft.is_current();
         if !leads || view.epoch == Epoch(0) {
             return None;
         }
@@ -419,7 +420,7 @@
         let told = lease.map(|lease| (lease.view.epoch, lease.settled, true));
         if told != self.told {
             self.told = told;
-            out.push(Output::Changed);
+            out.push(Output::OwnershipChanged);
         }
     }
 }
--- a/crates/craneknot-fleet/src/raft.rs
+++ b/crates/craneknot-fleet/src/raft.rs
@@ -63,7 +63,7 @@
 
 /// What must survive a kill. A whole new one takes the place of the old.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct PersistentState {
     pub term: u64,
     pub vote: Option<MemberId>,
     /// What the first `base` entries led to, and the term of the last of these.
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// To be on the disk before what follows is sent.
-    Save(Saved),
+    Save(PersistentState),
     Send(MemberId, Message),
     /// A view is certain from now on.
     Applied(View),
@@ -167,7 +167,7 @@
     /// Those that vote, this one left out.
     peers: BTreeSet<MemberId>,
     timing: Timing,
-    saved: Saved,
+    saved: PersistentState,
     dirty: bool,
     role: Role,
     leader: Option<MemberId>,
@@ -189,7 +189,7 @@
         me: MemberId,
         members: &BTreeSet<MemberId>,
         timing: Timing,
-        saved: Saved,
+        saved: PersistentState,
         seed: u64,
         now: Nanos,
     ) -> Self {
@@ -330,11 +330,12 @@
 
     /// While a leader was heard lately, no one else is voted for: its lease rests on that.
     fn is_bound(&self, now: Nanos) -> bool {
-        self.role == Role::Leader && self.leads_until() > now || now - self.heard < self.timing.election
+        self.role == Role::Leader && self.leader_lease_until() > now
+            || now - self.heard < self.timing.election
     }
 
     /// Until when, by our clock, no one else can have become leader. Nothing (long past) where we do not lead.
-    pub fn leads_until(&self) -> Nanos {
+    pub fn leader_lease_until(&self) -> Nanos {
         if self.role != Role::Leader {
             return Nanos(0);
         }
@@ -372,7 +373,7 @@
             Role::Leader if now >= self.beat_at => {
                 self.beat_at = now + self.timing.heartbeat;
                 // One that cannot reach a majority for long leads no one.
-                if self.leads_until().max(self.led_since) + self.timing.election < now {
+                if self.leader_lease_until().max(self.led_since) + self.timing.election < now {
                     self.follow(now, self.saved.term, None);
                 } else {
                     self.send_all(now, &mut outputs);
@@ -479,7 +480,7 @@
                 Message::Append { term, prev, prev_term, entries, commit, stamp }
             }
             None => {
-                let Saved { base, base_term, history, .. } = self.saved.clone();
+                let PersistentState { base, base_term, history, .. } = self.saved.clone();
                 Message::Install { term, base, base_term, history, stamp }
             }
         };
@@ -487,7 +488,7 @@
     }
 
     /// A message has come.
-    pub fn take(&mut self, now: Nanos, from: &MemberId, message: Message) -> Vec<Output> {
+    pub fn handle(&mut self, now: Nanos, from: &MemberId, message: Message) -> Vec<Output> {
         // Also of those that our log does not name as voters: a log may lag behind who leads and who votes.
         let mut outputs = Vec::new();
         let (term, mine) = (message.term(), self.saved.term);
@@ -704,7 +705,7 @@
     }
 
     /// What is saved, for checks and for the owner's own copy.
-    pub fn saved(&self) -> &Saved {
+    pub fn saved(&self) -> &PersistentState {
         &self.saved
     }
 }
--- a/crates/craneknot-fleet/src/swim.rs
+++ b/crates/craneknot-fleet/src/swim.rs
@@ -272,7 +272,7 @@
     }
 
     /// A message has come; what is to be sent.
-    pub fn take(&mut self, now: Nanos, from: &MemberId, message: Message) -> Vec<(MemberId, Message)> {
+    pub fn handle(&mut self, now: Nanos, from: &MemberId, message: Message) -> Vec<(MemberId, Message)> {
         let mut out = Vec::new();
         let Some(known) = self.members.get(from) else { return out };
         // One held dead or suspect that speaks: it must learn of it, to refute it.
@@ -387,7 +387,9 @@
                 let mut sent = Vec::new();
                 for (_, from, to, message) in due {
                     let Some(member) = &mut self.members[to] else { continue };
-                    sent.extend(member.take(now, &name(from), message).into_iter().map(|(t, m)| (to, t, m)));
+                    sent.extend(
+                        member.handle(now, &name(from), message).into_iter().map(|(t, m)| (to, t, m)),
+                    );
                 }
                 for (place, member) in self.members.iter_mut().enumerate() {
                     let Some(member) = member else { continue };
--- a/crates/craneknot-fleet/src/view.rs
+++ b/crates/craneknot-fleet/src/view.rs
@@ -21,7 +21,7 @@
 impl View {
     /// The one in charge of a proxy, by rendezvous hashing (Thaler and Ravishankar, 1998): where a member goes, only its
     /// proxies move.
-    pub fn in_charge(&self, proxy: &str) -> Option<&MemberId> {
+    pub fn owner_of(&self, proxy: &str) -> Option<&MemberId> {
         let seed = xxh3_64_with_seed(proxy.as_bytes(), 0);
         self.members.iter().max_by_key(|member| (xxh3_64_with_seed(member.0.as_bytes(), seed), *member))
     }
@@ -59,13 +59,13 @@
         let mut counts = std::collections::BTreeMap::new();
         for number in 0..3_000 {
             let proxy = format!("proxy-{number}");
-            let owner = all.in_charge(&proxy).unwrap().clone();
+            let owner = all.owner_of(&proxy).unwrap().clone();
             if owner != MemberId::new("b") {
-                assert_eq!(less.in_charge(&proxy), Some(&owner));
+                assert_eq!(less.owner_of(&proxy), Some(&owner));
             }
             *counts.entry(owner).or_insert(0) += 1;
         }
         assert!(counts.values().all(|count| (900..1_100).contains(count)), "{counts:?}");
-        assert_eq!(view(&[]).in_charge("p"), None);
+        assert_eq!(view(&[]).owner_of("p"), None);
     }
 }
--- a/crates/craneknot-fleet/src/wire.rs
+++ b/crates/craneknot-fleet/src/wire.rs
@@ -6,7 +6,7 @@
 use crate::{raft, swim, MemberId, Stamp};
 
 /// Bytes of one datagram: within what loopback and most networks carry whole.
-pub const LARGEST: usize = 32 * 1024;
+pub const MAX_DATAGRAM_BYTES: usize = 32 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
@@ -35,13 +35,13 @@
 }
 
 impl Datagram {
-    pub fn text(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    pub fn read(text: &[u8]) -> Result<Self, String> {
-        if text.len() > LARGEST {
-            return Err(format!("{} bytes; {LARGEST} at most", text.len()));
+    pub fn decode(text: &[u8]) -> Result<Self, String> {
+        if text.len() > MAX_DATAGRAM_BYTES {
+            return Err(format!("{} bytes; {MAX_DATAGRAM_BYTES} at most", text.len()));
         }
         serde_json::from_slice(text).map_err(|cause| cause.to_string())
     }
--- a/crates/craneknot-fleet/tests/search.rs
+++ b/crates/craneknot-fleet/tests/search.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeSet, HashSet};
 
 use craneknot::interface::Nanos;
-use craneknot_fleet::member::{Charge, Member, Output, Timing};
-use craneknot_fleet::raft::{self, Saved};
+use craneknot_fleet::member::{Member, Output, Ownership, Timing};
+use craneknot_fleet::raft::{self, PersistentState};
 use craneknot_fleet::swim;
 use craneknot_fleet::wire::Datagram;
 use craneknot_fleet::MemberId;
@@ -38,7 +38,7 @@
 struct Fleet {
     now: u64,
     members: Vec<Option<Member>>,
-    saved: Vec<Saved>,
+    saved: Vec<PersistentState>,
     flying: Vec<(u64, usize, Datagram)>,
 }
 
@@ -85,7 +85,7 @@
                     };
                     self.flying.push((self.now + late, to, datagram));
                 }
-                Output::Changed => {}
+                Output::OwnershipChanged => {}
             }
         }
     }
@@ -110,7 +110,7 @@
             for (_, to, datagram) in due {
                 let clock = self.clock(to);
                 let Some(member) = &mut self.members[to] else { continue };
-                let outputs = member.take(clock, datagram);
+                let outputs = member.handle(clock, datagram);
                 self.carry(to, outputs, trouble);
             }
             for place in (0..COUNT).filter(|place| !still(*place)) {
@@ -128,8 +128,9 @@
         for proxy in PROXIES {
             let mine = |place: &usize| {
                 let member = self.members[*place].as_ref();
-                member
-                    .is_some_and(|member| matches!(member.charge(self.clock(*place), proxy), Charge::Mine(_)))
+                member.is_some_and(|member| {
+                    matches!(member.ownership(self.clock(*place), proxy), Ownership::Owned(_))
+                })
             };
             let in_charge: Vec<usize> = (0..COUNT).filter(mine).collect();
             assert!(
@@ -143,7 +144,9 @@
     fn covered(&self) -> usize {
         let mine = |place: usize, proxy: &str| {
             let member = self.members[place].as_ref();
-            member.is_some_and(|member| matches!(member.charge(self.clock(place), proxy), Charge::Mine(_)))
+            member.is_some_and(|member| {
+                matches!(member.ownership(self.clock(place), proxy), Ownership::Owned(_))
+            })
         };
         PROXIES.iter().filter(|proxy| (0..COUNT).any(|place| mine(place, proxy))).count()
     }
@@ -159,7 +162,7 @@
     let mut first = Fleet {
         now: 0,
         members: vec![None; COUNT],
-        saved: vec![Saved::default(); COUNT],
+        saved: vec![PersistentState::default(); COUNT],
         flying: Vec::new(),
     };
     (0..COUNT).for_each(|place| first.start(place));
--- a/crates/craneknot-fleet/tests/world/mod.rs
+++ b/crates/craneknot-fleet/tests/world/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use craneknot::interface::Nanos;
-use craneknot_fleet::member::{Charge, Member, Output, Timing};
-use craneknot_fleet::raft::{self, Entry, Role, Saved};
+use craneknot_fleet::member::{Member, Output, Ownership, Timing};
+use craneknot_fleet::raft::{self, Entry, PersistentState, Role};
 use craneknot_fleet::swim;
 use craneknot_fleet::view::Epoch;
 use craneknot_fleet::wire::Datagram;
@@ -40,12 +40,12 @@
 
 pub struct Node {
     pub member: Option<Member>,
-    saved: Saved,
+    saved: PersistentState,
     /// Its clock: true time at its rate, from its offset.
     rate: f64,
     offset: u64,
     lives: u64,
-    copy: Saved,
+    copy: PersistentState,
     stands_until: Nanos,
 }
 
@@ -114,14 +114,14 @@
         let mut rng = Pcg32::seed_from_u64(seed);
         let node = |k: usize, rng: &mut Pcg32| Node {
             member: None,
-            saved: Saved::default(),
+            saved: PersistentState::default(),
             rate: match flaw {
                 Flaw::WrongClock if k == 0 => 0.5,
                 _ => 1.0 + DRIFT * (rng.random::<f64>() - 0.5),
             },
             offset: rng.random_range(1_000_000_000..9_000_000_000_000),
             lives: 0,
-            copy: Saved::default(),
+            copy: PersistentState::default(),
             stands_until: Nanos(0),
         };
         let nodes = (0..count).map(|k| node(k, &mut rng)).collect();
@@ -172,7 +172,11 @@
                 (saved.term, saved.vote) = (saved.log.last().map_or(0, |entry| entry.term), None)
             }
             Flaw::LogNotSaved => {
-                saved = Saved { term: saved.term, vote: saved.vote.clone(), ..Saved::default() };
+                saved = PersistentState {
+                    term: saved.term,
+                    vote: saved.vote.clone(),
+                    ..PersistentState::default()
+                };
                 node.saved = saved.clone();
             }
             _ => {}
@@ -185,7 +189,7 @@
     pub fn forget_lives(&mut self) {
         for place in 0..self.nodes.len() {
             self.kill(place);
-            self.nodes[place].saved = Saved::default();
+            self.nodes[place].saved = PersistentState::default();
         }
         self.flying.clear();
         self.leaders.clear();
@@ -240,7 +244,7 @@
                 Output::Save(saved) if self.flaw == Flaw::SentBeforeSaved => held.push(saved),
                 Output::Save(saved) => self.nodes[place].saved = saved,
                 Output::Send(to, datagram) => self.send(place, &to, datagram),
-                Output::Changed => {}
+                Output::OwnershipChanged => {}
             }
         }
         // Planted: written only now, and with luck.
@@ -252,7 +256,7 @@
     fn send(&mut self, from: usize, to: &MemberId, datagram: Datagram) {
         let to = number(to);
         self.messages += 1;
-        self.bytes += datagram.text().len() as u64;
+        self.bytes += datagram.encode().len() as u64;
         if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
             return;
         }
@@ -316,8 +320,8 @@
                 continue;
             }
             let Some(member) = &mut self.nodes[to].member else { continue };
-            let datagram = Datagram::read(&datagram.text()).unwrap();
-            let outputs = member.take(clock, datagram);
+            let datagram = Datagram::decode(&datagram.encode()).unwrap();
+            let outputs = member.handle(clock, datagram);
             self.carry(to, outputs);
         }
         for place in 0..self.nodes.len() {
@@ -341,7 +345,7 @@
         let clock = self.clock(place);
         let Some(member) = &self.nodes[place].member else { return };
         let number = self.rng.random_range(0..PROXIES);
-        if let Charge::Mine(epoch) = member.charge(clock, &proxy(number)) {
+        if let Ownership::Owned(epoch) = member.ownership(clock, &proxy(number)) {
             let late = if self.calm { 5 } else { 2_000 };
             let at = self.now + Nanos(self.rng.random_range(0..late * 1_000_000));
             self.orders.push((at, number, epoch));
@@ -369,8 +373,9 @@
         for number in 0..PROXIES {
             let mine = |place: &usize| {
                 let member = self.nodes[*place].member.as_ref();
-                member
-                    .is_some_and(|m| matches!(m.charge(self.clock(*place), &proxy(number)), Charge::Mine(_)))
+                member.is_some_and(|m| {
+                    matches!(m.ownership(self.clock(*place), &proxy(number)), Ownership::Owned(_))
+                })
             };
             let in_charge: Vec<usize> = (0..self.nodes.len()).filter(mine).collect();
             assert!(
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -16,7 +16,7 @@
 use craneknot_coordinator::desk::{body, Desk, Output, Refused, StreamId};
 use craneknot_coordinator::ledger::{Ledger, Told as LedgerTold};
 use craneknot_coordinator::session::Answer as Told;
-use craneknot_fleet::raft::Saved;
+use craneknot_fleet::raft::PersistentState;
 use craneknot_rehearsal::auditor;
 use craneknot_rehearsal::caller::{Answer, Caller, Next, Operation};
 use craneknot_rehearsal::chooser::{Chooser, Tried};
@@ -170,7 +170,7 @@
 /// A coordinator's store.
 #[derive(Default)]
 struct Disk {
-    saved: Saved,
+    saved: PersistentState,
     followed: BTreeMap<String, String>,
     list: Option<Vec<u8>>,
 }
