--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -9,9 +9,9 @@
 use craneknot_coordinator::ledger::{Line, Shown, Told};
 use craneknot_coordinator::weights;
 use craneknot_settings::{CrossingSettings, Names, SolverSettings};
-use craneknot_solver::estimate::Met;
+use craneknot_solver::estimate::TryReport;
 use craneknot_solver::explain::{explain, Explanation};
-use craneknot_solver::steer::{self, Steer};
+use craneknot_solver::tuner::{self, WeightTuner};
 
 use crate::output::{self, error_line, print_line};
 use crate::{pretty, status, system, Failed};
@@ -55,7 +55,7 @@
 }
 
 /// The head's zones and classes as the solver is told of them.
-fn told_of(told: &Told, solver: &SolverSettings) -> (Names, steer::Settings) {
+fn told_of(told: &Told, solver: &SolverSettings) -> (Names, tuner::Settings) {
     let head = &told.head;
     let mut names = Names::default();
     head.zones.iter().for_each(|zone| {
@@ -77,7 +77,7 @@
     let nanos = |at: u64| Nanos(at.saturating_mul(1_000));
     let (mut names, settings) = told_of(told, solver);
     let began = nanos(told.head.began);
-    let mut steer = Steer::new(settings, began);
+    let mut steer = WeightTuner::new(settings, began);
     let mut servers: BTreeMap<u32, (ServerId, ZoneId, KindId)> = BTreeMap::new();
     let mut now = began;
     // Lines of one moment were heard together: weights are looked at when the next moment comes.
@@ -103,9 +103,9 @@
         }
         if at > now {
             if !pending.is_empty() {
-                steer.listed(now, ListScope::Changes, &std::mem::take(&mut pending));
+                steer.apply_list(now, ListScope::Changes, &std::mem::take(&mut pending));
             }
-            steer.turn(now);
+            steer.update(now);
             now = at;
         }
         match line {
@@ -132,12 +132,12 @@
                 let Some((server, ..)) = servers.get(server) else { continue };
                 let report = LoadReport { busy: *busy, in_flight: *held, service_time: service.map(nanos) };
                 let (tries, unanswered, latency) = (*tries, *unanswered, nanos(*latency));
-                steer.met(now, server, &Met { tries, unanswered, latency, report });
+                steer.record_tries(now, server, &TryReport { tries, unanswered, latency, report });
             }
             Line::Demand(_, zone, class, arrived, ..) => {
-                steer.came(now, ZoneId(*zone), ClassId(*class as u8), *arrived);
+                steer.record_demand(now, ZoneId(*zone), ClassId(*class as u8), *arrived);
             }
-            Line::Joined(_, zones) => steer.set_joined(zones.iter().sum()),
+            Line::Joined(_, zones) => steer.set_own_proxies(zones.iter().sum()),
             Line::Server(..)
             | Line::ListFailed(_)
             | Line::Probed(..)
@@ -146,9 +146,9 @@
         }
     }
     if !pending.is_empty() {
-        steer.listed(now, ListScope::Changes, &pending);
+        steer.apply_list(now, ListScope::Changes, &pending);
     }
-    steer.turn(now);
+    steer.update(now);
     explain(&steer, now, &weights::Named(&names))
 }
 
--- a/crates/craneknot-coordinator/src/desk.rs
+++ b/crates/craneknot-coordinator/src/desk.rs
@@ -14,7 +14,7 @@
 use craneknot_fleet::MemberId;
 use craneknot_settings::{CoordinatorSettings, Names};
 use craneknot_solver::explain::{explain, Explanation};
-use craneknot_solver::steer::{Change, Steer};
+use craneknot_solver::tuner::{Change, WeightTuner};
 use craneknot_xds::discovery::{epoch_of, print_of, source_in, DiscoveryRequest, Kind, Node};
 use craneknot_xds::load::LoadStatsRequest;
 use serde::Serialize;
@@ -200,7 +200,7 @@
     channel: Channel<(StreamId, Message)>,
     intake: Intake,
     ledger: Option<Ledger>,
-    steer: Option<Steer>,
+    steer: Option<WeightTuner>,
     judge: Judge,
     streams: BTreeMap<StreamId, Stream>,
     of_proxy: BTreeMap<ProxyId, StreamId>,
@@ -244,7 +244,8 @@
         decider: impl FnOnce(&Settings) -> Box<dyn Decide>,
     ) -> Self {
         let (names, decisions) = settings.decisions();
-        let steer = settings.solver.as_ref().map(|_| Steer::new(weights::of(settings, &decisions), now));
+        let steer =
+            settings.solver.as_ref().map(|_| WeightTuner::new(weights::of(settings, &decisions), now));
         let channel = Channel::new(decisions.channel_lines_per_second);
         let source = format!("{}-{}", settings.name, now.0 / 1_000_000);
         let book = Book::new(
@@ -696,7 +697,7 @@
 
     /// Weights that have changed since the last time.
     pub fn weight_changes(&mut self) -> Vec<Change> {
-        self.steer.as_mut().map(Steer::news).unwrap_or_default()
+        self.steer.as_mut().map(WeightTuner::take_changes).unwrap_or_default()
     }
 
     /// Why servers have the weights they have, where these are found here.
--- a/crates/craneknot-coordinator/src/weights.rs
+++ b/crates/craneknot-coordinator/src/weights.rs
@@ -4,10 +4,10 @@
 use craneknot_settings::{CoordinatorSettings, Names, RuleSettings, SolverSettings};
 use craneknot_solver::estimate::WarmUp;
 use craneknot_solver::explain;
-use craneknot_solver::steer;
+use craneknot_solver::tuner;
 
 /// What a solver is told at its start.
-pub fn of(settings: &CoordinatorSettings, decisions: &Settings) -> steer::Settings {
+pub fn of(settings: &CoordinatorSettings, decisions: &Settings) -> tuner::Settings {
     let solver = settings.solver.clone().unwrap_or_default();
     let (zones, classes) = (&settings.fleet.zones, decisions.classes.clone());
     settings_of(&solver, zones, classes, &settings.rules, decisions.proxies)
@@ -20,15 +20,15 @@
     classes: Vec<ClassSettings>,
     rules: &RuleSettings,
     proxies: u32,
-) -> steer::Settings {
-    steer::Settings {
+) -> tuner::Settings {
+    tuner::Settings {
         classes,
         zones: zones.len(),
         warm_up: WarmUp { cold_share: rules.cold_share, warm_after: rules.warm_after.0 },
         proxies,
-        margin: solver.margin.unwrap_or(steer::MARGIN),
-        churn: solver.churn.unwrap_or(steer::CHURN),
-        crossing: solver.costs(zones, steer::CROSSING),
+        margin: solver.margin.unwrap_or(tuner::DEFAULT_MARGIN),
+        churn: solver.churn.unwrap_or(tuner::DEFAULT_CHURN),
+        crossing: solver.costs(zones, tuner::DEFAULT_CROSSING_COST),
     }
 }
 
--- a/crates/craneknot-solver/examples/solver_figures.rs
+++ b/crates/craneknot-solver/examples/solver_figures.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use craneknot::interface::{KindId, Nanos, ServerId};
-use craneknot_solver::estimate::{Estimator, Told, WarmUp};
+use craneknot_solver::estimate::{Estimator, ListedServer, WarmUp};
 use craneknot_solver::plan::{Class, Fleet, Server};
 use queue::{Queue, PERIOD};
 use rand::{Rng as _, SeedableRng};
@@ -95,10 +95,10 @@
         let mut estimator = Estimator::new(warm_up);
         let id = |number: usize| ServerId(Arc::from(format!("s{number}").as_str()));
         for number in 0..queues.len() {
-            estimator.list(
+            estimator.set_listed(
                 Nanos(0),
                 &id(number),
-                Told { kind: KindId(number as u16), weight: 1.0, started: None },
+                ListedServer { kind: KindId(number as u16), weight: 1.0, started: None },
             );
         }
         let mut at = 0.0;
@@ -113,7 +113,7 @@
             }
             for (number, queue) in queues.iter_mut().enumerate() {
                 if let Some(met) = queue.play(at, rates[number], &mut rng) {
-                    estimator.hear(Nanos::from_secs(at + PERIOD), &id(number), &met);
+                    estimator.record(Nanos::from_secs(at + PERIOD), &id(number), &met);
                 }
             }
             at += PERIOD;
@@ -124,7 +124,7 @@
                     let Some(found) = estimator.capacity(now, &id(number)) else { continue };
                     let (low, high) = found.interval();
                     let truth = truth(queue);
-                    let useful = found.middle * (1.0 - found.loss);
+                    let useful = found.median * (1.0 - found.loss);
                     let slot = ((at - warm) / PERIOD) as usize;
                     by_time[slot.min(40)].push((
                         (useful / truth).ln().abs(),
--- a/crates/craneknot-solver/src/estimate.rs
+++ b/crates/craneknot-solver/src/estimate.rs
@@ -54,7 +54,7 @@
 
 /// What is told of a server, whatever it can do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ListedServer {
     pub kind: KindId,
     /// As listed; 1 where it is not.
     pub weight: f64,
@@ -78,7 +78,7 @@
 
 /// What proxies of one zone met at a server, as one report tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Met {
+pub struct TryReport {
     pub tries: u64,
     pub unanswered: u64,
     /// Mean time of good answers.
@@ -89,26 +89,26 @@
 /// What a server can carry when warm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Operations a second: the middle of what it may be.
-    pub middle: f64,
+    /// Operations a second: the median of what it may be.
+    pub median: f64,
     /// Deviation of its logarithm: 0.1 is about a tenth.
     pub deviation: f64,
     /// Share of its answers that get lost.
     pub loss: f64,
     /// Observations so far.
-    pub seen: u32,
+    pub observations: u32,
 }
 
 impl Capacity {
     /// The bounds between which it lies, 19 times of 20.
     pub fn interval(&self) -> (f64, f64) {
         let wide = (1.96 * self.deviation).exp();
-        (self.middle / wide, self.middle * wide)
+        (self.median / wide, self.median * wide)
     }
 
-    /// What it surely carries, `margin` deviations below the middle, lost answers aside.
-    pub fn sure(&self, margin: f64) -> f64 {
-        self.middle * (-margin * self.deviation).exp() * (1.0 - self.loss)
+    /// What it surely carries, `margin` deviations below the median, lost answers aside.
+    pub fn lower_bound(&self, margin: f64) -> f64 {
+        self.median * (-margin * self.deviation).exp() * (1.0 - self.loss)
     }
 }
 
@@ -118,7 +118,7 @@
     /// It says that it is nearly idle, and answers late.
     IdleAndLate,
     /// It says that it holds nothing or does nothing, and answers late.
-    Nothing,
+    ZeroLoad,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -145,7 +145,7 @@
 
 #[derive(Clone, Debug)]
 struct Server {
-    told: Told,
+    told: ListedServer,
     /// Logarithm of operations a second.
     mean: f64,
     variance: f64,
@@ -182,12 +182,12 @@
     }
 
     /// Which part of all traffic is seen here, for servers that tell nothing of their load.
-    pub fn set_own_part(&mut self, part: f64) {
+    pub fn set_own_share(&mut self, part: f64) {
         self.own_part = part.clamp(1e-3, 1.0);
     }
 
     /// A server is listed; one that has started anew may be another machine under the same name.
-    pub fn list(&mut self, now: Nanos, server: &ServerId, told: Told) {
+    pub fn set_listed(&mut self, now: Nanos, server: &ServerId, told: ListedServer) {
         let known = self.servers.get(server);
         let same =
             known.is_some_and(|known| known.told.kind == told.kind && known.told.started == told.started);
@@ -214,12 +214,12 @@
         self.servers.insert(server.clone(), fresh);
     }
 
-    pub fn forget(&mut self, server: &ServerId) {
+    pub fn remove(&mut self, server: &ServerId) {
         self.servers.remove(server);
     }
 
     /// What the servers seen tell of one that is not: its kind's capacity for a unit of listed weight, or that of all.
-    fn prior(&self, told: &Told) -> (f64, f64) {
+    fn prior(&self, told: &ListedServer) -> (f64, f64) {
         let listed = told.weight.max(1e-6).ln();
         let spread = KIND_SPREAD * KIND_SPREAD;
         match (self.kinds.get(&told.kind), self.all) {
@@ -247,7 +247,7 @@
     }
 
     /// Takes in what proxies met at a server.
-    pub fn hear(&mut self, now: Nanos, id: &ServerId, met: &Met) {
+    pub fn record(&mut self, now: Nanos, id: &ServerId, met: &TryReport) {
         let Some(server) = self.servers.get_mut(id) else { return };
         let batch = &mut server.batch;
         if batch.since.is_some_and(|since| now - since > GAP) {
@@ -352,7 +352,7 @@
         let fade = 0.5f64.powf((now - at).secs() / LOSS_HALF.secs());
         let loss = if tries * fade >= LOSS_TRIES { (lost / tries).min(LOSS_MOST) } else { 0.0 };
         let deviation = (variance + grown).min(UNKNOWN * UNKNOWN).sqrt();
-        Some(Capacity { middle: mean.exp(), deviation, loss, seen: server.seen })
+        Some(Capacity { median: mean.exp(), deviation, loss, observations: server.seen })
     }
 
     /// Why a server's own word does not count now.
@@ -360,7 +360,7 @@
         self.servers.get(id)?.doubt
     }
 
-    pub fn told(&self, id: &ServerId) -> Option<&Told> {
+    pub fn listed_server(&self, id: &ServerId) -> Option<&ListedServer> {
         self.servers.get(id).map(|server| &server.told)
     }
 
@@ -383,7 +383,7 @@
     let (busy, held) = (batch.busy / count, batch.held / count);
     let late = time > LIE * best;
     if busy < BUSY_LEAST || held < HELD_LEAST {
-        return if late { Err(Doubt::Nothing) } else { Ok(None) };
+        return if late { Err(Doubt::ZeroLoad) } else { Ok(None) };
     }
     if busy < IDLE_WORD && late {
         return Err(Doubt::IdleAndLate);
--- a/crates/craneknot-solver/src/explain.rs
+++ b/crates/craneknot-solver/src/explain.rs
@@ -8,7 +8,7 @@
 
 use crate::estimate::Doubt;
 use crate::plan::{Binding, Cost, Fleet, Server};
-use crate::steer::{Change, State, Steer};
+use crate::tuner::{Change, State, WeightTuner};
 
 /// Names of zones, kinds and classes, by their places.
 pub trait Names {
@@ -19,14 +19,14 @@
 
 /// One server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Of {
+pub struct ServerExplanation {
     pub server: String,
     pub zone: String,
     pub kind: String,
     pub listed: f64,
     pub weight: f64,
     pub state: State,
-    /// Operations a second that it carries when warm: the middle, and where it lies 19 times of 20.
+    /// Operations a second that it carries when warm: the median, and where it lies 19 times of 20.
     pub capacity: f64,
     pub interval: (f64, f64),
     pub observations: u32,
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Explanation {
-    pub servers: Vec<Of>,
+    pub servers: Vec<ServerExplanation>,
     pub cost: Option<Cost>,
     /// Operations a second that are asked for and that are shed, by zone and group of classes.
     pub demand: Vec<Vec<f64>>,
@@ -68,29 +68,29 @@
 const LAST: usize = 20; // changes that are told
 
 /// Explains the weights as they stand.
-pub fn explain(steer: &Steer, now: Nanos, names: &dyn Names) -> Explanation {
+pub fn explain(steer: &WeightTuner, now: Nanos, names: &dyn Names) -> Explanation {
     let estimator = steer.estimator();
     let loads = steer.plan().map(|(fleet, plan, ids)| ids.iter().zip(plan.by_server(fleet)));
     let planned: BTreeMap<&ServerId, f64> = loads.into_iter().flatten().collect();
     let one = |id: &ServerId| {
         let (weight, listed, state, doubt) = steer.weight_of(id)?;
         let (listing, found) = (steer.listing(id)?, estimator.capacity(now, id)?);
-        Some(Of {
+        Some(ServerExplanation {
             server: id.0.to_string(),
             zone: names.zone(listing.zone),
             kind: names.kind(listing.kind),
             listed,
             weight,
             state,
-            capacity: found.middle,
+            capacity: found.median,
             interval: found.interval(),
-            observations: found.seen,
+            observations: found.observations,
             loss: found.loss,
             warmth: steer.settings().warm_up.warmth(now, listing.started),
             planned: planned.get(id).copied().unwrap_or(0.0),
             doubt: doubt.map(|doubt| match doubt {
                 Doubt::IdleAndLate => "it says that it is idle, and answers late".to_owned(),
-                Doubt::Nothing => "it says that it does nothing, and answers".to_owned(),
+                Doubt::ZeroLoad => "it says that it does nothing, and answers".to_owned(),
             }),
         })
     };
@@ -107,7 +107,7 @@
         }),
         one_more: plan.map_or(Vec::new(), |(fleet, plan, _)| one_more(fleet, plan.cost.sum(), names)),
         tilts: (0..zones).map(|zone| (names.zone(ZoneId(zone as u16)), steer.tilt(zone))).collect(),
-        plans: steer.counts(),
+        plans: steer.plan_counts(),
         changes: steer.history().count(),
         last: {
             let all: Vec<&Change> = steer.history().collect();
--- a/crates/craneknot-solver/src/steer.rs
+++ b/crates/craneknot-solver/src/tuner.rs
@@ -12,7 +12,7 @@
 use craneknot::interface::*;
 use serde::{Deserialize, Serialize};
 
-use crate::estimate::{Capacity, Doubt, Estimator, Met, Told, WarmUp};
+use crate::estimate::{Capacity, Doubt, Estimator, ListedServer, TryReport, WarmUp};
 use crate::plan::{Class, Fleet, Plan, Server};
 
 const SOLVE_EVERY: Nanos = Nanos::from_millis(2_000); // ms; a few reports must have come
@@ -27,9 +27,9 @@
 const TILT: (f64, f64) = (0.8, 1.25); // bounds of a zone's tilt: its levels rest on weights too
 const TILT_SMOOTH: f64 = 0.3; // part of the way to a new plan's tilt in one solving: ties between plans must not swing
 const DEMAND_HALF: Nanos = Nanos::from_millis(5_000); // ms; half-life of traffic as plans see it
-pub const MARGIN: f64 = 1.0; // deviations kept free where nothing else is set: five of six lie above
-pub const CHURN: f64 = 0.1; // difference worth sending where nothing else is set: what the decisions send a line for
-pub const CROSSING: f64 = 0.2; // cost of a crossing where nothing else is set, in service times: a network's way is short
+pub const DEFAULT_MARGIN: f64 = 1.0; // deviations kept free where nothing else is set: five of six lie above
+pub const DEFAULT_CHURN: f64 = 0.1; // difference worth sending where nothing else is set: what the decisions send a line for
+pub const DEFAULT_CROSSING_COST: f64 = 0.2; // cost of a crossing where nothing else is set, in service times: a network's way is short
 const LEAST_WEIGHT: f64 = 0.02; // of its capacity's: something must be met to be judged by
 const SIZE_MOST: usize = 20_000; // flows of a plan; more would take too long, and zones go untilted
 const HISTORY: usize = 4_096; // changes of weights remembered with their causes
@@ -150,7 +150,7 @@
 }
 
 /// Finds weights.
-pub struct Steer {
+pub struct WeightTuner {
     settings: Settings,
     estimator: Estimator,
     entries: BTreeMap<ServerId, Entry>,
@@ -172,9 +172,9 @@
     solved: u64,
 }
 
-impl Steer {
+impl WeightTuner {
     pub fn new(settings: Settings, now: Nanos) -> Self {
-        Steer {
+        WeightTuner {
             estimator: Estimator::new(settings.warm_up),
             tilts: vec![1.0; settings.zones],
             settings,
@@ -198,7 +198,7 @@
         for event in events.iter_mut() {
             match event {
                 Event::List { scope: ListScope::Failed, .. } => {}
-                Event::List { scope, entries } => *entries = self.listed(now, *scope, entries),
+                Event::List { scope, entries } => *entries = self.apply_list(now, *scope, entries),
                 Event::ProxyJoined { proxy, zone, .. } => {
                     self.proxies.insert(*proxy, *zone);
                 }
@@ -207,11 +207,11 @@
                 }
                 Event::TriesReported { server, tries, unanswered, latency, report, .. } => {
                     let (tries, unanswered, latency, report) = (*tries, *unanswered, *latency, *report);
-                    self.met(now, server, &Met { tries, unanswered, latency, report });
+                    self.record_tries(now, server, &TryReport { tries, unanswered, latency, report });
                 }
                 Event::Demand { proxy, class, arrived, .. } => {
                     if let Some(zone) = self.proxies.get(proxy).copied() {
-                        self.came(now, zone, *class, *arrived);
+                        self.record_demand(now, zone, *class, *arrived);
                     }
                 }
                 Event::ExistingBinding { .. }
@@ -225,29 +225,29 @@
                 | Event::SliceDemand { .. } => {}
             }
         }
-        events.extend(self.turn(now));
+        events.extend(self.update(now));
     }
 
     /// A list came: the same with found weights.
-    pub fn listed(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) -> Arc<[Listing]> {
+    pub fn apply_list(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) -> Arc<[Listing]> {
         if matches!(scope, ListScope::Whole | ListScope::Remembered) {
             let gone: Vec<ServerId> = self.entries.keys().cloned().collect();
             for server in gone.iter().filter(|id| !entries.iter().any(|entry| entry.server == **id)) {
                 self.entries.remove(server);
-                self.estimator.forget(server);
+                self.estimator.remove(server);
             }
         }
         let place = |entry: &Listing| {
             if entry.readiness == Readiness::Removed {
                 self.entries.remove(&entry.server);
-                self.estimator.forget(&entry.server);
+                self.estimator.remove(&entry.server);
                 return entry.clone();
             }
             let weight = entry.weight.filter(|weight| weight.is_finite() && *weight > 0.0).unwrap_or(1.0);
-            self.estimator.list(
+            self.estimator.set_listed(
                 now,
                 &entry.server,
-                Told { kind: entry.kind, weight, started: entry.started },
+                ListedServer { kind: entry.kind, weight, started: entry.started },
             );
             let known = self.entries.get(&entry.server);
             let anew = known.is_none_or(|known| known.listing.started != entry.started);
@@ -268,12 +268,12 @@
     }
 
     /// Proxies met something at a server.
-    pub fn met(&mut self, now: Nanos, server: &ServerId, met: &Met) {
-        self.estimator.hear(now, server, met);
+    pub fn record_tries(&mut self, now: Nanos, server: &ServerId, met: &TryReport) {
+        self.estimator.record(now, server, met);
     }
 
     /// Operations came from proxies of a zone.
-    pub fn came(&mut self, now: Nanos, zone: ZoneId, class: ClassId, arrived: u64) {
+    pub fn record_demand(&mut self, now: Nanos, zone: ZoneId, class: ClassId, arrived: u64) {
         let at = (usize::from(zone.0), usize::from(class.0));
         if at.0 < self.settings.zones && at.1 < self.settings.classes.len() {
             self.demand.entry(at).or_default().add(now, arrived as f64);
@@ -281,7 +281,7 @@
     }
 
     /// How many proxies are this coordinator's own, where they are not told one by one.
-    pub fn set_joined(&mut self, proxies: u32) {
+    pub fn set_own_proxies(&mut self, proxies: u32) {
         self.joined = Some(proxies);
     }
 
@@ -292,8 +292,8 @@
     }
 
     /// Weights that are to change now.
-    pub fn turn(&mut self, now: Nanos) -> Option<Event> {
-        self.estimator.set_own_part(self.own_part());
+    pub fn update(&mut self, now: Nanos) -> Option<Event> {
+        self.estimator.set_own_share(self.own_part());
         let moved = self.estimator.observe(now);
         let due = now >= self.solve_at;
         if due {
@@ -344,7 +344,7 @@
                     from: entry.given,
                     to: wanted,
                     cause,
-                    capacity: capacity.middle,
+                    capacity: capacity.median,
                     deviation: capacity.deviation,
                     loss: capacity.loss,
                     tilt,
@@ -364,7 +364,7 @@
     /// Signs that hold, the strongest first.
     fn sign(&self, now: Nanos, entry: &Entry, away: f64, worth: f64, capacity: &Capacity) -> Vec<Sign> {
         let mut signs = Vec::new();
-        if capacity.seen > 0 && capacity.deviation <= SURE {
+        if capacity.observations > 0 && capacity.deviation <= SURE {
             signs.push(Sign::Settled);
         }
         if away > JUMP.max(JUMP_SURE * capacity.deviation) {
@@ -384,11 +384,11 @@
         }
         let (mut sum, mut count) = (0.0, 0.0);
         for (id, entry) in &self.entries {
-            let Some(found) = self.estimator.capacity(now, id).filter(|found| found.seen > 0) else {
+            let Some(found) = self.estimator.capacity(now, id).filter(|found| found.observations > 0) else {
                 continue;
             };
             let listed = entry.listing.weight.filter(|weight| *weight > 0.0).unwrap_or(1.0);
-            sum += found.middle.ln() - listed.ln();
+            sum += found.median.ln() - listed.ln();
             count += 1.0;
         }
         if count < 1.0 {
@@ -408,7 +408,7 @@
     fn weight(&self, now: Nanos, id: &ServerId, zone: ZoneId, listed: f64, unit: f64) -> f64 {
         let Some(capacity) = self.estimator.capacity(now, id) else { return listed };
         let surely = (-self.settings.margin * capacity.deviation).exp();
-        let stray = (capacity.middle.ln() - unit - listed.ln()).clamp(-STRAY_MOST.ln(), STRAY_MOST.ln());
+        let stray = (capacity.median.ln() - unit - listed.ln()).clamp(-STRAY_MOST.ln(), STRAY_MOST.ln());
         let tilt = self.tilts.get(usize::from(zone.0)).copied().unwrap_or(1.0);
         let found = listed * stray.exp() * tilt;
         let weight = found * surely * (1.0 - capacity.loss);
@@ -450,7 +450,7 @@
             servers.push(Server {
                 zone: usize::from(entry.listing.zone.0),
                 kind: entry.listing.kind.0,
-                capacity: found.sure(self.settings.margin) * warmth,
+                capacity: found.lower_bound(self.settings.margin) * warmth,
             });
             ids.push(id.clone());
         }
@@ -516,13 +516,13 @@
     }
 
     /// Changes since the last time it was asked, as far as they are remembered.
-    pub fn news(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         let count = std::mem::take(&mut self.untold).min(self.history.len());
         self.history.iter().skip(self.history.len() - count).cloned().collect()
     }
 
     /// Plans that were solved, and those that were not.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn plan_counts(&self) -> (u64, u64) {
         (self.solved, self.unsolved)
     }
 
--- a/crates/craneknot-solver/tests/fleet.rs
+++ b/crates/craneknot-solver/tests/fleet.rs
@@ -7,8 +7,10 @@
 use std::sync::Arc;
 
 use craneknot::interface::*;
-use craneknot_solver::estimate::{Doubt, Estimator, Met, Told, WarmUp};
-use craneknot_solver::steer::{Cause, Settings, State, Steer, CHURN, CROSSING, MARGIN};
+use craneknot_solver::estimate::{Doubt, Estimator, ListedServer, TryReport, WarmUp};
+use craneknot_solver::tuner::{
+    Cause, Settings, State, WeightTuner, DEFAULT_CHURN, DEFAULT_CROSSING_COST, DEFAULT_MARGIN,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -20,8 +22,8 @@
     ServerId(Arc::from(format!("10.0.0.{number}:80").as_str()))
 }
 
-fn told(kind: u16, weight: f64, started: Option<f64>) -> Told {
-    Told { kind: KindId(kind), weight, started: started.map(Nanos::from_secs) }
+fn told(kind: u16, weight: f64, started: Option<f64>) -> ListedServer {
+    ListedServer { kind: KindId(kind), weight, started: started.map(Nanos::from_secs) }
 }
 
 /// Plays queues at their rates; calls with the moment after each period.
@@ -38,7 +40,7 @@
     while at < seconds.1 {
         for (number, queue) in queues.iter_mut().enumerate() {
             if let Some(met) = queue.play(at, rates[number], &mut rng) {
-                estimator.hear(Nanos::from_secs(at + PERIOD), &id(number), &met);
+                estimator.record(Nanos::from_secs(at + PERIOD), &id(number), &met);
             }
         }
         at += PERIOD;
@@ -48,7 +50,7 @@
 }
 
 fn found(estimator: &Estimator, at: f64, number: usize) -> f64 {
-    estimator.capacity(Nanos::from_secs(at), &id(number)).unwrap().middle
+    estimator.capacity(Nanos::from_secs(at), &id(number)).unwrap().median
 }
 
 #[test]
@@ -59,12 +61,14 @@
             let mut queues =
                 vec![Queue::new(1, 1.5), Queue::new(2, 1.0), Queue::new(4, 0.8), Queue::new(8, 2.0)];
             let mut estimator = Estimator::new(WARM);
-            (0..4).for_each(|number| estimator.list(Nanos(0), &id(number), told(number as u16, 1.0, None)));
+            (0..4).for_each(|number| {
+                estimator.set_listed(Nanos(0), &id(number), told(number as u16, 1.0, None))
+            });
             let rates: Vec<f64> = queues.iter().map(|queue| fill * queue.capacity()).collect();
             play(&mut estimator, &mut queues, &rates, (0.0, 30.0), seed, |_, _| {});
             for (number, queue) in queues.iter().enumerate() {
                 let capacity = estimator.capacity(Nanos::from_secs(30.0), &id(number)).unwrap();
-                let away = (capacity.middle / queue.capacity()).ln().abs();
+                let away = (capacity.median / queue.capacity()).ln().abs();
                 worst = worst.max(away);
                 assert!(away < 2.0 * error, "seed {seed}, fill {fill}, server {number}: {capacity:?}");
                 let (low, high) = capacity.interval();
@@ -81,7 +85,7 @@
 fn a_halved_server_is_found_out_within_five_seconds() {
     let mut queues = vec![Queue::new(2, 1.0)];
     let mut estimator = Estimator::new(WARM);
-    estimator.list(Nanos(0), &id(0), told(0, 1.0, None));
+    estimator.set_listed(Nanos(0), &id(0), told(0, 1.0, None));
     play(&mut estimator, &mut queues, &[40.0], (0.0, 20.0), 5, |_, _| {});
     assert!((found(&estimator, 20.0, 0) / 100.0).ln().abs() < 0.25);
     queues[0].speed = 0.5;
@@ -96,11 +100,11 @@
     let mut queues = vec![Queue::new(2, 1.0)];
     queues[0].drops = 0.33;
     let mut estimator = Estimator::new(WARM);
-    estimator.list(Nanos(0), &id(0), told(0, 1.0, None));
+    estimator.set_listed(Nanos(0), &id(0), told(0, 1.0, None));
     play(&mut estimator, &mut queues, &[40.0], (0.0, 20.0), 7, |_, _| {});
     let capacity = estimator.capacity(Nanos::from_secs(20.0), &id(0)).unwrap();
     assert!((capacity.loss - 0.33).abs() < 0.12, "{capacity:?}");
-    assert!(capacity.sure(0.0) < 0.8 * capacity.middle);
+    assert!(capacity.lower_bound(0.0) < 0.8 * capacity.median);
 }
 
 /// It says that it is idle while answers come late: its word is not believed, and that is said.
@@ -108,7 +112,7 @@
 fn a_server_that_lies_is_doubted() {
     let mut queues = vec![Queue::new(2, 1.0), Queue::new(2, 1.0)];
     let mut estimator = Estimator::new(WARM);
-    (0..2).for_each(|number| estimator.list(Nanos(0), &id(number), told(0, 1.0, None)));
+    (0..2).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(0, 1.0, None)));
     play(&mut estimator, &mut queues, &[40.0, 40.0], (0.0, 10.0), 8, |_, _| {});
     (queues[1].lies, queues[1].speed) = (true, 0.3);
     play(&mut estimator, &mut queues, &[40.0, 40.0], (10.0, 16.0), 9, |_, _| {});
@@ -124,14 +128,14 @@
     let mut queues: Vec<Queue> = (0..6).map(|k| Queue::new(if k < 3 { 1 } else { 4 }, 1.0)).collect();
     let mut estimator = Estimator::new(WARM);
     let kind = |number: usize| u16::from(number >= 3);
-    (0..6).for_each(|number| estimator.list(Nanos(0), &id(number), told(kind(number), 1.0, None)));
+    (0..6).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(kind(number), 1.0, None)));
     let rates: Vec<f64> = queues.iter().map(|queue| 0.5 * queue.capacity()).collect();
     play(&mut estimator, &mut queues, &rates, (0.0, 15.0), 10, |_, _| {});
-    estimator.list(Nanos::from_secs(15.0), &id(9), told(1, 1.0, Some(15.0)));
+    estimator.set_listed(Nanos::from_secs(15.0), &id(9), told(1, 1.0, Some(15.0)));
     let capacity = estimator.capacity(Nanos::from_secs(15.0), &id(9)).unwrap();
-    assert!((capacity.middle / 200.0).ln().abs() < 0.25, "{capacity:?}");
+    assert!((capacity.median / 200.0).ln().abs() < 0.25, "{capacity:?}");
     assert!((0.1..0.5).contains(&capacity.deviation), "{capacity:?}");
-    assert_eq!(capacity.seen, 0);
+    assert_eq!(capacity.observations, 0);
 }
 
 /// Without any word of the servers' own, times and what passes tell full ones, and idle ones are left as listed.
@@ -140,7 +144,7 @@
     let mut queues = vec![Queue::new(2, 1.0), Queue::new(2, 2.0)];
     queues.iter_mut().for_each(|queue| queue.tells = false);
     let mut estimator = Estimator::new(WARM);
-    (0..2).for_each(|number| estimator.list(Nanos(0), &id(number), told(number as u16, 1.0, None)));
+    (0..2).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(number as u16, 1.0, None)));
     play(&mut estimator, &mut queues, &[30.0, 60.0], (0.0, 10.0), 11, |_, _| {});
     play(&mut estimator, &mut queues, &[96.0, 190.0], (10.0, 40.0), 12, |_, _| {});
     for (number, truth) in [(0, 100.0f64), (1, 200.0)] {
@@ -153,10 +157,10 @@
 #[test]
 fn estimates_of_four_tries_stay_wide() {
     let mut estimator = Estimator::new(WARM);
-    estimator.list(Nanos(0), &id(0), told(0, 1.0, None));
+    estimator.set_listed(Nanos(0), &id(0), told(0, 1.0, None));
     let report = LoadReport { busy: Some(0.1), in_flight: Some(0.2), service_time: None };
-    let met = Met { tries: 4, unanswered: 0, latency: Nanos::from_millis(20), report };
-    estimator.hear(Nanos::from_secs(0.5), &id(0), &met);
+    let met = TryReport { tries: 4, unanswered: 0, latency: Nanos::from_millis(20), report };
+    estimator.record(Nanos::from_secs(0.5), &id(0), &met);
     estimator.observe(Nanos::from_secs(2.6));
     let capacity = estimator.capacity(Nanos::from_secs(2.6), &id(0)).unwrap();
     assert!(capacity.deviation > 0.4, "{capacity:?}");
@@ -177,10 +181,10 @@
         zones,
         warm_up: WARM,
         proxies: 1,
-        margin: MARGIN,
-        churn: CHURN,
+        margin: DEFAULT_MARGIN,
+        churn: DEFAULT_CHURN,
         crossing: (0..zones)
-            .map(|a| (0..zones).map(|b| if a == b { 0.0 } else { CROSSING }).collect())
+            .map(|a| (0..zones).map(|b| if a == b { 0.0 } else { DEFAULT_CROSSING_COST }).collect())
             .collect(),
     }
 }
@@ -219,7 +223,7 @@
 
 /// Plays servers under a steer whose weights split the traffic; how many weights changed.
 fn steered(
-    steer: &mut Steer,
+    steer: &mut WeightTuner,
     held: &mut Held,
     queues: &mut [Queue],
     rate: f64,
@@ -259,8 +263,8 @@
     changes
 }
 
-fn begin(queues: &[Queue]) -> (Steer, Held) {
-    let mut steer = Steer::new(settings(1), Nanos(0));
+fn begin(queues: &[Queue]) -> (WeightTuner, Held) {
+    let mut steer = WeightTuner::new(settings(1), Nanos(0));
     let mut held = Held::default();
     let entries: Arc<[Listing]> = (0..queues.len()).map(|number| listing(number, 0, 1.0, None)).collect();
     let mut events = vec![
@@ -318,15 +322,15 @@
     let mut rng = Pcg32::seed_from_u64(4);
     let mut estimators = [Estimator::new(WARM), Estimator::new(WARM)];
     for estimator in &mut estimators {
-        (0..2).for_each(|number| estimator.list(Nanos(0), &id(number), told(number as u16, 1.0, None)));
+        (0..2).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(number as u16, 1.0, None)));
     }
     for step in 0..60 {
         let at = step as f64 * PERIOD;
         for (number, queue) in queues.iter_mut().enumerate() {
             let Some(met) = queue.play(at, 0.5 * queue.capacity(), &mut rng) else { continue };
             let now = Nanos::from_secs(at + PERIOD);
-            estimators[0].hear(now, &id(number), &met);
-            estimators[1].hear(now, &id(number), &Met { tries: met.tries / 5, ..met });
+            estimators[0].record(now, &id(number), &met);
+            estimators[1].record(now, &id(number), &TryReport { tries: met.tries / 5, ..met });
         }
         estimators.iter_mut().for_each(|one| drop(one.observe(Nanos::from_secs(at + PERIOD))));
     }
@@ -342,7 +346,7 @@
     for seed in 0..60 {
         let run = || {
             let mut rng = Pcg32::seed_from_u64(seed);
-            let mut steer = Steer::new(settings(2), Nanos(0));
+            let mut steer = WeightTuner::new(settings(2), Nanos(0));
             let mut held = Held::default();
             let mut now = Nanos(0);
             for _ in 0..400 {
@@ -400,7 +404,7 @@
 
 #[test]
 fn before_anything_is_known_weights_are_as_listed() {
-    let mut steer = Steer::new(settings(1), Nanos(0));
+    let mut steer = WeightTuner::new(settings(1), Nanos(0));
     let entries: Arc<[Listing]> = [listing(0, 0, 0.7, None)].into();
     let mut events = vec![Event::List { scope: ListScope::Whole, entries: entries.clone() }];
     steer.step(Nanos::from_secs(9.0), &mut events);
--- a/crates/craneknot-solver/tests/queue/mod.rs
+++ b/crates/craneknot-solver/tests/queue/mod.rs
@@ -1,7 +1,7 @@
 //! A server whose capacity is known: a queue of a few cores with exponential work, and what a report would tell of it.
 
 use craneknot::interface::{LoadReport, Nanos};
-use craneknot_solver::estimate::Met;
+use craneknot_solver::estimate::TryReport;
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg32;
@@ -43,7 +43,7 @@
     }
 
     /// A period at so many operations a second; what proxies met.
-    pub fn play(&mut self, from: f64, rate: f64, rng: &mut Pcg32) -> Option<Met> {
+    pub fn play(&mut self, from: f64, rate: f64, rng: &mut Pcg32) -> Option<TryReport> {
         let mut arrivals = Vec::new();
         let mut at = from;
         loop {
@@ -92,6 +92,6 @@
             service_time: None,
         };
         let latency = Nanos::from_secs(time / tries.max(1) as f64);
-        (tries > 0).then_some(Met { tries, unanswered: lost, latency, report })
+        (tries > 0).then_some(TryReport { tries, unanswered: lost, latency, report })
     }
 }
