--- a/crates/craneknot-fleet/src/lib.rs
+++ b/crates/craneknot-fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! Several coordinators, one fleet. Pure state machines: a clock and a seed are passed in, what is to be sent and what
-//! must be saved comes back.
+//! Several coordinators that share one fleet. These are state machines without I/O: the clock and a seed are passed in,
+//! and what to send and what to save is returned.
 //!
-//! - [`swim`]: who is alive, by SWIM with suspicion and incarnation numbers.
-//! - [`raft`]: one history of views for all, by Raft with pre-vote and a leader's lease.
-//! - [`view`]: who is in charge of which proxy in a view, by rendezvous hashing; each view has an epoch.
-//! - [`member`]: one coordinator's part in all that: leases on views, and whether it may order a proxy now.
+//! - [`swim`]: failure detection by SWIM with suspicion and incarnation numbers.
+//! - [`raft`]: a replicated log of views, by Raft with pre-vote and leader lease.
+//! - [`view`]: which coordinator owns which proxy in a view, by rendezvous hashing; each view has an epoch.
+//! - [`member`]: one coordinator as a member: its lease on a view, and whether it may send orders to a proxy now.
 //! - [`wire`]: datagrams between members.
 
 pub mod member;
@@ -18,7 +18,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A coordinator, by its name.
+/// Name of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub Arc<str>);
 
@@ -46,6 +46,6 @@
     }
 }
 
-/// A clock's moment as it travels: only its own sender can make sense of it.
+/// A time by the sender's clock, echoed in replies. It has a meaning only at the member that sent it first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp(pub u64);
--- a/crates/craneknot-fleet/src/member.rs
+++ b/crates/craneknot-fleet/src/member.rs
@@ -1,10 +1,11 @@
-//! One coordinator's part in the fleet: it follows the one history of views, holds a lease on the newest, and tells
-//! whether it may order a proxy now.
+//! One coordinator as a member of the fleet: it follows the replicated log of views, holds a lease on the latest view, and
+//! decides whether it may send orders to a proxy now.
 //!
-//! The leader grants leases, and only while no one else can have become leader. A member acts on a view until its lease
-//! ends by its own clock, allowed to be wrong by the told drift. A new view is settled once every member of the one before
-//! has said that it knows the new one, or its last lease has surely ended on every clock; until then a member acts only on
-//! what is in its charge in both. So no two members are in charge of a proxy at any moment, whatever either believes.
+//! The leader grants leases, and only while no other member can have become leader. A member acts in a view until its lease
+//! ends by its own clock, with an allowance for the configured drift. A new view is settled once every member of the
+//! previous one has confirmed that it knows the new one, or its last lease has ended on every clock; until then a member
+//! acts only for proxies that it owns in both views. So no two members act for one proxy at the same time, whatever either
+//! believes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,10 +17,10 @@
 use crate::wire::{Body, Datagram};
 use crate::{MemberId, Stamp};
 
-const RENEWALS: u64 = 4; // asked for in one lease: three may get lost
-const STEADY: u64 = 2; // heartbeats that the set of the living must stand before a view follows it
+const RENEWALS_PER_LEASE: u64 = 4; // three renewals in a row may get lost
+const STABLE_HEARTBEATS: u64 = 2; // heartbeats for which the set of alive members must be stable before a new view
 
-/// Spans; all members must be told the same.
+/// Durations; they must be the same at all members.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     pub raft: raft::Timing,
@@ -27,76 +28,80 @@
 }
 
 impl Timing {
-    /// All spans from the one that is promised: how long a lease lasts, and how wrong clocks may be.
+    /// Derives all durations from the length of a lease and the maximum clock drift.
     pub fn from_lease(lease: Nanos, drift: f64) -> Self {
         let part = |share: f64| Nanos((lease.0 as f64 * share) as u64);
         Timing {
             raft: raft::Timing { heartbeat: part(0.08), election: part(0.5), drift, lease },
-            swim: swim::Timing { period: part(0.2), answer_within: part(0.07), suspicion: part(0.5) },
+            swim: swim::Timing { period: part(0.2), ack_timeout: part(0.07), suspicion_timeout: part(0.5) },
         }
     }
 }
 
-/// What the owner is to do, in order.
+/// What the caller must do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To be on the disk before what follows is sent.
+    /// State that must be on disk before any later output is sent.
     Save(PersistentState),
     Send(MemberId, Datagram),
-    /// What this member may do has changed.
+    /// The proxies that this member may send orders to have changed.
     OwnershipChanged,
 }
 
-/// Whether this member may order a proxy.
+/// Which member may send orders to a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ownership {
-    /// It may, in that epoch.
+    /// This member, in that epoch.
     Owned(Epoch),
-    /// Another one is in charge, or will be.
+    /// Another member owns the proxy, or will own it.
     OwnedBy(MemberId),
-    /// No one can tell now.
+    /// Not known at the moment.
     Unknown,
 }
 
+/// A lease that this member holds.
 #[derive(Clone, Debug, PartialEq)]
 struct Lease {
     view: View,
-    before: View,
+    previous_view: View,
     settled: bool,
-    /// By our own clock.
+    /// End by the local clock.
     until: Nanos,
 }
 
-/// What a leader keeps of the view that is to be settled.
+/// A leader's record of the leases that may still be held, and of who knows the latest view.
 #[derive(Clone, Debug, Default)]
-struct Ledger {
-    /// When a member's last lease on an older view surely ends.
-    until: BTreeMap<MemberId, Nanos>,
-    /// The same of one that we have granted nothing: what a former leader may have.
-    floor: Nanos,
-    /// Members that know the newest view.
-    know: BTreeSet<MemberId>,
+struct GrantRecord {
+    /// When the last lease granted to a member has ended on every clock.
+    lease_ends: BTreeMap<MemberId, Nanos>,
+    /// When the last lease that a former leader may have granted has ended on every clock.
+    former_leases_end: Nanos,
+    /// Members that know the latest view.
+    informed: BTreeSet<MemberId>,
 }
 
+/// One coordinator as a member of the fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
     me: MemberId,
+    /// The members by the settings.
     members: BTreeSet<MemberId>,
-    /// Those that SWIM looks after.
-    met: BTreeSet<MemberId>,
+    /// The members that SWIM probes.
+    probed_members: BTreeSet<MemberId>,
     timing: Timing,
     raft: Raft,
     swim: Swim,
     lease: Option<Lease>,
-    ledger: Ledger,
-    /// This life's start: what was granted to an earlier one is void.
-    born: Nanos,
-    /// The newest epoch met at proxies, by us or by those that renew.
-    seen: Epoch,
-    /// Since when the living have been as they are.
-    living: (BTreeSet<MemberId>, Nanos),
+    grants: GrantRecord,
+    /// Start of this run; leases requested before it are void.
+    started_at: Nanos,
+    /// The highest epoch seen at proxies, by this member or by those that renew leases here.
+    highest_epoch: Epoch,
+    /// The alive members, and since when the set has not changed.
+    alive_since: (BTreeSet<MemberId>, Nanos),
     renew_at: Nanos,
-    told: Option<(Epoch, bool, bool)>,
+    /// The lease as last reported by [`Output::OwnershipChanged`].
+    reported_lease: Option<(Epoch, bool, bool)>,
 }
 
 impl Member {
@@ -111,25 +116,25 @@
     ) -> Self {
         let raft = Raft::new(me.clone(), members, timing.raft, saved, seed, now);
         let swim = Swim::new(me.clone(), members, timing.swim, incarnation, seed.wrapping_add(1), now);
-        let living = (swim.alive(), now);
+        let alive_since = (swim.alive(), now);
         Member {
             me,
             members: members.clone(),
-            met: members.clone(),
+            probed_members: members.clone(),
             timing,
             raft,
             swim,
             lease: None,
-            ledger: Ledger::default(),
-            born: now,
-            seen: Epoch(0),
-            living,
+            grants: GrantRecord::default(),
+            started_at: now,
+            highest_epoch: Epoch(0),
+            alive_since,
             renew_at: now,
-            told: None,
+            reported_lease: None,
         }
     }
 
-    /// Whether this member may order that proxy now.
+    /// Which member may send orders to that proxy now.
     pub fn ownership(&self, now: Nanos, proxy: &str) -> Ownership {
         let elsewhere = |owner: Option<&MemberId>| match owner {
             Some(owner) if *owner != self.me => Ownership::OwnedBy(owner.clone()),
@@ -141,18 +146,19 @@
         if lease.view.owner_of(proxy) != Some(&self.me) {
             return elsewhere(lease.view.owner_of(proxy));
         }
-        match lease.settled || lease.before.owner_of(proxy) == Some(&self.me) {
+        match lease.settled || lease.previous_view.owner_of(proxy) == Some(&self.me) {
             true => Ownership::Owned(lease.view.epoch),
             false => Ownership::Unknown,
         }
     }
 
-    /// A proxy has followed that epoch: ours must be no older, whatever became of our store.
+    /// Records that a proxy has followed that epoch. The epoch of the next view will be no lower, even if the local store
+    /// was lost.
     pub fn observe_epoch(&mut self, epoch: Epoch) {
-        self.seen = self.seen.max(epoch);
+        self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
-    /// Until when this member may act on what it is in charge of; nothing: it may not.
+    /// Until when this member may act for the proxies that it owns; `None` without a lease.
     pub fn lease_valid_until(&self, now: Nanos) -> Option<Nanos> {
         self.lease.as_ref().map(|lease| lease.until).filter(|until| now < *until)
     }
@@ -185,14 +191,15 @@
         self.swim.health(member)
     }
 
-    /// The epoch acted in, and whether all of it may be acted on.
+    /// The epoch of the current lease, whether its view is settled, and its end.
     pub fn lease(&self) -> Option<(Epoch, bool, Nanos)> {
         self.lease.as_ref().map(|lease| (lease.view.epoch, lease.settled, lease.until))
     }
 
+    /// When [`Member::tick`] is due next.
     pub fn next_at(&self) -> Nanos {
-        // A lease whose end was told asks for nothing more: its end is past.
-        let lease = self.lease.as_ref().filter(|_| self.told.is_some()).map(|lease| lease.until);
+        // The end of a lease counts only until it was reported; after that it lies in the past.
+        let lease = self.lease.as_ref().filter(|_| self.reported_lease.is_some()).map(|lease| lease.until);
         [Some(self.raft.next_at()), Some(self.swim.next_at()), Some(self.renew_at), lease]
             .into_iter()
             .flatten()
@@ -204,25 +211,25 @@
         Datagram { from: self.me.clone(), body }
     }
 
-    /// Time has passed.
+    /// Handles timeouts that are due.
     pub fn tick(&mut self, now: Nanos) -> Vec<Output> {
         let mut out = Vec::new();
-        let steps = self.raft.tick(now);
-        self.carry(now, steps, &mut out);
-        self.meet(now);
+        let outputs = self.raft.tick(now);
+        self.apply_raft_outputs(now, outputs, &mut out);
+        self.update_probed_members(now);
         for (to, message) in self.swim.tick(now) {
             out.push(Output::Send(to, self.datagram(Body::Swim(message))));
         }
         if now >= self.renew_at {
-            self.renew_at = now + Nanos(self.timing.raft.lease.0 / RENEWALS);
-            self.renew(now, &mut out);
+            self.renew_at = now + Nanos(self.timing.raft.lease.0 / RENEWALS_PER_LEASE);
+            self.renew_lease(now, &mut out);
         }
-        self.lead(now, &mut out);
-        self.tell(now, &mut out);
+        self.propose_view(now, &mut out);
+        self.report_lease(now, &mut out);
         out
     }
 
-    /// A datagram has come.
+    /// Handles a datagram from another member.
     pub fn handle(&mut self, now: Nanos, datagram: Datagram) -> Vec<Output> {
         let mut out = Vec::new();
         let from = datagram.from;
@@ -237,177 +244,190 @@
                 }
             }
             Body::Raft(message) => {
-                let steps = self.raft.handle(now, &from, message);
-                self.carry(now, steps, &mut out);
+                let outputs = self.raft.handle(now, &from, message);
+                self.apply_raft_outputs(now, outputs, &mut out);
             }
-            Body::Renew { stamp, knows, seen } => {
-                self.seen = self.seen.max(seen);
-                if let Some(grant) = self.grant(now, &from, stamp, knows) {
+            Body::Renew { stamp, known_epoch, highest_epoch } => {
+                self.highest_epoch = self.highest_epoch.max(highest_epoch);
+                if let Some(grant) = self.grant_lease(now, &from, stamp, known_epoch) {
                     out.push(Output::Send(from, self.datagram(grant)));
                 }
             }
-            Body::Grant { stamp, view, before, settled } => {
-                self.granted(now, Nanos(stamp.0), view, before, settled);
+            Body::Grant { stamp, view, previous_view, settled } => {
+                self.accept_grant(now, Nanos(stamp.0), view, previous_view, settled);
             }
         }
-        self.lead(now, &mut out);
-        self.tell(now, &mut out);
+        self.propose_view(now, &mut out);
+        self.report_lease(now, &mut out);
         out
     }
 
-    fn carry(&mut self, now: Nanos, steps: Vec<raft::Output>, out: &mut Vec<Output>) {
-        for step in steps {
-            match step {
+    fn apply_raft_outputs(&mut self, now: Nanos, outputs: Vec<raft::Output>, out: &mut Vec<Output>) {
+        for output in outputs {
+            match output {
                 raft::Output::Save(saved) => out.push(Output::Save(saved)),
                 raft::Output::Send(to, message) => {
                     let datagram = self.datagram(Body::Raft(message));
                     out.push(Output::Send(to, datagram));
                 }
-                raft::Output::Leads(_) => {
-                    // What a former leader granted is not known: as much as could be, as late as could be.
+                raft::Output::BecameLeader(_) => {
+                    // The grants of a former leader are not known: assume the latest possible ones.
                     let until = now + self.timing.raft.long(self.timing.raft.lease);
-                    self.ledger = Ledger { until: BTreeMap::new(), floor: until, know: BTreeSet::new() };
+                    self.grants = GrantRecord {
+                        lease_ends: BTreeMap::new(),
+                        former_leases_end: until,
+                        informed: BTreeSet::new(),
+                    };
                 }
                 raft::Output::Applied(_) => {
-                    self.ledger.know.clear();
-                    self.note_view(now, out);
+                    self.grants.informed.clear();
+                    self.handle_new_view(now, out);
                 }
             }
         }
     }
 
-    /// A view is certain: our own lease follows at the next grant, which is asked for at once.
-    fn note_view(&mut self, now: Nanos, out: &mut Vec<Output>) {
-        self.renew_at = now + Nanos(self.timing.raft.lease.0 / RENEWALS);
-        self.renew(now, out);
+    /// Requests a lease on a newly committed view at once.
+    fn handle_new_view(&mut self, now: Nanos, out: &mut Vec<Output>) {
+        self.renew_at = now + Nanos(self.timing.raft.lease.0 / RENEWALS_PER_LEASE);
+        self.renew_lease(now, out);
     }
 
-    fn renew(&mut self, now: Nanos, out: &mut Vec<Output>) {
-        let (stamp, knows) = (Stamp(now.0), self.raft.view().epoch);
+    fn renew_lease(&mut self, now: Nanos, out: &mut Vec<Output>) {
+        let (stamp, known_epoch) = (Stamp(now.0), self.raft.view().epoch);
         if self.raft.role() == Role::Leader {
             let me = self.me.clone();
-            if let Some(Body::Grant { stamp, view, before, settled }) = self.grant(now, &me, stamp, knows) {
-                self.granted(now, Nanos(stamp.0), view, before, settled);
+            if let Some(Body::Grant { stamp, view, previous_view, settled }) =
+                self.grant_lease(now, &me, stamp, known_epoch)
+            {
+                self.accept_grant(now, Nanos(stamp.0), view, previous_view, settled);
             }
         } else if let Some(leader) = self.raft.leader().cloned() {
-            // From here on we act on no older view than we say we know.
-            self.forget_older(knows);
-            out.push(Output::Send(leader, self.datagram(Body::Renew { stamp, knows, seen: self.seen })));
+            // After saying that it knows this epoch, a member must not act in an older one.
+            self.drop_older_lease(known_epoch);
+            out.push(Output::Send(
+                leader,
+                self.datagram(Body::Renew { stamp, known_epoch, highest_epoch: self.highest_epoch }),
+            ));
         }
     }
 
-    /// A lease on an older view than the one we know is over: what of it stays in our charge is granted anew.
-    fn forget_older(&mut self, knows: Epoch) {
-        if self.lease.as_ref().is_some_and(|lease| lease.view.epoch < knows) {
+    /// Drops a lease on a view older than the known one; a new lease covers the proxies that this member keeps.
+    fn drop_older_lease(&mut self, known_epoch: Epoch) {
+        if self.lease.as_ref().is_some_and(|lease| lease.view.epoch < known_epoch) {
             self.lease = None;
         }
     }
 
-    /// A leader's grant, where it may give one.
-    fn grant(&mut self, now: Nanos, to: &MemberId, stamp: Stamp, knows: Epoch) -> Option<Body> {
+    /// Grants a lease on the latest view, if this member may do so as leader.
+    fn grant_lease(&mut self, now: Nanos, to: &MemberId, stamp: Stamp, known_epoch: Epoch) -> Option<Body> {
         let view = self.raft.view().clone();
-        // Until an entry of our own term is certain, there may be newer views that we do not know to be so.
-        let leads = self.raft.role() == Role::Leader
+        // Until an entry of the current term is committed, there may be newer committed views that are not known here.
+        let may_grant = self.raft.role() == Role::Leader
             && self.raft.leader_lease_until() > now
-            && self.raft.is_current();
-        if !leads || view.epoch == Epoch(0) {
+            && self.raft.is_term_committed();
+        if !may_grant || view.epoch == Epoch(0) {
             return None;
         }
         if *to == self.me {
-            self.forget_older(knows);
+            self.drop_older_lease(known_epoch);
         }
-        if knows >= view.epoch {
-            self.ledger.know.insert(to.clone());
+        if known_epoch >= view.epoch {
+            self.grants.informed.insert(to.clone());
         }
-        if !view.members.contains(to) || knows < view.epoch {
+        if !view.members.contains(to) || known_epoch < view.epoch {
             return None;
         }
         let settled = self.is_settled(now);
         let until = now + self.timing.raft.long(self.timing.raft.lease);
-        self.ledger.until.insert(to.clone(), until);
-        Some(Body::Grant { stamp, view, before: self.raft.before().clone(), settled })
+        self.grants.lease_ends.insert(to.clone(), until);
+        Some(Body::Grant { stamp, view, previous_view: self.raft.previous_view().clone(), settled })
     }
 
-    /// Every member of the view before knows the newest, or can hold no lease on the one before.
+    /// Whether every member of the previous view knows the latest one, or can no longer hold a lease on the previous one.
     fn is_settled(&self, now: Nanos) -> bool {
-        let over = |member: &MemberId| {
-            let until = self.ledger.until.get(member).copied().unwrap_or(self.ledger.floor);
-            self.ledger.know.contains(member) || until.max(self.ledger.floor) <= now
+        let is_done = |member: &MemberId| {
+            let until = self.grants.lease_ends.get(member).copied().unwrap_or(self.grants.former_leases_end);
+            self.grants.informed.contains(member) || until.max(self.grants.former_leases_end) <= now
         };
-        self.raft.before().members.iter().all(over)
+        self.raft.previous_view().members.iter().all(is_done)
     }
 
-    fn granted(&mut self, now: Nanos, stamp: Nanos, view: View, before: View, settled: bool) {
+    /// Takes over a granted lease, unless it is outdated.
+    fn accept_grant(&mut self, now: Nanos, stamp: Nanos, view: View, previous_view: View, settled: bool) {
         let until = stamp + self.timing.raft.short(self.timing.raft.lease);
-        let older = self.lease.as_ref().is_some_and(|lease| {
+        let is_older = self.lease.as_ref().is_some_and(|lease| {
             lease.view.epoch > view.epoch || lease.view.epoch == view.epoch && lease.until >= until
         });
-        // A grant on its way while we learned of a newer view would have us act on the older.
-        if older || until <= now || view.epoch < self.raft.view().epoch || stamp < self.born {
+        // A grant that was under way when this member learned of a newer view must not make it act in the older one.
+        if is_older || until <= now || view.epoch < self.raft.view().epoch || stamp < self.started_at {
             return;
         }
         let settled = settled || self.lease.as_ref().is_some_and(|l| l.view.epoch == view.epoch && l.settled);
-        self.lease = Some(Lease { view, before, settled, until });
+        self.lease = Some(Lease { view, previous_view, settled, until });
     }
 
-    /// A leader's other duty: a view of those that live.
-    fn lead(&mut self, now: Nanos, out: &mut Vec<Output>) {
+    /// As leader, proposes a view of the alive members.
+    fn propose_view(&mut self, now: Nanos, out: &mut Vec<Output>) {
         self.change_voters(now, out);
         let alive: BTreeSet<MemberId> = self.swim.alive().intersection(&self.members).cloned().collect();
-        if alive != self.living.0 {
-            self.living = (alive, now);
+        if alive != self.alive_since.0 {
+            self.alive_since = (alive, now);
         }
-        let (alive, since) = &self.living;
-        let steady = now - *since >= Nanos(self.timing.raft.heartbeat.0 * STEADY);
+        let (alive, since) = &self.alive_since;
+        let is_stable = now - *since >= Nanos(self.timing.raft.heartbeat.0 * STABLE_HEARTBEATS);
         let view = self.raft.view();
-        let stands = view.members == *alive && view.epoch >= self.seen;
-        if self.raft.role() != Role::Leader || !self.raft.is_settled() || !steady || stands {
+        let is_unchanged = view.members == *alive && view.epoch >= self.highest_epoch;
+        if self.raft.role() != Role::Leader || !self.raft.is_fully_applied() || !is_stable || is_unchanged {
             return;
         }
-        // One view after another: until the newest is settled, no one can say who acts on what.
+        // Views follow one after the other: until the latest is settled, it is not certain who acts for which proxy.
         if view.epoch > Epoch(0) && !self.is_settled(now) {
             return;
         }
-        let above = if self.seen > view.epoch { self.seen } else { Epoch(0) };
-        let steps = self.raft.propose(now, Command::Share { members: alive.clone(), above });
-        self.carry(now, steps, out);
+        let above = if self.highest_epoch > view.epoch { self.highest_epoch } else { Epoch(0) };
+        let outputs = self.raft.propose(now, Command::SetView { members: alive.clone(), above });
+        self.apply_raft_outputs(now, outputs, out);
     }
 
-    /// Settings name other members than vote: one change at a time, the next once it is certain.
+    /// As leader, brings the voters in line with the members in the settings, one change at a time, each once the one
+    /// before is committed.
     fn change_voters(&mut self, now: Nanos, out: &mut Vec<Output>) {
-        let may = self.raft.role() == Role::Leader && self.raft.is_current() && !self.raft.is_changing();
-        if !may || *self.raft.voters() == self.members {
+        let may_change = self.raft.role() == Role::Leader
+            && self.raft.is_term_committed()
+            && !self.raft.is_changing_voters();
+        if !may_change || *self.raft.voters() == self.members {
             return;
         }
         let mut voters = self.raft.voters().clone();
         let alive = self.swim.alive();
-        // One that does not live yet would be a voter that cannot vote.
-        let new =
+        // A member that is not alive yet would be a voter that cannot vote.
+        let added =
             self.members.iter().find(|member| !voters.contains(*member) && alive.contains(*member)).cloned();
-        let old =
+        let removed =
             voters.iter().find(|member| !self.members.contains(*member) && **member != self.me).cloned();
-        match (new, old) {
-            (Some(new), _) => voters.insert(new),
-            (None, Some(old)) => voters.remove(&old),
+        match (added, removed) {
+            (Some(added), _) => voters.insert(added),
+            (None, Some(removed)) => voters.remove(&removed),
             (None, None) => return,
         };
-        let steps = self.raft.propose(now, Command::Voters(voters));
-        self.carry(now, steps, out);
+        let outputs = self.raft.propose(now, Command::SetVoters(voters));
+        self.apply_raft_outputs(now, outputs, out);
     }
 
-    /// Settings name another set of members.
+    /// Replaces the set of members by the one in the settings.
     pub fn set_members(&mut self, now: Nanos, members: &BTreeSet<MemberId>) {
         self.members = members.clone();
-        self.meet(now);
+        self.update_probed_members(now);
     }
 
-    /// Those that vote are probed and answered too, though settings no longer name them: else one that leads and is to go
-    /// would hold all others for dead.
-    fn meet(&mut self, now: Nanos) {
+    /// Probes the voters as well as the members in the settings. Otherwise a leader that the settings no longer name would
+    /// hold all others to be dead.
+    fn update_probed_members(&mut self, now: Nanos) {
         let all: BTreeSet<MemberId> = self.members.union(self.raft.voters()).cloned().collect();
-        if all != self.met {
+        if all != self.probed_members {
             self.swim.set_members(&all, now);
-            self.met = all;
+            self.probed_members = all;
         }
     }
 
@@ -415,11 +435,12 @@
         self.raft.voters()
     }
 
-    fn tell(&mut self, now: Nanos, out: &mut Vec<Output>) {
+    /// Reports a change of the lease.
+    fn report_lease(&mut self, now: Nanos, out: &mut Vec<Output>) {
         let lease = self.lease.as_ref().filter(|lease| now < lease.until);
-        let told = lease.map(|lease| (lease.view.epoch, lease.settled, true));
-        if told != self.told {
-            self.told = told;
+        let state = lease.map(|lease| (lease.view.epoch, lease.settled, true));
+        if state != self.reported_lease {
+            self.reported_lease = state;
             out.push(Output::OwnershipChanged);
         }
     }
--- a/crates/craneknot-fleet/src/raft.rs
+++ b/crates/craneknot-fleet/src/raft.rs
@@ -1,8 +1,8 @@
-//! One history of views for all members, by Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-//! Algorithm", 2014; pre-vote and leader lease by Ongaro's thesis, 4.2.3, 6.4 and 9.6).
+//! A replicated log of views, agreed by Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+//! Algorithm", 2014; pre-vote and leader lease follow Ongaro's thesis, 4.2.3, 6.4 and 9.6).
 //!
-//! The owner hands in messages and the time. What comes back must be carried out in order: a [`Output::Save`] is to be on
-//! the disk before anything after it is sent.
+//! The caller passes in messages and the time, and must carry out the returned outputs in order: the state of an
+//! [`Output::Save`] must be on disk before any later output is sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,107 +14,139 @@
 use crate::view::{Epoch, History, View};
 use crate::{MemberId, Stamp};
 
-const KEPT: usize = 32; // applied entries kept for members that lag; one further back gets the view itself
-static NO_ONE: BTreeSet<MemberId> = BTreeSet::new();
+const COMPACTION_BATCH: usize = 32; // applied entries kept for lagging followers; one further back gets the snapshot
+static NO_MEMBERS: BTreeSet<MemberId> = BTreeSet::new();
 
-const BATCH: usize = 16; // entries in one message: it must fit a datagram
+const MAX_ENTRIES_PER_MESSAGE: usize = 16; // the message must fit into one datagram
 
-/// Spans; all members must be told the same.
+/// Durations; they must be the same at all members.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
+    /// Interval between heartbeats of the leader.
     pub heartbeat: Nanos,
-    /// Without a word of a leader for so long, at the least, no one stands for election or votes.
+    /// Minimum election timeout: a member that had contact with a leader within it neither starts an election nor votes.
     pub election: Nanos,
-    /// Clocks run at most this much faster or slower than true time, as a share.
+    /// Maximum deviation of a clock's rate from true time, as a fraction.
     pub drift: f64,
-    /// How long a member may act on one grant, by its own clock, before allowance for drift.
+    /// How long a lease lasts after it was requested, by the holder's clock, before the allowance for drift.
     pub lease: Nanos,
 }
 
 impl Timing {
-    /// A span that has surely not passed on any clock when `span` has on ours.
+    /// `span` shortened by the possible drift: when this has passed on the local clock, `span` has not yet passed on any
+    /// other clock.
     pub fn short(&self, span: Nanos) -> Nanos {
         Nanos((span.0 as f64 * (1.0 - self.drift) / (1.0 + self.drift)) as u64)
     }
 
-    /// A span after which `span` has surely passed on every clock.
+    /// `span` extended by the possible drift: when this has passed on the local clock, `span` has passed on every clock.
     pub fn long(&self, span: Nanos) -> Nanos {
         Nanos((span.0 as f64 * (1.0 + self.drift) / (1.0 - self.drift)).ceil() as u64)
     }
 }
 
-/// One step of the history.
+/// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A leader's first: it commits what came before it.
-    Nothing,
-    /// These share the proxies from now on, in an epoch later than that.
-    Share { members: BTreeSet<MemberId>, above: Epoch },
-    /// These vote from now on, one more or one fewer than before. It counts from the moment it is in the log (thesis,
-    /// 4.1): two majorities that differ by one member always have one in common.
-    Voters(BTreeSet<MemberId>),
+    /// The first entry of a leader's term, which commits the entries before it.
+    #[serde(rename = "Nothing")]
+    Noop,
+    /// Starts a view of these members, with an epoch later than `above`.
+    #[serde(rename = "Share")]
+    SetView { members: BTreeSet<MemberId>, above: Epoch },
+    /// Sets the voters, with one added or one removed. It takes effect as soon as it is in the log (thesis, 4.1):
+    /// majorities of two sets of voters that differ by one member always overlap.
+    #[serde(rename = "Voters")]
+    SetVoters(BTreeSet<MemberId>),
 }
 
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
     pub command: Command,
 }
 
-/// What must survive a kill. A whole new one takes the place of the old.
+/// The state that must survive a crash. Each save replaces the previous one as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistentState {
     pub term: u64,
-    pub vote: Option<MemberId>,
-    /// What the first `base` entries led to, and the term of the last of these.
-    pub base: u64,
-    pub base_term: u64,
+    /// The candidate that received this member's vote in `term`.
+    #[serde(rename = "vote")]
+    pub voted_for: Option<MemberId>,
+    /// Index of the last log entry that `history` includes.
+    #[serde(rename = "base")]
+    pub snapshot_index: u64,
+    /// Term of that entry.
+    #[serde(rename = "base_term")]
+    pub snapshot_term: u64,
+    /// The snapshot: the result of all entries up to `snapshot_index`.
     pub history: History,
+    /// The entries after the snapshot.
     pub log: Vec<Entry>,
 }
 
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in that term?
-    Canvass {
+    /// Asks whether the receiver would vote for the sender in that term.
+    #[serde(rename = "Canvass")]
+    PreVote {
         term: u64,
-        last: u64,
-        last_term: u64,
+        #[serde(rename = "last")]
+        last_log_index: u64,
+        #[serde(rename = "last_term")]
+        last_log_term: u64,
     },
-    Inclined {
+    #[serde(rename = "Inclined")]
+    PreVoteReply {
         term: u64,
-        yes: bool,
+        #[serde(rename = "yes")]
+        granted: bool,
     },
-    Ask {
+    #[serde(rename = "Ask")]
+    RequestVote {
         term: u64,
-        last: u64,
-        last_term: u64,
+        #[serde(rename = "last")]
+        last_log_index: u64,
+        #[serde(rename = "last_term")]
+        last_log_term: u64,
     },
-    Vote {
+    #[serde(rename = "Vote")]
+    VoteReply {
         term: u64,
-        yes: bool,
+        #[serde(rename = "yes")]
+        granted: bool,
     },
-    Append {
+    #[serde(rename = "Append")]
+    AppendEntries {
         term: u64,
-        prev: u64,
+        #[serde(rename = "prev")]
+        prev_index: u64,
         prev_term: u64,
         entries: Vec<Entry>,
         commit: u64,
         stamp: Stamp,
     },
-    /// For one that lags further than the log goes back.
-    Install {
+    /// The snapshot, for a follower that needs entries from before the start of the leader's log.
+    #[serde(rename = "Install")]
+    InstallSnapshot {
         term: u64,
-        base: u64,
-        base_term: u64,
+        #[serde(rename = "base")]
+        snapshot_index: u64,
+        #[serde(rename = "base_term")]
+        snapshot_term: u64,
         history: History,
         stamp: Stamp,
     },
-    /// `matched`: all up to there is the same; not `ok`: go back to there.
-    Appended {
+    /// `match_index`: on success the logs agree up to that index; otherwise the leader continues after that index.
+    #[serde(rename = "Appended")]
+    AppendReply {
         term: u64,
-        ok: bool,
-        matched: u64,
+        #[serde(rename = "ok")]
+        success: bool,
+        #[serde(rename = "matched")]
+        match_index: u64,
         stamp: Stamp,
     },
 }
@@ -122,65 +154,73 @@
 impl Message {
     fn term(&self) -> u64 {
         match self {
-            Message::Canvass { term, .. }
-            | Message::Inclined { term, .. }
-            | Message::Ask { term, .. }
-            | Message::Vote { term, .. }
-            | Message::Append { term, .. }
-            | Message::Install { term, .. }
-            | Message::Appended { term, .. } => *term,
+            Message::PreVote { term, .. }
+            | Message::PreVoteReply { term, .. }
+            | Message::RequestVote { term, .. }
+            | Message::VoteReply { term, .. }
+            | Message::AppendEntries { term, .. }
+            | Message::InstallSnapshot { term, .. }
+            | Message::AppendReply { term, .. } => *term,
         }
     }
 }
 
+/// What the caller must do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// To be on the disk before what follows is sent.
+    /// State that must be on disk before any later output is sent.
     Save(PersistentState),
     Send(MemberId, Message),
-    /// A view is certain from now on.
+    /// A view was committed.
     Applied(View),
-    /// This member leads, from now on, in that term.
-    Leads(u64),
+    /// This member became leader of that term.
+    BecameLeader(u64),
 }
 
+/// A member's role in Raft.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Follower,
-    /// Asks whether others would vote.
+    /// Runs a pre-vote.
     Canvasser,
     Candidate,
     Leader,
 }
 
+/// A leader's knowledge of a follower's log.
 #[derive(Clone, Debug)]
-struct Peer {
-    next: u64,
-    matched: u64,
-    /// The latest stamp of ours that it has answered.
-    answered: Option<Nanos>,
+struct PeerProgress {
+    next_index: u64,
+    match_index: u64,
+    /// When the latest message that the follower has replied to was sent, by the local clock.
+    last_acked: Option<Nanos>,
 }
 
+/// One member's Raft state machine.
 #[derive(Clone, Debug)]
 pub struct Raft {
     me: MemberId,
-    /// Those that vote, this one left out.
+    /// The voters other than this member.
     peers: BTreeSet<MemberId>,
     timing: Timing,
     saved: PersistentState,
+    /// `saved` has changed since it was last put out.
     dirty: bool,
     role: Role,
     leader: Option<MemberId>,
     votes: BTreeSet<MemberId>,
-    others: BTreeMap<MemberId, Peer>,
+    progress: BTreeMap<MemberId, PeerProgress>,
+    /// Index of the last committed entry.
     commit: u64,
+    /// Index of the last applied entry.
     applied: u64,
     history: History,
-    /// Since when no leader has been heard; a start counts as hearing one, since what was promised before is not known.
-    heard: Nanos,
-    stand_at: Nanos,
-    led_since: Nanos,
-    beat_at: Nanos,
+    /// Last contact with a leader, or at a leader with a follower. A start counts as contact, since promises made before
+    /// it are not known.
+    last_contact_at: Nanos,
+    election_at: Nanos,
+    leader_since: Nanos,
+    heartbeat_at: Nanos,
     rng: Pcg32,
 }
 
@@ -194,50 +234,51 @@
         now: Nanos,
     ) -> Self {
         let mut saved = saved;
-        // A first life: who votes is what its settings say, and stays so until the log says otherwise, whatever later
-        // settings name. Else two halves of a fleet could start from sets with no member in common.
-        let begins = saved.history.voters.is_none();
+        // On the first start the voters are the members in the settings, and only the log changes them after that,
+        // whatever later settings name. Otherwise two halves of a fleet could start from sets without a common member.
+        let is_first_start = saved.history.voters.is_none();
         saved.history.voters.get_or_insert_with(|| members.clone());
         let mut raft = Raft {
             me,
             peers: BTreeSet::new(),
             timing,
-            dirty: begins,
+            dirty: is_first_start,
             role: Role::Follower,
             leader: None,
             votes: BTreeSet::new(),
-            others: BTreeMap::new(),
-            commit: saved.base,
-            applied: saved.base,
+            progress: BTreeMap::new(),
+            commit: saved.snapshot_index,
+            applied: saved.snapshot_index,
             history: saved.history.clone(),
-            heard: now,
-            stand_at: now,
-            led_since: now,
-            beat_at: now,
+            last_contact_at: now,
+            election_at: now,
+            leader_since: now,
+            heartbeat_at: now,
             rng: Pcg32::seed_from_u64(seed),
             saved,
         };
-        raft.note_voters();
-        raft.put_off(now);
+        raft.refresh_peers();
+        raft.reset_election_timer(now);
         raft
     }
 
-    /// Those that vote, by the newest word of the log, certain or not.
+    /// The voters by the latest entry of the log, committed or not.
     pub fn voters(&self) -> &BTreeSet<MemberId> {
-        let told = self.saved.log.iter().rev().find_map(|entry| match &entry.command {
-            Command::Voters(voters) => Some(voters),
-            Command::Nothing | Command::Share { .. } => None,
+        let from_log = self.saved.log.iter().rev().find_map(|entry| match &entry.command {
+            Command::SetVoters(voters) => Some(voters),
+            Command::Noop | Command::SetView { .. } => None,
         });
-        told.or(self.saved.history.voters.as_ref()).unwrap_or(&NO_ONE)
+        from_log.or(self.saved.history.voters.as_ref()).unwrap_or(&NO_MEMBERS)
     }
 
-    /// A change of those that vote is under way.
-    pub fn is_changing(&self) -> bool {
-        let from = (self.commit - self.saved.base) as usize;
-        self.saved.log[from..].iter().any(|entry| matches!(entry.command, Command::Voters(_)))
+    /// Whether a change of the voters is not yet committed.
+    pub fn is_changing_voters(&self) -> bool {
+        let from = (self.commit - self.saved.snapshot_index) as usize;
+        self.saved.log[from..].iter().any(|entry| matches!(entry.command, Command::SetVoters(_)))
     }
 
-    fn note_voters(&mut self) {
+    /// Sets the peers to the current voters; a leader keeps the progress of those that stay.
+    fn refresh_peers(&mut self) {
         let mut peers = self.voters().clone();
         peers.remove(&self.me);
         if peers == self.peers {
@@ -245,16 +286,17 @@
         }
         self.peers = peers;
         if self.role == Role::Leader {
-            let next = self.last() + 1;
-            let new = |id: &MemberId| (id.clone(), Peer { next, matched: 0, answered: None });
-            let held = std::mem::take(&mut self.others);
-            self.others = self.peers.iter().map(new).collect();
-            let kept = held.into_iter().filter(|(id, _)| self.peers.contains(id)).collect::<Vec<_>>();
-            self.others.extend(kept);
+            let next_index = self.last_index() + 1;
+            let new =
+                |id: &MemberId| (id.clone(), PeerProgress { next_index, match_index: 0, last_acked: None });
+            let old = std::mem::take(&mut self.progress);
+            self.progress = self.peers.iter().map(new).collect();
+            let kept = old.into_iter().filter(|(id, _)| self.peers.contains(id)).collect::<Vec<_>>();
+            self.progress.extend(kept);
         }
     }
 
-    /// One that was left out neither stands nor votes for itself.
+    /// Whether this member is a voter; other members never stand for election.
     fn is_voter(&self) -> bool {
         self.voters().contains(&self.me)
     }
@@ -271,94 +313,99 @@
         self.leader.as_ref()
     }
 
-    /// The newest view that is certain.
+    /// The latest committed view.
     pub fn view(&self) -> &View {
         &self.history.view
     }
 
-    /// The view before it.
-    pub fn before(&self) -> &View {
-        &self.history.before
+    /// The view before the latest committed one.
+    pub fn previous_view(&self) -> &View {
+        &self.history.previous_view
     }
 
-    /// All that earlier leaders made certain is known to be so: an entry of our own term is certain.
-    pub fn is_current(&self) -> bool {
+    /// Whether an entry of the current term is committed. Then everything that earlier leaders committed is known to be
+    /// committed.
+    pub fn is_term_committed(&self) -> bool {
         self.term_at(self.commit) == Some(self.saved.term)
     }
 
-    /// Every command so far is certain.
-    pub fn is_settled(&self) -> bool {
-        self.applied == self.last()
+    /// Whether every entry of the log is committed and applied.
+    pub fn is_fully_applied(&self) -> bool {
+        self.applied == self.last_index()
     }
 
-    /// Entries that are certain, by their place, for checks.
-    pub fn certain(&self) -> impl Iterator<Item = (u64, &Entry)> {
-        let base = self.saved.base;
-        let places = self.saved.log.iter().enumerate().map(move |(k, entry)| (base + k as u64 + 1, entry));
-        places.take_while(move |(place, _)| *place <= self.commit)
+    /// The committed entries after the snapshot with their indexes, for checks in tests.
+    pub fn committed_entries(&self) -> impl Iterator<Item = (u64, &Entry)> {
+        let base = self.saved.snapshot_index;
+        let indexed = self.saved.log.iter().enumerate().map(move |(k, entry)| (base + k as u64 + 1, entry));
+        indexed.take_while(move |(index, _)| *index <= self.commit)
     }
 
-    fn last(&self) -> u64 {
-        self.saved.base + self.saved.log.len() as u64
+    fn last_index(&self) -> u64 {
+        self.saved.snapshot_index + self.saved.log.len() as u64
     }
 
-    fn term_at(&self, place: u64) -> Option<u64> {
-        if place == self.saved.base {
-            return Some(self.saved.base_term);
+    fn term_at(&self, index: u64) -> Option<u64> {
+        if index == self.saved.snapshot_index {
+            return Some(self.saved.snapshot_term);
         }
-        let place = usize::try_from(place.checked_sub(self.saved.base + 1)?).ok()?;
-        self.saved.log.get(place).map(|entry| entry.term)
+        let index = usize::try_from(index.checked_sub(self.saved.snapshot_index + 1)?).ok()?;
+        self.saved.log.get(index).map(|entry| entry.term)
     }
 
     fn last_term(&self) -> u64 {
-        self.term_at(self.last()).unwrap_or(0)
+        self.term_at(self.last_index()).unwrap_or(0)
     }
 
     fn majority(&self) -> usize {
         self.peers.len().div_ceil(2) + 1
     }
 
-    /// From so many votes on, one's own included, no other majority is possible.
+    /// Whether that many votes, including the member's own, are a majority.
     fn is_majority(&self, votes: usize) -> bool {
         2 * votes > self.peers.len() + 1
     }
 
-    fn put_off(&mut self, now: Nanos) {
+    /// Starts a new election timeout, at random between one and two times the minimum.
+    fn reset_election_timer(&mut self, now: Nanos) {
         let span = self.timing.election.0;
-        self.stand_at = now + Nanos(span + self.rng.random_range(0..=span));
+        self.election_at = now + Nanos(span + self.rng.random_range(0..=span));
     }
 
-    /// While a leader was heard lately, no one else is voted for: its lease rests on that.
-    fn is_bound(&self, now: Nanos) -> bool {
+    /// Whether there was contact with a leader within the minimum election timeout. Meanwhile this member votes for no
+    /// one, which is what the leader's lease relies on.
+    fn has_recent_leader(&self, now: Nanos) -> bool {
         self.role == Role::Leader && self.leader_lease_until() > now
-            || now - self.heard < self.timing.election
+            || now - self.last_contact_at < self.timing.election
     }
 
-    /// Until when, by our clock, no one else can have become leader. Nothing (long past) where we do not lead.
+    /// Until when, by the local clock, no other member can have become leader. Zero at a member that is not the leader.
     pub fn leader_lease_until(&self) -> Nanos {
         if self.role != Role::Leader {
             return Nanos(0);
         }
-        // Our own word counts as of now, so that of the others the majority's last one is needed.
+        // The leader itself counts as having replied now, so one reply fewer than a majority is needed from the others.
         let mut answered: Vec<Nanos> =
-            self.others.values().map(|peer| peer.answered.unwrap_or(Nanos(0))).collect();
+            self.progress.values().map(|peer| peer.last_acked.unwrap_or(Nanos(0))).collect();
         answered.sort_by(|a, b| b.cmp(a));
         let needed = self.majority() - 1;
-        match needed.checked_sub(1).map(|place| answered.get(place).copied().unwrap_or(Nanos(0))) {
+        match needed.checked_sub(1).map(|index| answered.get(index).copied().unwrap_or(Nanos(0))) {
             None => Nanos(u64::MAX / 2),
             Some(Nanos(0)) => Nanos(0),
             Some(answered) => answered + self.timing.short(self.timing.election),
         }
     }
 
+    /// When [`Raft::tick`] is due next.
     pub fn next_at(&self) -> Nanos {
         match self.role {
-            Role::Leader => self.beat_at,
-            Role::Follower | Role::Canvasser | Role::Candidate => self.stand_at,
+            Role::Leader => self.heartbeat_at,
+            Role::Follower | Role::Canvasser | Role::Candidate => self.election_at,
         }
     }
 
-    fn finish(&mut self, mut outputs: Vec<Output>) -> Vec<Output> {
+    /// Applies committed entries, and puts changed state before all other outputs.
+    fn finish_outputs(&mut self, mut outputs: Vec<Output>) -> Vec<Output> {
         self.apply(&mut outputs);
         if std::mem::take(&mut self.dirty) {
             outputs.insert(0, Output::Save(self.saved.clone()));
@@ -366,256 +413,270 @@
         outputs
     }
 
-    /// Time has passed.
+    /// Handles timeouts that are due.
     pub fn tick(&mut self, now: Nanos) -> Vec<Output> {
         let mut outputs = Vec::new();
         match self.role {
-            Role::Leader if now >= self.beat_at => {
-                self.beat_at = now + self.timing.heartbeat;
-                // One that cannot reach a majority for long leads no one.
-                if self.leader_lease_until().max(self.led_since) + self.timing.election < now {
-                    self.follow(now, self.saved.term, None);
+            Role::Leader if now >= self.heartbeat_at => {
+                self.heartbeat_at = now + self.timing.heartbeat;
+                // A leader without contact to a majority for an election timeout steps down.
+                if self.leader_lease_until().max(self.leader_since) + self.timing.election < now {
+                    self.become_follower(now, self.saved.term, None);
                 } else {
-                    self.send_all(now, &mut outputs);
+                    self.send_append_to_all(now, &mut outputs);
                 }
             }
-            Role::Follower | Role::Canvasser | Role::Candidate if now >= self.stand_at => {
+            Role::Follower | Role::Canvasser | Role::Candidate if now >= self.election_at => {
                 if self.is_voter() {
-                    self.canvass(now, &mut outputs);
+                    self.start_pre_vote(now, &mut outputs);
                 } else {
-                    self.put_off(now);
+                    self.reset_election_timer(now);
                 }
             }
             Role::Leader | Role::Follower | Role::Canvasser | Role::Candidate => {}
         }
-        self.finish(outputs)
+        self.finish_outputs(outputs)
     }
 
-    fn canvass(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
-        self.put_off(now);
+    fn start_pre_vote(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
+        self.reset_election_timer(now);
         self.role = Role::Canvasser;
         self.leader = None;
         self.votes = BTreeSet::from([self.me.clone()]);
         if self.is_majority(self.votes.len()) {
-            return self.stand(now, outputs);
+            return self.start_election(now, outputs);
         }
-        let message =
-            Message::Canvass { term: self.saved.term + 1, last: self.last(), last_term: self.last_term() };
+        let message = Message::PreVote {
+            term: self.saved.term + 1,
+            last_log_index: self.last_index(),
+            last_log_term: self.last_term(),
+        };
         outputs.extend(self.peers.iter().map(|peer| Output::Send(peer.clone(), message.clone())));
     }
 
-    fn stand(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
-        self.put_off(now);
+    fn start_election(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
+        self.reset_election_timer(now);
         self.role = Role::Candidate;
         self.saved.term += 1;
-        self.saved.vote = Some(self.me.clone());
+        self.saved.voted_for = Some(self.me.clone());
         self.dirty = true;
         self.votes = BTreeSet::from([self.me.clone()]);
         if self.is_majority(self.votes.len()) {
-            return self.lead(now, outputs);
+            return self.become_leader(now, outputs);
         }
-        let message = Message::Ask { term: self.saved.term, last: self.last(), last_term: self.last_term() };
+        let message = Message::RequestVote {
+            term: self.saved.term,
+            last_log_index: self.last_index(),
+            last_log_term: self.last_term(),
+        };
         outputs.extend(self.peers.iter().map(|peer| Output::Send(peer.clone(), message.clone())));
     }
 
-    fn lead(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
+    fn become_leader(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
         self.role = Role::Leader;
         self.leader = Some(self.me.clone());
-        (self.heard, self.led_since) = (now, now);
-        let next = self.last() + 1;
-        let peer = |id: &MemberId| (id.clone(), Peer { next, matched: 0, answered: None });
-        self.others = self.peers.iter().map(peer).collect();
-        outputs.push(Output::Leads(self.saved.term));
-        self.push(Command::Nothing);
-        self.beat_at = now + self.timing.heartbeat;
-        self.send_all(now, outputs);
-    }
-
-    fn push(&mut self, command: Command) {
+        (self.last_contact_at, self.leader_since) = (now, now);
+        let next_index = self.last_index() + 1;
+        let peer =
+            |id: &MemberId| (id.clone(), PeerProgress { next_index, match_index: 0, last_acked: None });
+        self.progress = self.peers.iter().map(peer).collect();
+        outputs.push(Output::BecameLeader(self.saved.term));
+        self.append_command(Command::Noop);
+        self.heartbeat_at = now + self.timing.heartbeat;
+        self.send_append_to_all(now, outputs);
+    }
+
+    fn append_command(&mut self, command: Command) {
         self.saved.log.push(Entry { term: self.saved.term, command });
         self.dirty = true;
-        self.note_voters();
-        self.count();
+        self.refresh_peers();
+        self.advance_commit();
     }
 
-    /// Wishes for the next step of the history; only a leader can.
+    /// Appends a command to the log; does nothing at a member that is not the leader.
     pub fn propose(&mut self, now: Nanos, command: Command) -> Vec<Output> {
         if self.role != Role::Leader {
             return Vec::new();
         }
         let mut outputs = Vec::new();
-        self.push(command);
-        self.send_all(now, &mut outputs);
-        self.finish(outputs)
+        self.append_command(command);
+        self.send_append_to_all(now, &mut outputs);
+        self.finish_outputs(outputs)
     }
 
-    fn follow(&mut self, now: Nanos, term: u64, leader: Option<MemberId>) {
+    fn become_follower(&mut self, now: Nanos, term: u64, leader: Option<MemberId>) {
         if term > self.saved.term {
             self.saved.term = term;
-            self.saved.vote = None;
+            self.saved.voted_for = None;
             self.dirty = true;
         }
         if self.role != Role::Follower {
-            self.put_off(now);
+            self.reset_election_timer(now);
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.others.clear();
+        self.progress.clear();
     }
 
-    fn send_all(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
+    fn send_append_to_all(&mut self, now: Nanos, outputs: &mut Vec<Output>) {
         for peer in self.peers.clone() {
-            self.send(now, &peer, outputs);
+            self.send_append(now, &peer, outputs);
         }
     }
 
-    fn send(&mut self, now: Nanos, to: &MemberId, outputs: &mut Vec<Output>) {
-        let Some(peer) = self.others.get(to) else { return };
+    fn send_append(&mut self, now: Nanos, to: &MemberId, outputs: &mut Vec<Output>) {
+        let Some(peer) = self.progress.get(to) else { return };
         let (term, stamp, commit) = (self.saved.term, Stamp(now.0), self.commit);
-        let prev = peer.next - 1;
-        let message = match self.term_at(prev) {
+        let prev_index = peer.next_index - 1;
+        let message = match self.term_at(prev_index) {
             Some(prev_term) => {
-                let from = (prev - self.saved.base) as usize;
-                let entries = self.saved.log[from..].iter().take(BATCH).cloned().collect();
-                Message::Append { term, prev, prev_term, entries, commit, stamp }
+                let from = (prev_index - self.saved.snapshot_index) as usize;
+                let entries = self.saved.log[from..].iter().take(MAX_ENTRIES_PER_MESSAGE).cloned().collect();
+                Message::AppendEntries { term, prev_index, prev_term, entries, commit, stamp }
             }
             None => {
-                let PersistentState { base, base_term, history, .. } = self.saved.clone();
-                Message::Install { term, base, base_term, history, stamp }
+                let PersistentState { snapshot_index, snapshot_term, history, .. } = self.saved.clone();
+                Message::InstallSnapshot { term, snapshot_index, snapshot_term, history, stamp }
             }
         };
         outputs.push(Output::Send(to.clone(), message));
     }
 
-    /// A message has come.
+    /// Handles a message from another member.
     pub fn handle(&mut self, now: Nanos, from: &MemberId, message: Message) -> Vec<Output> {
-        // Also of those that our log does not name as voters: a log may lag behind who leads and who votes.
+        // Messages of members that are not voters by the local log are handled too: the log may lag behind the current
+        // leader and voters.
         let mut outputs = Vec::new();
-        let (term, mine) = (message.term(), self.saved.term);
-        // Canvassing changes no one's term; a vote asked for while a leader is heard is not even looked at.
-        let quiet = match &message {
-            Message::Canvass { .. } => true,
-            Message::Inclined { yes, .. } => *yes,
-            Message::Ask { .. } => self.is_bound(now),
-            Message::Vote { .. }
-            | Message::Append { .. }
-            | Message::Install { .. }
-            | Message::Appended { .. } => false,
+        let (term, own_term) = (message.term(), self.saved.term);
+        // A pre-vote changes no term, nor does a vote request while there is contact with a leader.
+        let keeps_term = match &message {
+            Message::PreVote { .. } => true,
+            Message::PreVoteReply { granted, .. } => *granted,
+            Message::RequestVote { .. } => self.has_recent_leader(now),
+            Message::VoteReply { .. }
+            | Message::AppendEntries { .. }
+            | Message::InstallSnapshot { .. }
+            | Message::AppendReply { .. } => false,
         };
-        if term > mine && !quiet {
-            self.follow(now, term, None);
+        if term > own_term && !keeps_term {
+            self.become_follower(now, term, None);
         }
         match message {
-            Message::Canvass { term, last, last_term } => {
-                let yes = term > self.saved.term && !self.is_bound(now) && self.is_no_older(last, last_term);
-                let term = if yes { term } else { self.saved.term };
-                outputs.push(Output::Send(from.clone(), Message::Inclined { term, yes }));
+            Message::PreVote { term, last_log_index, last_log_term } => {
+                let granted = term > self.saved.term
+                    && !self.has_recent_leader(now)
+                    && self.is_log_up_to_date(last_log_index, last_log_term);
+                let term = if granted { term } else { self.saved.term };
+                outputs.push(Output::Send(from.clone(), Message::PreVoteReply { term, granted }));
             }
-            Message::Inclined { term, yes: true }
-                if self.role == Role::Canvasser && term == mine + 1 && self.peers.contains(from) =>
+            Message::PreVoteReply { term, granted: true }
+                if self.role == Role::Canvasser && term == own_term + 1 && self.peers.contains(from) =>
             {
                 self.votes.insert(from.clone());
                 if self.is_majority(self.votes.len()) {
-                    self.stand(now, &mut outputs);
+                    self.start_election(now, &mut outputs);
                 }
             }
-            Message::Inclined { .. } => {}
-            Message::Ask { term, last, last_term } => {
-                let free = self.saved.vote.as_ref().is_none_or(|vote| vote == from);
-                let yes = term == self.saved.term
-                    && free
+            Message::PreVoteReply { .. } => {}
+            Message::RequestVote { term, last_log_index, last_log_term } => {
+                let may_vote = self.saved.voted_for.as_ref().is_none_or(|vote| vote == from);
+                let granted = term == self.saved.term
+                    && may_vote
                     && self.role == Role::Follower
-                    && !self.is_bound(now)
-                    && self.is_no_older(last, last_term);
-                if yes {
-                    self.dirty |= self.saved.vote.is_none();
-                    self.saved.vote = Some(from.clone());
-                    self.put_off(now);
+                    && !self.has_recent_leader(now)
+                    && self.is_log_up_to_date(last_log_index, last_log_term);
+                if granted {
+                    self.dirty |= self.saved.voted_for.is_none();
+                    self.saved.voted_for = Some(from.clone());
+                    self.reset_election_timer(now);
                 }
-                outputs.push(Output::Send(from.clone(), Message::Vote { term: self.saved.term, yes }));
+                outputs
+                    .push(Output::Send(from.clone(), Message::VoteReply { term: self.saved.term, granted }));
             }
-            Message::Vote { term, yes: true }
+            Message::VoteReply { term, granted: true }
                 if self.role == Role::Candidate && term == self.saved.term && self.peers.contains(from) =>
             {
                 self.votes.insert(from.clone());
                 if self.is_majority(self.votes.len()) {
-                    self.lead(now, &mut outputs);
+                    self.become_leader(now, &mut outputs);
                 }
             }
-            Message::Vote { .. } => {}
-            Message::Append { term, prev, prev_term, entries, commit, stamp } => {
+            Message::VoteReply { .. } => {}
+            Message::AppendEntries { term, prev_index, prev_term, entries, commit, stamp } => {
                 let answer = if term < self.saved.term {
-                    Message::Appended { term: self.saved.term, ok: false, matched: 0, stamp }
+                    Message::AppendReply { term: self.saved.term, success: false, match_index: 0, stamp }
                 } else {
-                    self.hear_leader(now, from);
-                    let (ok, matched) = self.append(prev, prev_term, entries);
-                    if ok {
-                        self.commit = self.commit.max(commit.min(matched));
+                    self.accept_leader(now, from);
+                    let (success, match_index) = self.append_entries(prev_index, prev_term, entries);
+                    if success {
+                        self.commit = self.commit.max(commit.min(match_index));
                     }
-                    Message::Appended { term, ok, matched, stamp }
+                    Message::AppendReply { term, success, match_index, stamp }
                 };
                 outputs.push(Output::Send(from.clone(), answer));
             }
-            Message::Install { term, base, base_term, history, stamp } => {
+            Message::InstallSnapshot { term, snapshot_index, snapshot_term, history, stamp } => {
                 if term >= self.saved.term {
-                    self.hear_leader(now, from);
-                    if base > self.commit {
-                        let keeps = self.term_at(base) == Some(base_term);
-                        let held = (base - self.saved.base) as usize;
-                        let log = if keeps { self.saved.log.split_off(held) } else { Vec::new() };
-                        (self.saved.base, self.saved.base_term, self.saved.log) = (base, base_term, log);
+                    self.accept_leader(now, from);
+                    if snapshot_index > self.commit {
+                        let is_prefix = self.term_at(snapshot_index) == Some(snapshot_term);
+                        let covered = (snapshot_index - self.saved.snapshot_index) as usize;
+                        let log = if is_prefix { self.saved.log.split_off(covered) } else { Vec::new() };
+                        (self.saved.snapshot_index, self.saved.snapshot_term, self.saved.log) =
+                            (snapshot_index, snapshot_term, log);
                         self.saved.history = history.clone();
-                        (self.commit, self.applied, self.history) = (base, base, history);
+                        (self.commit, self.applied, self.history) = (snapshot_index, snapshot_index, history);
                         self.dirty = true;
-                        self.note_voters();
+                        self.refresh_peers();
                         outputs.push(Output::Applied(self.history.view.clone()));
                     }
-                    let matched = self.commit.max(base);
-                    let answer = Message::Appended { term, ok: true, matched, stamp };
+                    let match_index = self.commit.max(snapshot_index);
+                    let answer = Message::AppendReply { term, success: true, match_index, stamp };
                     outputs.push(Output::Send(from.clone(), answer));
                 }
             }
-            Message::Appended { term, ok, matched, stamp } => {
+            Message::AppendReply { term, success, match_index, stamp } => {
                 if self.role == Role::Leader && term == self.saved.term {
-                    self.appended(now, from, ok, matched, stamp, &mut outputs);
+                    self.handle_append_reply(now, from, success, match_index, stamp, &mut outputs);
                 }
             }
         }
-        self.finish(outputs)
+        self.finish_outputs(outputs)
     }
 
-    fn is_no_older(&self, last: u64, last_term: u64) -> bool {
-        (last_term, last) >= (self.last_term(), self.last())
+    fn is_log_up_to_date(&self, last_log_index: u64, last_log_term: u64) -> bool {
+        (last_log_term, last_log_index) >= (self.last_term(), self.last_index())
     }
 
-    fn hear_leader(&mut self, now: Nanos, leader: &MemberId) {
-        self.follow(now, self.saved.term, Some(leader.clone()));
-        self.heard = now;
-        self.put_off(now);
+    fn accept_leader(&mut self, now: Nanos, leader: &MemberId) {
+        self.become_follower(now, self.saved.term, Some(leader.clone()));
+        self.last_contact_at = now;
+        self.reset_election_timer(now);
     }
 
-    /// Takes entries in after `prev`; up to where all is the same, or where to go back to.
-    fn append(&mut self, prev: u64, prev_term: u64, entries: Vec<Entry>) -> (bool, u64) {
-        // What lies before the base is certain, and so the same.
-        let skip = self.saved.base.saturating_sub(prev).min(entries.len() as u64);
-        if prev + skip < self.saved.base {
-            return (true, self.saved.base);
+    /// Appends entries after `prev`. Returns whether the logs agree there, and the last index up to which they agree
+    /// or, if they do not, the index after which the leader should continue.
+    fn append_entries(&mut self, prev: u64, prev_term: u64, entries: Vec<Entry>) -> (bool, u64) {
+        // Entries in the snapshot are committed, and so the same at the leader.
+        let skipped = self.saved.snapshot_index.saturating_sub(prev).min(entries.len() as u64);
+        if prev + skipped < self.saved.snapshot_index {
+            return (true, self.saved.snapshot_index);
         }
-        let (prev, prev_term) = match skip {
+        let (prev, prev_term) = match skipped {
             0 => (prev, prev_term),
-            skip => (prev + skip, entries[skip as usize - 1].term),
+            skipped => (prev + skipped, entries[skipped as usize - 1].term),
         };
         match self.term_at(prev) {
             Some(term) if term == prev_term => {}
-            Some(_) | None => return (false, self.last().min(prev.saturating_sub(1)).max(self.commit)),
+            Some(_) | None => return (false, self.last_index().min(prev.saturating_sub(1)).max(self.commit)),
         }
-        let mut place = prev;
-        for entry in entries.into_iter().skip(skip as usize) {
-            place += 1;
-            match self.term_at(place) {
+        let mut index = prev;
+        for entry in entries.into_iter().skip(skipped as usize) {
+            index += 1;
+            match self.term_at(index) {
                 Some(term) if term == entry.term => {}
                 Some(_) => {
-                    self.saved.log.truncate((place - self.saved.base - 1) as usize);
+                    self.saved.log.truncate((index - self.saved.snapshot_index - 1) as usize);
                     self.saved.log.push(entry);
                     self.dirty = true;
                 }
@@ -625,86 +686,88 @@
                 }
             }
         }
-        self.note_voters();
-        (true, place)
+        self.refresh_peers();
+        (true, index)
     }
 
-    fn appended(
+    fn handle_append_reply(
         &mut self,
         now: Nanos,
         from: &MemberId,
-        ok: bool,
-        matched: u64,
+        success: bool,
+        match_index: u64,
         stamp: Stamp,
         outputs: &mut Vec<Output>,
     ) {
-        let Some(peer) = self.others.get_mut(from) else { return };
-        self.heard = now;
-        peer.answered = peer.answered.max(Some(Nanos(stamp.0)));
-        if ok {
-            peer.matched = peer.matched.max(matched);
-            peer.next = peer.matched + 1;
+        let Some(peer) = self.progress.get_mut(from) else { return };
+        self.last_contact_at = now;
+        peer.last_acked = peer.last_acked.max(Some(Nanos(stamp.0)));
+        if success {
+            peer.match_index = peer.match_index.max(match_index);
+            peer.next_index = peer.match_index + 1;
         } else {
-            peer.next = (matched + 1).min(peer.next).max(peer.matched + 1);
+            peer.next_index = (match_index + 1).min(peer.next_index).max(peer.match_index + 1);
         }
-        let behind = peer.matched < self.last();
+        let is_behind = peer.match_index < self.last_index();
         let before = self.commit;
-        self.count();
-        if behind && (!ok || self.others.get(from).is_some_and(|peer| peer.next <= self.last())) {
-            self.send(now, from, outputs);
+        self.advance_commit();
+        if is_behind
+            && (!success || self.progress.get(from).is_some_and(|peer| peer.next_index <= self.last_index()))
+        {
+            self.send_append(now, from, outputs);
         }
         if self.commit > before {
-            // The others learn at once: a takeover waits for it.
-            self.send_all(now, outputs);
+            // Followers get the commit index at once, since takeovers wait for it.
+            self.send_append_to_all(now, outputs);
         }
     }
 
-    /// What a majority has, of this term, is certain.
-    fn count(&mut self) {
-        let mut matched: Vec<u64> = self.others.values().map(|peer| peer.matched).collect();
-        matched.push(self.last());
-        matched.sort_unstable_by(|a, b| b.cmp(a));
-        let place = matched[self.majority() - 1];
-        if place > self.commit && self.term_at(place) == Some(self.saved.term) {
-            self.commit = place;
+    /// Commits entries of the current term that a majority holds.
+    fn advance_commit(&mut self) {
+        let mut match_indexes: Vec<u64> = self.progress.values().map(|peer| peer.match_index).collect();
+        match_indexes.push(self.last_index());
+        match_indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let index = match_indexes[self.majority() - 1];
+        if index > self.commit && self.term_at(index) == Some(self.saved.term) {
+            self.commit = index;
         }
     }
 
     fn apply(&mut self, outputs: &mut Vec<Output>) {
         while self.applied < self.commit {
             self.applied += 1;
-            let place = (self.applied - self.saved.base - 1) as usize;
-            match &self.saved.log[place].command {
-                Command::Nothing => {}
-                Command::Voters(voters) => self.history.voters = Some(voters.clone()),
-                Command::Share { members, above } => {
-                    self.history.share(members.clone(), *above);
+            let index = (self.applied - self.saved.snapshot_index - 1) as usize;
+            match &self.saved.log[index].command {
+                Command::Noop => {}
+                Command::SetVoters(voters) => self.history.voters = Some(voters.clone()),
+                Command::SetView { members, above } => {
+                    self.history.advance_view(members.clone(), *above);
                     outputs.push(Output::Applied(self.history.view.clone()));
                 }
             }
         }
-        self.fold();
+        self.compact();
     }
 
-    /// Old entries that are certain become the view they led to.
-    fn fold(&mut self) {
-        let spare = (self.applied - self.saved.base) as usize;
-        if spare < 2 * KEPT {
+    /// Moves old applied entries into the snapshot.
+    fn compact(&mut self) {
+        let applied_entries = (self.applied - self.saved.snapshot_index) as usize;
+        if applied_entries < 2 * COMPACTION_BATCH {
             return;
         }
-        for entry in self.saved.log.drain(..KEPT).collect::<Vec<Entry>>() {
+        for entry in self.saved.log.drain(..COMPACTION_BATCH).collect::<Vec<Entry>>() {
             match entry.command {
-                Command::Nothing => {}
-                Command::Voters(voters) => self.saved.history.voters = Some(voters),
-                Command::Share { members, above } => self.saved.history.share(members, above),
+                Command::Noop => {}
+                Command::SetVoters(voters) => self.saved.history.voters = Some(voters),
+                Command::SetView { members, above } => self.saved.history.advance_view(members, above),
             }
-            self.saved.base += 1;
-            self.saved.base_term = entry.term;
+            self.saved.snapshot_index += 1;
+            self.saved.snapshot_term = entry.term;
         }
         self.dirty = true;
     }
 
-    /// What is saved, for checks and for the owner's own copy.
+    /// The state as it is to be saved, for checks and for the caller's own copy.
     pub fn saved(&self) -> &PersistentState {
         &self.saved
     }
--- a/crates/craneknot-fleet/src/swim.rs
+++ b/crates/craneknot-fleet/src/swim.rs
@@ -1,6 +1,7 @@
-//! Who is alive, by SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002): each period one member is probed, then through others, then suspected for a while; news
-//! rides on probes; a member that is suspected refutes it with a higher incarnation.
+//! Failure detection by SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! Membership Protocol", 2002). Each period one member is pinged, directly and then through others; one that does not
+//! reply is suspected for a while before it is declared dead. Updates are piggybacked on these messages, and a suspected
+//! member refutes the suspicion with a higher incarnation.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,21 +13,22 @@
 
 use crate::MemberId;
 
-const HELPERS: usize = 2; // members asked to probe in our stead: the paper's k; 3 members have no more to give
-const RUMOURS: usize = 8; // pieces of news on one message: it must fit a datagram
-const SPREAD: u32 = 3; // times the logarithm of the members that a piece of news is told: the paper's lambda
+const INDIRECT_PROBES: usize = 2; // members asked to ping on our behalf, the paper's k; a group of 3 has no more to ask
+const MAX_UPDATES_PER_MESSAGE: usize = 8; // the message must fit into one datagram
+const RETRANSMIT_FACTOR: u32 = 3; // an update is sent this many times the logarithm of the group size: the paper's lambda
 
-/// Spans; members may differ in them.
+/// Durations; members may use different ones.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// One probe each.
+    /// Protocol period: one member is probed in each.
     pub period: Nanos,
-    /// Without an answer for so long, others are asked; the rest of the period is theirs.
-    pub answer_within: Nanos,
-    /// A suspect that does not refute it for so long is dead.
-    pub suspicion: Nanos,
+    /// After this time without a reply others are asked to ping the target, for the rest of the period.
+    pub ack_timeout: Nanos,
+    /// A suspect that does not refute the suspicion within this time is declared dead.
+    pub suspicion_timeout: Nanos,
 }
 
+/// Health of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
     Alive,
@@ -34,96 +36,108 @@
     Dead,
 }
 
-/// A piece of news. Of two about one member the later incarnation counts, then the worse word.
+/// A gossiped update on a member's health. Of two updates on one member the one with the higher incarnation wins, then
+/// the one with the worse health.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct GossipUpdate {
     pub member: MemberId,
     pub incarnation: u64,
     pub health: Health,
 }
 
+/// Kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
-    Probe,
-    /// Probe that one in my stead.
-    Help {
-        target: MemberId,
-    },
-    Answer,
-    /// The one that you asked me to probe answers.
-    Helped {
-        target: MemberId,
-    },
+pub enum MessageKind {
+    #[serde(rename = "Probe")]
+    Ping,
+    /// Asks the receiver to ping the target on the sender's behalf.
+    #[serde(rename = "Help")]
+    PingRequest { target: MemberId },
+    #[serde(rename = "Answer")]
+    Ack,
+    /// Tells that the target of a [`MessageKind::PingRequest`] has replied.
+    #[serde(rename = "Helped")]
+    IndirectAck { target: MemberId },
 }
 
+/// A message between members, with gossip piggybacked on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    pub number: u64,
-    pub word: Word,
-    pub rumours: Vec<Rumour>,
+    #[serde(rename = "number")]
+    pub sequence: u64,
+    #[serde(rename = "word")]
+    pub kind: MessageKind,
+    #[serde(rename = "rumours")]
+    pub gossip: Vec<GossipUpdate>,
 }
 
-/// How a member stands, from a table of what is known and what is heard.
+/// What a received update does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
-    /// Old news.
-    Nothing,
-    /// Take it, and tell others.
-    Spread,
-    /// Take it, tell others, and wait whether it is refuted.
-    Doubt,
+    /// The update is out of date.
+    Ignore,
+    /// The update is applied and gossiped.
+    Apply,
+    /// The update is applied and gossiped, and the suspicion timeout starts.
+    Suspect,
 }
 
-/// What is known, what is heard, whether its incarnation is later, the same or earlier: the effect. The paper's order:
-/// alive i overrides anything before i; suspect i overrides alive up to i; dead overrides all up to i, and a member that
-/// comes back does so with a later incarnation.
-const MOVES: &[(Health, Health, [Effect; 3])] = &[
-    // known, heard, [later, same, earlier]
-    (Health::Alive, Health::Alive, [Effect::Spread, Effect::Nothing, Effect::Nothing]),
-    (Health::Alive, Health::Suspect, [Effect::Doubt, Effect::Doubt, Effect::Nothing]),
-    (Health::Alive, Health::Dead, [Effect::Spread, Effect::Spread, Effect::Nothing]),
-    (Health::Suspect, Health::Alive, [Effect::Spread, Effect::Nothing, Effect::Nothing]),
-    (Health::Suspect, Health::Suspect, [Effect::Doubt, Effect::Nothing, Effect::Nothing]),
-    (Health::Suspect, Health::Dead, [Effect::Spread, Effect::Spread, Effect::Nothing]),
-    (Health::Dead, Health::Alive, [Effect::Spread, Effect::Nothing, Effect::Nothing]),
-    (Health::Dead, Health::Suspect, [Effect::Doubt, Effect::Nothing, Effect::Nothing]),
-    (Health::Dead, Health::Dead, [Effect::Spread, Effect::Nothing, Effect::Nothing]),
+/// Peer health, health in the update, and the effect by whether the update's incarnation is higher, equal or lower. The
+/// order is the paper's: alive i overrides anything below i, suspect i overrides alive up to i, dead overrides all up to
+/// i, and a member that returns does so with a higher incarnation.
+const TRANSITIONS: &[(Health, Health, [Effect; 3])] = &[
+    // known, update, [higher, equal, lower]
+    (Health::Alive, Health::Alive, [Effect::Apply, Effect::Ignore, Effect::Ignore]),
+    (Health::Alive, Health::Suspect, [Effect::Suspect, Effect::Suspect, Effect::Ignore]),
+    (Health::Alive, Health::Dead, [Effect::Apply, Effect::Apply, Effect::Ignore]),
+    (Health::Suspect, Health::Alive, [Effect::Apply, Effect::Ignore, Effect::Ignore]),
+    (Health::Suspect, Health::Suspect, [Effect::Suspect, Effect::Ignore, Effect::Ignore]),
+    (Health::Suspect, Health::Dead, [Effect::Apply, Effect::Apply, Effect::Ignore]),
+    (Health::Dead, Health::Alive, [Effect::Apply, Effect::Ignore, Effect::Ignore]),
+    (Health::Dead, Health::Suspect, [Effect::Suspect, Effect::Ignore, Effect::Ignore]),
+    (Health::Dead, Health::Dead, [Effect::Apply, Effect::Ignore, Effect::Ignore]),
 ];
 
+/// What is known of another member.
 #[derive(Clone, Debug)]
-struct Known {
+struct Peer {
     health: Health,
     incarnation: u64,
-    /// When it was suspected.
-    since: Nanos,
+    /// Start of the last suspicion.
+    suspected_at: Nanos,
 }
 
+/// The probe of the current period.
 #[derive(Clone, Debug)]
 struct Probe {
-    number: u64,
+    sequence: u64,
     target: MemberId,
-    helped: bool,
-    sent: Nanos,
+    /// Others were asked to ping the target.
+    is_indirect: bool,
+    sent_at: Nanos,
 }
 
+/// One member's failure detector.
 #[derive(Clone, Debug)]
 pub struct Swim {
     me: MemberId,
     timing: Timing,
     incarnation: u64,
-    members: BTreeMap<MemberId, Known>,
-    round: VecDeque<MemberId>,
+    members: BTreeMap<MemberId, Peer>,
+    /// Members still to be probed in this round, in random order.
+    probe_order: VecDeque<MemberId>,
     probe: Option<Probe>,
-    /// Those we probe in another's stead: our number, for whom, and their number.
-    helping: BTreeMap<u64, (MemberId, u64, MemberId)>,
-    rumours: Vec<(Rumour, u32)>,
-    next_number: u64,
+    /// Pings sent on behalf of others, by their sequence number here: the requester, its sequence sequence, the target.
+    relayed_pings: BTreeMap<u64, (MemberId, u64, MemberId)>,
+    /// Updates to gossip, with how often each was sent.
+    gossip: Vec<(GossipUpdate, u32)>,
+    last_sequence: u64,
     period_at: Nanos,
     rng: Pcg32,
 }
 
 impl Swim {
-    /// `incarnation` must be later than that of any earlier life under this name: the start's date serves.
+    /// `incarnation` must be higher than that of any earlier run under this name; the time of the start will do.
     pub fn new(
         me: MemberId,
         members: &BTreeSet<MemberId>,
@@ -133,33 +147,34 @@
         now: Nanos,
     ) -> Self {
         let others = members.iter().filter(|member| **member != me);
-        let known =
-            |member: &MemberId| (member.clone(), Known { health: Health::Alive, incarnation: 0, since: now });
+        let peer =
+            |id: &MemberId| (id.clone(), Peer { health: Health::Alive, incarnation: 0, suspected_at: now });
         let mut swim = Swim {
-            members: others.map(known).collect(),
+            members: others.map(peer).collect(),
             timing,
             incarnation,
-            round: VecDeque::new(),
+            probe_order: VecDeque::new(),
             probe: None,
-            helping: BTreeMap::new(),
-            rumours: Vec::new(),
-            next_number: 0,
+            relayed_pings: BTreeMap::new(),
+            gossip: Vec::new(),
+            last_sequence: 0,
             period_at: now,
             rng: Pcg32::seed_from_u64(seed),
             me,
         };
-        // A life that begins anew tells so: what was said of the last one no longer holds.
+        // A restarted member announces itself, since updates on its previous run no longer hold.
         let (member, incarnation) = (swim.me.clone(), swim.incarnation);
-        swim.tell(Rumour { member, incarnation, health: Health::Alive });
+        swim.queue_update(GossipUpdate { member, incarnation, health: Health::Alive });
         swim
     }
 
-    /// Those held to be alive, this one included. Suspects still count.
+    /// The members that are not dead, including this one. Suspects count as alive.
     pub fn alive(&self) -> BTreeSet<MemberId> {
         let others = self.members.iter().filter(|(_, known)| known.health != Health::Dead);
         others.map(|(member, _)| member.clone()).chain([self.me.clone()]).collect()
     }
 
+    /// The health of a member; `None` if it is not a member.
     pub fn health(&self, member: &MemberId) -> Option<Health> {
         match *member == self.me {
             true => Some(Health::Alive),
@@ -167,178 +182,194 @@
         }
     }
 
-    /// Settings name another set of members.
+    /// Replaces the set of members; known ones keep their state.
     pub fn set_members(&mut self, members: &BTreeSet<MemberId>, now: Nanos) {
         self.members.retain(|member, _| members.contains(member));
         for member in members.iter().filter(|member| **member != self.me) {
-            let known = Known { health: Health::Alive, incarnation: 0, since: now };
+            let known = Peer { health: Health::Alive, incarnation: 0, suspected_at: now };
             self.members.entry(member.clone()).or_insert(known);
         }
     }
 
-    fn tell(&mut self, rumour: Rumour) {
-        self.rumours.retain(|(old, _)| old.member != rumour.member);
-        self.rumours.push((rumour, 0));
+    /// Queues an update for gossip, in place of an older one on the same member.
+    fn queue_update(&mut self, update: GossipUpdate) {
+        self.gossip.retain(|(old, _)| old.member != update.member);
+        self.gossip.push((update, 0));
     }
 
-    /// The news told least often so far.
-    fn news(&mut self) -> Vec<Rumour> {
-        let most = SPREAD * (usize::BITS - self.members.len().leading_zeros() + 1);
-        self.rumours.sort_by_key(|(_, told)| *told);
-        let told = self.rumours.iter_mut().take(RUMOURS).map(|(rumour, told)| {
-            *told += 1;
-            rumour.clone()
+    /// The updates that were sent least often so far.
+    fn select_updates(&mut self) -> Vec<GossipUpdate> {
+        let max_sends = RETRANSMIT_FACTOR * (usize::BITS - self.members.len().leading_zeros() + 1);
+        self.gossip.sort_by_key(|(_, sends)| *sends);
+        let updates = self.gossip.iter_mut().take(MAX_UPDATES_PER_MESSAGE).map(|(update, sends)| {
+            *sends += 1;
+            update.clone()
         });
-        let told = told.collect();
-        self.rumours.retain(|(_, told)| *told < most);
-        told
+        let updates = updates.collect();
+        self.gossip.retain(|(_, sends)| *sends < max_sends);
+        updates
     }
 
-    fn message(&mut self, word: Word, number: u64) -> Message {
-        Message { number, word, rumours: self.news() }
+    fn message(&mut self, kind: MessageKind, sequence: u64) -> Message {
+        Message { sequence, kind, gossip: self.select_updates() }
     }
 
+    /// When [`Swim::tick`] is due next.
     pub fn next_at(&self) -> Nanos {
-        let helped = self.probe.as_ref().filter(|probe| !probe.helped);
-        let helped = helped.map(|probe| probe.sent + self.timing.answer_within);
+        let ack = self.probe.as_ref().filter(|probe| !probe.is_indirect);
+        let ack = ack.map(|probe| probe.sent_at + self.timing.ack_timeout);
         let suspects = self.members.values().filter(|known| known.health == Health::Suspect);
-        let suspects = suspects.map(|known| known.since + self.timing.suspicion);
-        suspects.chain(helped).chain([self.period_at]).min().unwrap_or(self.period_at)
+        let suspects = suspects.map(|known| known.suspected_at + self.timing.suspicion_timeout);
+        suspects.chain(ack).chain([self.period_at]).min().unwrap_or(self.period_at)
     }
 
-    /// Time has passed: what is to be sent.
+    /// Handles timeouts that are due; returns the messages to send.
     pub fn tick(&mut self, now: Nanos) -> Vec<(MemberId, Message)> {
         let mut out = Vec::new();
-        let suspicion = self.timing.suspicion;
-        let over = |known: &Known| known.health == Health::Suspect && now - known.since >= suspicion;
-        let dead: Vec<(MemberId, u64)> =
-            self.members.iter().filter(|(_, k)| over(k)).map(|(m, k)| (m.clone(), k.incarnation)).collect();
+        let timeout = self.timing.suspicion_timeout;
+        let is_expired =
+            |known: &Peer| known.health == Health::Suspect && now - known.suspected_at >= timeout;
+        let dead: Vec<(MemberId, u64)> = self
+            .members
+            .iter()
+            .filter(|(_, k)| is_expired(k))
+            .map(|(m, k)| (m.clone(), k.incarnation))
+            .collect();
         for (member, incarnation) in dead {
-            self.hear(now, Rumour { member, incarnation, health: Health::Dead });
+            self.apply_update(now, GossipUpdate { member, incarnation, health: Health::Dead });
         }
         if self
             .probe
             .as_ref()
-            .is_some_and(|probe| !probe.helped && now - probe.sent >= self.timing.answer_within)
+            .is_some_and(|probe| !probe.is_indirect && now - probe.sent_at >= self.timing.ack_timeout)
         {
-            self.ask_for_help(&mut out);
+            self.send_ping_requests(&mut out);
         }
         if now >= self.period_at {
             self.period_at = now + self.timing.period;
             if let Some(probe) = self.probe.take() {
                 let known = self.members.get(&probe.target);
-                // It stood still together with us if its time ran out while we did not look.
-                let late = now - probe.sent > self.timing.period + self.timing.period;
-                if let Some(incarnation) = known.map(|known| known.incarnation).filter(|_| !late) {
-                    self.hear(now, Rumour { member: probe.target, incarnation, health: Health::Suspect });
+                // A timeout that is noticed more than a period late says nothing of the target: this process was paused,
+                // and the target may have been paused with it.
+                let is_late = now - probe.sent_at > self.timing.period + self.timing.period;
+                if let Some(incarnation) = known.map(|known| known.incarnation).filter(|_| !is_late) {
+                    self.apply_update(
+                        now,
+                        GossipUpdate { member: probe.target, incarnation, health: Health::Suspect },
+                    );
                 }
             }
-            self.helping.clear();
+            self.relayed_pings.clear();
             if let Some(target) = self.next_target() {
-                self.next_number += 1;
-                let number = self.next_number;
-                let message = self.message(Word::Probe, number);
+                self.last_sequence += 1;
+                let sequence = self.last_sequence;
+                let message = self.message(MessageKind::Ping, sequence);
                 out.push((target.clone(), message));
-                self.probe = Some(Probe { number, target, helped: false, sent: now });
+                self.probe = Some(Probe { sequence, target, is_indirect: false, sent_at: now });
             }
         }
         out
     }
 
-    fn ask_for_help(&mut self, out: &mut Vec<(MemberId, Message)>) {
+    /// Asks some healthy members to ping the target of the current probe.
+    fn send_ping_requests(&mut self, out: &mut Vec<(MemberId, Message)>) {
         let Some(probe) = &mut self.probe else { return };
-        probe.helped = true;
-        let (number, target) = (probe.number, probe.target.clone());
-        let fit = |(member, known): &(&MemberId, &Known)| **member != target && known.health == Health::Alive;
-        let mut helpers: Vec<MemberId> = self.members.iter().filter(fit).map(|(m, _)| m.clone()).collect();
+        probe.is_indirect = true;
+        let (sequence, target) = (probe.sequence, probe.target.clone());
+        let healthy = |(id, state): &(&MemberId, &Peer)| **id != target && state.health == Health::Alive;
+        let mut helpers: Vec<MemberId> =
+            self.members.iter().filter(healthy).map(|(m, _)| m.clone()).collect();
         helpers.shuffle(&mut self.rng);
-        for helper in helpers.into_iter().take(HELPERS) {
-            let message = self.message(Word::Help { target: target.clone() }, number);
+        for helper in helpers.into_iter().take(INDIRECT_PROBES) {
+            let message = self.message(MessageKind::PingRequest { target: target.clone() }, sequence);
             out.push((helper, message));
         }
     }
 
-    /// Each member once a round, in an order drawn anew: the paper's bound on how late a death is found. The dead are
-    /// probed too: one that comes back need not find us.
+    /// Probes each member once a round, in a new random order each time, which is the paper's bound on the time to detect
+    /// a failure. Dead members are probed too, so that one that returns need not contact this member first.
     fn next_target(&mut self) -> Option<MemberId> {
-        if self.round.is_empty() {
+        if self.probe_order.is_empty() {
             let mut all: Vec<MemberId> = self.members.keys().cloned().collect();
             all.shuffle(&mut self.rng);
-            self.round = all.into();
+            self.probe_order = all.into();
         }
         let members = &self.members;
-        self.round.retain(|member| members.contains_key(member));
-        self.round.pop_front()
+        self.probe_order.retain(|member| members.contains_key(member));
+        self.probe_order.pop_front()
     }
 
-    /// A message has come; what is to be sent.
+    /// Handles a message from another member; returns the messages to send.
     pub fn handle(&mut self, now: Nanos, from: &MemberId, message: Message) -> Vec<(MemberId, Message)> {
         let mut out = Vec::new();
         let Some(known) = self.members.get(from) else { return out };
-        // One held dead or suspect that speaks: it must learn of it, to refute it.
+        // A sender that is held to be dead or suspect must learn of it to refute it.
         if known.health != Health::Alive {
             let (health, incarnation) = (known.health, known.incarnation);
-            self.tell(Rumour { member: from.clone(), incarnation, health });
+            self.queue_update(GossipUpdate { member: from.clone(), incarnation, health });
         }
-        for rumour in message.rumours.into_iter().take(4 * RUMOURS) {
-            self.hear(now, rumour);
+        for update in message.gossip.into_iter().take(4 * MAX_UPDATES_PER_MESSAGE) {
+            self.apply_update(now, update);
         }
-        match message.word {
-            Word::Probe => out.push((from.clone(), self.message(Word::Answer, message.number))),
-            Word::Help { target } => {
+        match message.kind {
+            MessageKind::Ping => out.push((from.clone(), self.message(MessageKind::Ack, message.sequence))),
+            MessageKind::PingRequest { target } => {
                 if self.members.contains_key(&target) {
-                    self.next_number += 1;
-                    let number = self.next_number;
-                    self.helping.insert(number, (from.clone(), message.number, target.clone()));
-                    let probe = self.message(Word::Probe, number);
-                    out.push((target, probe));
+                    self.last_sequence += 1;
+                    let sequence = self.last_sequence;
+                    self.relayed_pings.insert(sequence, (from.clone(), message.sequence, target.clone()));
+                    let ping = self.message(MessageKind::Ping, sequence);
+                    out.push((target, ping));
                 }
             }
-            Word::Answer => {
-                if let Some((asker, number, target)) = self.helping.remove(&message.number) {
+            MessageKind::Ack => {
+                if let Some((requester, sequence, target)) = self.relayed_pings.remove(&message.sequence) {
                     if target == *from {
-                        let helped = self.message(Word::Helped { target }, number);
-                        out.push((asker, helped));
+                        let reply = self.message(MessageKind::IndirectAck { target }, sequence);
+                        out.push((requester, reply));
                     }
                 }
-                self.answered(from, message.number);
+                self.complete_probe(from, message.sequence);
             }
-            Word::Helped { target } => self.answered(&target, message.number),
+            MessageKind::IndirectAck { target } => self.complete_probe(&target, message.sequence),
         }
         out
     }
 
-    fn answered(&mut self, member: &MemberId, number: u64) {
-        if self.probe.as_ref().is_some_and(|probe| probe.number == number && probe.target == *member) {
+    /// Ends the current probe if this reply belongs to it.
+    fn complete_probe(&mut self, member: &MemberId, sequence: u64) {
+        if self.probe.as_ref().is_some_and(|probe| probe.sequence == sequence && probe.target == *member) {
             self.probe = None;
         }
     }
 
-    fn hear(&mut self, now: Nanos, rumour: Rumour) {
-        if rumour.member == self.me {
-            // Refuted with a later incarnation; also where ours is later already: who says so has forgotten it.
-            if rumour.health != Health::Alive {
-                self.incarnation = self.incarnation.max(rumour.incarnation + 1);
+    /// Applies a gossiped update, and gossips it further if it is new.
+    fn apply_update(&mut self, now: Nanos, update: GossipUpdate) {
+        if update.member == self.me {
+            // Refute it with a higher incarnation, also if ours is higher already: the sender of the update may have lost
+            // that.
+            if update.health != Health::Alive {
+                self.incarnation = self.incarnation.max(update.incarnation + 1);
                 let (member, incarnation) = (self.me.clone(), self.incarnation);
-                self.tell(Rumour { member, incarnation, health: Health::Alive });
+                self.queue_update(GossipUpdate { member, incarnation, health: Health::Alive });
             }
             return;
         }
-        let Some(known) = self.members.get_mut(&rumour.member) else { return };
-        let order = match rumour.incarnation.cmp(&known.incarnation) {
+        let Some(known) = self.members.get_mut(&update.member) else { return };
+        let column = match update.incarnation.cmp(&known.incarnation) {
             std::cmp::Ordering::Greater => 0,
             std::cmp::Ordering::Equal => 1,
             std::cmp::Ordering::Less => 2,
         };
-        let row = MOVES.iter().find(|row| row.0 == known.health && row.1 == rumour.health);
-        let effect = row.map_or(Effect::Nothing, |row| row.2[order]);
+        let row = TRANSITIONS.iter().find(|row| row.0 == known.health && row.1 == update.health);
+        let effect = row.map_or(Effect::Ignore, |row| row.2[column]);
         match effect {
-            Effect::Nothing => return,
-            Effect::Spread => {}
-            Effect::Doubt => known.since = now,
+            Effect::Ignore => return,
+            Effect::Apply => {}
+            Effect::Suspect => known.suspected_at = now,
         }
-        (known.health, known.incarnation) = (rumour.health, rumour.incarnation);
-        self.tell(rumour);
+        (known.health, known.incarnation) = (update.health, update.incarnation);
+        self.queue_update(update);
     }
 }
 
@@ -349,15 +380,15 @@
 
     const TIMING: Timing = Timing {
         period: Nanos::from_millis(200),
-        answer_within: Nanos::from_millis(60),
-        suspicion: Nanos::from_millis(800),
+        ack_timeout: Nanos::from_millis(60),
+        suspicion_timeout: Nanos::from_millis(800),
     };
 
-    /// Members on a network of a test's making: delays, loss, and a predicate of who reaches whom.
+    /// Members on a simulated network with delays, loss, and a predicate that tells who can reach whom.
     struct Net {
         now: Nanos,
         members: Vec<Option<Swim>>,
-        flying: Vec<(Nanos, usize, usize, Message)>,
+        in_flight: Vec<(Nanos, usize, usize, Message)>,
         rng: Pcg32,
     }
 
@@ -372,7 +403,7 @@
             Net {
                 now: Nanos(0),
                 members: (0..count).map(swim).collect(),
-                flying: Vec::new(),
+                in_flight: Vec::new(),
                 rng: Pcg32::seed_from_u64(seed),
             }
         }
@@ -382,8 +413,9 @@
             while self.now < end {
                 self.now = self.now + Nanos::from_millis(5);
                 let now = self.now;
-                let (due, rest) = std::mem::take(&mut self.flying).into_iter().partition(|f| f.0 <= now);
-                self.flying = rest;
+                let (due, rest) =
+                    std::mem::take(&mut self.in_flight).into_iter().partition(|message| message.0 <= now);
+                self.in_flight = rest;
                 let mut sent = Vec::new();
                 for (_, from, to, message) in due {
                     let Some(member) = &mut self.members[to] else { continue };
@@ -391,15 +423,15 @@
                         member.handle(now, &name(from), message).into_iter().map(|(t, m)| (to, t, m)),
                     );
                 }
-                for (place, member) in self.members.iter_mut().enumerate() {
+                for (index, member) in self.members.iter_mut().enumerate() {
                     let Some(member) = member else { continue };
-                    sent.extend(member.tick(now).into_iter().map(|(t, m)| (place, t, m)));
+                    sent.extend(member.tick(now).into_iter().map(|(t, m)| (index, t, m)));
                 }
                 for (from, to, message) in sent {
                     let to: usize = to.0[1..].parse().unwrap();
                     if reaches(from, to) && self.rng.random::<f64>() >= loss {
                         let at = now + Nanos::from_millis(self.rng.random_range(0..30));
-                        self.flying.push((at, from, to, message));
+                        self.in_flight.push((at, from, to, message));
                     }
                 }
             }
@@ -411,7 +443,7 @@
     }
 
     #[test]
-    fn loss_alone_kills_no_one_and_a_death_is_found_by_all() {
+    fn loss_alone_causes_no_deaths_and_all_detect_a_death() {
         for seed in 0..10 {
             let mut net = Net::new(5, seed);
             net.run(20_000, 0.1, |_, _| true);
@@ -425,7 +457,7 @@
     }
 
     #[test]
-    fn one_that_comes_back_under_its_name_is_taken_back() {
+    fn a_member_that_restarts_under_its_name_is_alive_again() {
         let mut net = Net::new(3, 4);
         net.members[1] = None;
         net.run(4_000, 0.0, |_, _| true);
@@ -433,7 +465,7 @@
         net.members[1] = Some(Swim::new(name(1), &all, TIMING, 2, 9, net.now));
         net.run(3_000, 0.0, |_, _| true);
         assert_eq!(net.health(1), vec![Some(Health::Alive); 3]);
-        // Also one whose clock was set back, and so its incarnation: it learns, and refutes it.
+        // Also a member whose incarnation is lower, since its clock was set back: it learns of its state and refutes it.
         net.members[1] = None;
         net.run(4_000, 0.0, |_, _| true);
         net.members[1] = Some(Swim::new(name(1), &all, TIMING, 1, 9, net.now));
@@ -441,9 +473,9 @@
         assert_eq!(net.health(1), vec![Some(Health::Alive); 3]);
     }
 
-    /// A hears B but B not A: others' help keeps both alive.
+    /// Messages pass between two members in one direction only: indirect probes through others keep both alive.
     #[test]
-    fn a_one_way_path_is_borne_with_the_help_of_others() {
+    fn indirect_probes_cover_a_one_way_link() {
         let mut net = Net::new(4, 11);
         net.run(20_000, 0.0, |from, to| !(from == 0 && to == 1));
         for of in 0..4 {
@@ -452,13 +484,13 @@
     }
 
     #[test]
-    fn a_hundred_members_find_a_death_with_bounded_messages() {
+    fn a_hundred_members_detect_a_death_with_bounded_messages() {
         let mut net = Net::new(100, 3);
         net.run(2_000, 0.05, |_, _| true);
         net.members[42] = None;
         net.run(8_000, 0.05, |_, _| true);
         let dead = net.health(42).iter().filter(|health| **health == Some(Health::Dead)).count();
         assert_eq!(dead, 99);
-        assert!(net.flying.iter().all(|(.., message)| message.rumours.len() <= RUMOURS));
+        assert!(net.in_flight.iter().all(|(.., message)| message.gossip.len() <= MAX_UPDATES_PER_MESSAGE));
     }
 }
--- a/crates/craneknot-fleet/src/view.rs
+++ b/crates/craneknot-fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: the coordinators that share the proxies among them, numbered by epochs.
+//! Views: sets of coordinators that the proxies are partitioned among, numbered by epochs.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 
 use crate::MemberId;
 
-/// Numbers views; an order of an older epoch is never followed after one of a newer.
+/// Number of a view. A proxy that has followed an order of one epoch rejects orders of older ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
-/// The coordinators that share the proxies.
+/// The coordinators that the proxies are partitioned among.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     pub epoch: Epoch,
@@ -19,29 +19,30 @@
 }
 
 impl View {
-    /// The one in charge of a proxy, by rendezvous hashing (Thaler and Ravishankar, 1998): where a member goes, only its
-    /// proxies move.
+    /// The coordinator that owns a proxy, by rendezvous hashing (Thaler and Ravishankar, 1998): when a member is removed,
+    /// only its proxies move.
     pub fn owner_of(&self, proxy: &str) -> Option<&MemberId> {
         let seed = xxh3_64_with_seed(proxy.as_bytes(), 0);
         self.members.iter().max_by_key(|member| (xxh3_64_with_seed(member.0.as_bytes(), seed), *member))
     }
 }
 
-/// The newest view, and the one before it: who might still act on that must be waited for.
+/// The latest view and the one before it, whose members may still hold leases that have to end first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    pub before: View,
+    #[serde(rename = "before")]
+    pub previous_view: View,
     pub view: View,
-    /// Those that vote; nothing: as the first settings had it.
+    /// The voters; `None`: the members in the settings of the first start.
     #[serde(default)]
     pub voters: Option<BTreeSet<MemberId>>,
 }
 
 impl History {
-    /// These share the proxies from now on, in an epoch later than the last and than `above`.
-    pub fn share(&mut self, members: BTreeSet<MemberId>, above: Epoch) {
+    /// Starts a view of these members, with an epoch later than the current one and than `above`.
+    pub fn advance_view(&mut self, members: BTreeSet<MemberId>, above: Epoch) {
         let epoch = Epoch(self.view.epoch.max(above).0 + 1);
-        self.before = std::mem::replace(&mut self.view, View { epoch, members });
+        self.previous_view = std::mem::replace(&mut self.view, View { epoch, members });
     }
 }
 
@@ -54,14 +55,14 @@
     }
 
     #[test]
-    fn proxies_are_shared_evenly_and_only_those_of_the_lost_move() {
-        let (all, less) = (view(&["a", "b", "c"]), view(&["a", "c"]));
+    fn proxies_are_partitioned_evenly_and_only_those_of_a_removed_member_move() {
+        let (all, without_b) = (view(&["a", "b", "c"]), view(&["a", "c"]));
         let mut counts = std::collections::BTreeMap::new();
         for number in 0..3_000 {
             let proxy = format!("proxy-{number}");
             let owner = all.owner_of(&proxy).unwrap().clone();
             if owner != MemberId::new("b") {
-                assert_eq!(less.owner_of(&proxy), Some(&owner));
+                assert_eq!(without_b.owner_of(&proxy), Some(&owner));
             }
             *counts.entry(owner).or_insert(0) += 1;
         }
--- a/crates/craneknot-fleet/tests/search.rs
+++ b/crates/craneknot-fleet/tests/search.rs
@@ -1,6 +1,6 @@
-//! A bounded exhaustive search of the lease and fencing machine: three members, every sequence of so many rounds, in each
-//! of which one of all troubles happens. `DEPTH=6 cargo test --release -p craneknot-fleet --test search -- --nocapture`
-//! goes deeper than CI does.
+//! A bounded exhaustive search of leases and fencing: three members, and every sequence of a number of rounds with one of
+//! the possible faults in each. `DEPTH=6 cargo test --release -p craneknot-fleet --test search -- --nocapture` searches
+//! deeper than CI does.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -13,23 +13,23 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const COUNT: usize = 3;
-const STEP: u64 = 10; // ms of true time between two looks at the clocks
-const ROUND: u64 = 120; // ms; near a third of a lease: what was granted in one round is over three rounds later
-const RATES: [f64; COUNT] = [0.99, 1.0, 1.01]; // clocks as far apart as is allowed
+const STEP_MS: u64 = 10; // true time between two ticks of the members
+const ROUND_MS: u64 = 120; // a third of a lease: a lease granted in one round has ended three rounds later
+const RATES: [f64; COUNT] = [0.99, 1.0, 1.01]; // clock rates, as far apart as the drift allows
 const PROXIES: [&str; 4] = ["p0", "p1", "p2", "p3"];
 
 /// What happens in a round.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    Nothing,
-    /// Nothing reaches that one, and nothing of it the others.
-    Alone(usize),
-    /// It hears, and is not heard.
-    Mute(usize),
-    /// What it sends comes three rounds later.
-    Late(usize),
-    /// It stands still, and then goes on.
-    Still(usize),
+enum Fault {
+    None,
+    /// The member is cut off from the others in both directions.
+    Isolated(usize),
+    /// The member receives, but nothing that it sends arrives.
+    SendLoss(usize),
+    /// Everything that the member sends arrives three rounds later.
+    Delayed(usize),
+    /// The member is paused for the round.
+    Paused(usize),
     Kill(usize),
     Start(usize),
 }
@@ -39,7 +39,7 @@
     now: u64,
     members: Vec<Option<Member>>,
     saved: Vec<PersistentState>,
-    flying: Vec<(u64, usize, Datagram)>,
+    in_flight: Vec<(u64, usize, Datagram)>,
 }
 
 fn name(number: usize) -> MemberId {
@@ -47,11 +47,11 @@
 }
 
 impl Fleet {
-    fn clock(&self, place: usize) -> Nanos {
-        Nanos((self.now as f64 * 1e6 * RATES[place]) as u64 + 1_000_000_000)
+    fn clock(&self, index: usize) -> Nanos {
+        Nanos((self.now as f64 * 1e6 * RATES[index]) as u64 + 1_000_000_000)
     }
 
-    fn start(&mut self, place: usize) {
+    fn start(&mut self, index: usize) {
         let timing = Timing {
             raft: raft::Timing {
                 heartbeat: Nanos::from_millis(40),
@@ -61,128 +61,120 @@
             },
             swim: swim::Timing {
                 period: Nanos::from_millis(80),
-                answer_within: Nanos::from_millis(30),
-                suspicion: Nanos::from_millis(160),
+                ack_timeout: Nanos::from_millis(30),
+                suspicion_timeout: Nanos::from_millis(160),
             },
         };
         let all: BTreeSet<MemberId> = (0..COUNT).map(name).collect();
-        let (seed, now) = (place as u64, self.clock(place));
-        self.members[place] =
-            Some(Member::new(name(place), &all, timing, self.saved[place].clone(), self.now, seed, now));
+        let (seed, now) = (index as u64, self.clock(index));
+        self.members[index] =
+            Some(Member::new(name(index), &all, timing, self.saved[index].clone(), self.now, seed, now));
     }
 
-    fn carry(&mut self, place: usize, outputs: Vec<Output>, trouble: Trouble) {
+    fn carry_out(&mut self, index: usize, outputs: Vec<Output>, fault: Fault) {
         for output in outputs {
             match output {
-                Output::Save(saved) => self.saved[place] = saved,
+                Output::Save(saved) => self.saved[index] = saved,
                 Output::Send(to, datagram) => {
                     let to: usize = to.0[1..].parse().unwrap();
-                    let late = match trouble {
-                        Trouble::Alone(one) if one == place || one == to => continue,
-                        Trouble::Mute(one) if one == place => continue,
-                        Trouble::Late(one) if one == place => 3 * ROUND,
-                        _ => STEP,
+                    let delay = match fault {
+                        Fault::Isolated(one) if one == index || one == to => continue,
+                        Fault::SendLoss(one) if one == index => continue,
+                        Fault::Delayed(one) if one == index => 3 * ROUND_MS,
+                        _ => STEP_MS,
                     };
-                    self.flying.push((self.now + late, to, datagram));
+                    self.in_flight.push((self.now + delay, to, datagram));
                 }
                 Output::OwnershipChanged => {}
             }
         }
     }
 
-    /// One round; nothing where the trouble cannot happen.
-    fn round(mut self, trouble: Trouble) -> Option<Fleet> {
-        match trouble {
-            Trouble::Kill(place) | Trouble::Still(place) if self.members[place].is_none() => return None,
-            Trouble::Kill(place) => self.members[place] = None,
-            Trouble::Start(place) if self.members[place].is_some() => return None,
-            Trouble::Start(place) => self.start(place),
+    /// Runs one round; `None` if the fault is not possible in this state.
+    fn round(mut self, fault: Fault) -> Option<Fleet> {
+        match fault {
+            Fault::Kill(index) | Fault::Paused(index) if self.members[index].is_none() => return None,
+            Fault::Kill(index) => self.members[index] = None,
+            Fault::Start(index) if self.members[index].is_some() => return None,
+            Fault::Start(index) => self.start(index),
             _ => {}
         }
-        for _ in 0..ROUND / STEP {
-            self.now += STEP;
+        for _ in 0..ROUND_MS / STEP_MS {
+            self.now += STEP_MS;
             let now = self.now;
-            let still = |place: usize| matches!(trouble, Trouble::Still(one) if one == place);
-            let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.flying)
+            let is_paused = |index: usize| matches!(fault, Fault::Paused(one) if one == index);
+            let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
                 .into_iter()
-                .partition(|(at, to, _)| *at <= now && !still(*to));
-            self.flying = rest;
+                .partition(|(at, to, _)| *at <= now && !is_paused(*to));
+            self.in_flight = rest;
             for (_, to, datagram) in due {
                 let clock = self.clock(to);
                 let Some(member) = &mut self.members[to] else { continue };
                 let outputs = member.handle(clock, datagram);
-                self.carry(to, outputs, trouble);
+                self.carry_out(to, outputs, fault);
             }
-            for place in (0..COUNT).filter(|place| !still(*place)) {
-                let clock = self.clock(place);
-                let Some(member) = &mut self.members[place] else { continue };
+            for index in (0..COUNT).filter(|index| !is_paused(*index)) {
+                let clock = self.clock(index);
+                let Some(member) = &mut self.members[index] else { continue };
                 let outputs = member.tick(clock);
-                self.carry(place, outputs, trouble);
+                self.carry_out(index, outputs, fault);
             }
-            self.check(trouble);
+            self.check(fault);
         }
         Some(self)
     }
 
-    fn check(&self, trouble: Trouble) {
+    fn check(&self, fault: Fault) {
         for proxy in PROXIES {
-            let mine = |place: &usize| {
-                let member = self.members[*place].as_ref();
-                member.is_some_and(|member| {
-                    matches!(member.ownership(self.clock(*place), proxy), Ownership::Owned(_))
-                })
+            let owns = |index: &usize| {
+                let member = self.members[*index].as_ref();
+                member.is_some_and(|m| matches!(m.ownership(self.clock(*index), proxy), Ownership::Owned(_)))
             };
-            let in_charge: Vec<usize> = (0..COUNT).filter(mine).collect();
-            assert!(
-                in_charge.len() <= 1,
-                "{in_charge:?} are in charge of {proxy} at {} ms, {trouble:?}",
-                self.now
-            );
+            let owners: Vec<usize> = (0..COUNT).filter(owns).collect();
+            assert!(owners.len() <= 1, "{owners:?} own {proxy} at {} ms, {fault:?}", self.now);
         }
     }
 
-    fn covered(&self) -> usize {
-        let mine = |place: usize, proxy: &str| {
-            let member = self.members[place].as_ref();
-            member.is_some_and(|member| {
-                matches!(member.ownership(self.clock(place), proxy), Ownership::Owned(_))
-            })
+    fn owned(&self) -> usize {
+        let owns = |index: usize, proxy: &str| {
+            let member = self.members[index].as_ref();
+            member.is_some_and(|m| matches!(m.ownership(self.clock(index), proxy), Ownership::Owned(_)))
         };
-        PROXIES.iter().filter(|proxy| (0..COUNT).any(|place| mine(place, proxy))).count()
+        PROXIES.iter().filter(|proxy| (0..COUNT).any(|index| owns(index, proxy))).count()
     }
 
     fn hash(&self) -> u64 {
-        xxh3_64(format!("{:?} {:?} {:?}", self.members, self.saved, self.flying).as_bytes())
+        xxh3_64(format!("{:?} {:?} {:?}", self.members, self.saved, self.in_flight).as_bytes())
     }
 }
 
 #[test]
-fn in_no_sequence_of_troubles_are_two_in_charge() {
+fn no_sequence_of_faults_leads_to_two_owners() {
     let depth: u32 = std::env::var("DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(4);
     let mut first = Fleet {
         now: 0,
         members: vec![None; COUNT],
         saved: vec![PersistentState::default(); COUNT],
-        flying: Vec::new(),
+        in_flight: Vec::new(),
     };
-    (0..COUNT).for_each(|place| first.start(place));
-    while first.covered() < PROXIES.len() {
-        assert!(first.now < 10_000, "the fleet never came together");
-        first = first.round(Trouble::Nothing).unwrap();
+    (0..COUNT).for_each(|index| first.start(index));
+    while first.owned() < PROXIES.len() {
+        assert!(first.now < 10_000, "the fleet never reached its first view");
+        first = first.round(Fault::None).unwrap();
     }
     let each = |one: usize| {
-        use Trouble::*;
-        [Alone(one), Mute(one), Late(one), Still(one), Kill(one), Start(one)]
+        use Fault::*;
+        [Isolated(one), SendLoss(one), Delayed(one), Paused(one), Kill(one), Start(one)]
     };
-    let troubles: Vec<Trouble> = (0..COUNT).flat_map(each).chain([Trouble::Nothing]).collect();
+    let faults: Vec<Fault> = (0..COUNT).flat_map(each).chain([Fault::None]).collect();
     let (mut seen, mut rounds) = (HashSet::new(), 0_u64);
     let mut level = vec![first];
     for at in 1..=depth {
         let mut next = Vec::new();
         for fleet in level {
-            for trouble in &troubles {
+            for fault in &faults {
                 rounds += 1;
-                let Some(fleet) = fleet.clone().round(*trouble) else { continue };
+                let Some(fleet) = fleet.clone().round(*fault) else { continue };
                 if seen.insert(fleet.hash()) && at < depth {
                     next.push(fleet);
                 }
