--- a/crates/craneknot-solver/examples/solver_figures.rs
+++ b/crates/craneknot-solver/examples/solver_figures.rs
@@ -95,7 +95,7 @@
         let mut estimator = Estimator::new(warm_up);
         let id = |number: usize| ServerId(Arc::from(format!("s{number}").as_str()));
         for number in 0..queues.len() {
-            estimator.set_listed(
+            estimator.insert(
                 Nanos(0),
                 &id(number),
                 ListedServer { kind: KindId(number as u16), weight: 1.0, started: None },
--- a/crates/craneknot-solver/src/tuner.rs
+++ b/crates/craneknot-solver/src/tuner.rs
@@ -1,10 +1,10 @@
-//! From what the decisions hear to the weights that their lists show.
+//! Replaces the listed weights of servers by weights from their estimated capacities.
 //!
-//! The decisions' own path stays as it is: servers are dealt, bound and weighed by listed weight. What changes is that weight:
-//! in place of what someone wrote by hand stands what the server was found to carry, surely, tilted by zone as the plan has it.
-//! A weight that would move moves only when it differs by more than churn is worth, and for long enough; one that has changed
-//! at a stroke moves at once. Every coordinator finds weights for itself, from what a server says of all its traffic, so that
-//! two that see different parts of it find the same and do not chase one another.
+//! The path of the decisions stays as it is: servers are partitioned, bound and weighted by listed weight. Only that weight
+//! changes: in place of the configured value stands a lower bound of the estimated capacity, adjusted ("tilted") by zone
+//! according to the plan. A weight changes only if the difference is worth the update and lasts for a while; after a jump of
+//! the capacity it changes at once. Every coordinator computes weights for itself, from what servers report of all their
+//! traffic, so that two coordinators that see different parts of it come to the same weights and do not chase one another.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,58 +15,61 @@
 use crate::estimate::{Capacity, Doubt, Estimator, ListedServer, TryReport, WarmUp};
 use crate::plan::{Class, Fleet, Plan, Server};
 
-const SOLVE_EVERY: Nanos = Nanos::from_millis(2_000); // ms; a few reports must have come
-const SETTLE: Nanos = Nanos::from_millis(4_000); // ms; after a start weights stand as listed: a first look is chance
-const SURE: f64 = 0.25; // deviation of an estimate under which it is worth more than what was listed
-const HOLD: Nanos = Nanos::from_millis(4_000); // ms; a difference lasts so long before it is acted on
-const JUMP: f64 = 0.4; // difference of the logarithm that is acted on at once: half or one and a half times
-const JUMP_SURE: f64 = 2.5; // deviations of the estimate beyond which it is: while one is being found again it may be chance
-const DOUBT_SHARE: f64 = 1.0; // deviations of the estimate that are added to what a change must be worth
-const STRAY_MOST: f64 = 3.0; // factor by which a weight strays from the unit at the most, over what its kind was listed
-const UNIT_OFF: f64 = 2.0; // factor by which the unit may be off before all weights are told anew
-const TILT: (f64, f64) = (0.8, 1.25); // bounds of a zone's tilt: its levels rest on weights too
-const TILT_SMOOTH: f64 = 0.3; // part of the way to a new plan's tilt in one solving: ties between plans must not swing
-const DEMAND_HALF: Nanos = Nanos::from_millis(5_000); // ms; half-life of traffic as plans see it
-pub const DEFAULT_MARGIN: f64 = 1.0; // deviations kept free where nothing else is set: five of six lie above
-pub const DEFAULT_CHURN: f64 = 0.1; // difference worth sending where nothing else is set: what the decisions send a line for
-pub const DEFAULT_CROSSING_COST: f64 = 0.2; // cost of a crossing where nothing else is set, in service times: a network's way is short
-const LEAST_WEIGHT: f64 = 0.02; // of its capacity's: something must be met to be judged by
-const SIZE_MOST: usize = 20_000; // flows of a plan; more would take too long, and zones go untilted
-const HISTORY: usize = 4_096; // changes of weights remembered with their causes
-
-/// What a steer is told at its start.
+const PLAN_INTERVAL: Nanos = Nanos::from_millis(2_000); // long enough for a few reports
+const START_DELAY: Nanos = Nanos::from_millis(4_000); // weights stay as listed after a start: the first estimates are chance
+const SETTLED_DEVIATION: f64 = 0.25; // deviation of an estimate below which it replaces the listed weight
+const MIN_DURATION: Nanos = Nanos::from_millis(4_000); // how long a difference lasts before the weight changes
+const JUMP: f64 = 0.4; // difference of the logarithm that is applied at once: half or one and a half times
+const JUMP_DEVIATIONS: f64 = 2.5; // and deviations of the estimate it must exceed, as it may be chance in a new estimate
+const CHURN_DEVIATIONS: f64 = 1.0; // deviations of the estimate that are added to the difference worth an update
+const UNIT_RATIO_MAX: f64 = 3.0; // largest factor between a weight and the listed one, in the common unit
+const UNIT_CHANGE: f64 = 2.0; // factor by which the unit may be off before all weights are sent in a new one
+const TILT: (f64, f64) = (0.8, 1.25); // bounds of a zone's tilt, since admission levels rely on weights too
+const TILT_SMOOTHING: f64 = 0.3; // part of the way to the tilt of a new plan: plans of equal cost must not cause swings
+const DEMAND_HALF_LIFE: Nanos = Nanos::from_millis(5_000); // of the demand that plans are made for
+pub const DEFAULT_MARGIN: f64 = 1.0; // deviations: five of six capacities lie above
+pub const DEFAULT_CHURN: f64 = 0.1; // the difference for which the decisions send a line
+pub const DEFAULT_CROSSING_COST: f64 = 0.2; // in service times: network latency is short
+const MIN_WEIGHT: f64 = 0.02; // fraction of the capacity: some traffic must remain to observe the server by
+const PLAN_FLOWS_MAX: usize = 20_000; // larger plans would take too long, and are not made; zones then have no tilt
+const HISTORY: usize = 4_096; // changes of weights that are kept with their causes
+
+/// Settings of a [`WeightTuner`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub classes: Vec<ClassSettings>,
     pub zones: usize,
     pub warm_up: WarmUp,
-    /// Proxies in all, of all coordinators.
+    /// Number of proxies of all coordinators together.
     pub proxies: u32,
-    /// Deviations of an estimate that are kept free.
+    /// Deviations of an estimate that are kept as a margin.
     pub margin: f64,
-    /// Difference of the logarithm of a weight that is worth sending it.
+    /// Difference of the logarithm of a weight that is worth an update.
     pub churn: f64,
-    /// Cost of an operation that crosses, by zone of the proxy and of the server, in service times.
+    /// Cost of an operation between zones, by zone of the proxy and of the server, in service times.
     pub crossing: Vec<Vec<f64>>,
 }
 
-/// What stands of a weight.
+/// State of a weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// As listed: nothing is known that is worth more.
+    /// The listed weight, as long as there is no better estimate.
     Listed,
-    /// As given; it holds.
+    /// A computed weight that still holds.
     Held,
-    /// It differs from what was given, since a while.
+    /// A computed weight that differs from the current estimate, and may be due for a change.
     Due,
 }
 
-/// What is seen of a weight.
+/// How a weight compares with the current estimate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sign {
+    /// The estimate is certain enough to replace the listed weight.
     Settled,
+    /// The difference is large enough to be applied at once.
     Jumped,
+    /// The difference has lasted for the minimum duration.
     Lasted,
     Differs,
     Agrees,
@@ -74,100 +77,106 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
-    Give,
+    /// The weight changes.
+    Apply,
+    /// The minimum duration starts.
     Wait,
-    Nothing,
+    None,
 }
 
-/// A weight's states, sign, next state, effect. The first sign that holds and has a row is taken.
-const MOVES: &[(State, Sign, State, Effect)] = &[
-    (State::Listed, Sign::Settled, State::Held, Effect::Give),
-    (State::Held, Sign::Jumped, State::Held, Effect::Give),
-    (State::Due, Sign::Jumped, State::Held, Effect::Give),
-    (State::Due, Sign::Lasted, State::Held, Effect::Give),
+/// State of a weight, sign, next state, effect. The first row of the state whose sign holds applies.
+const TRANSITIONS: &[(State, Sign, State, Effect)] = &[
+    (State::Listed, Sign::Settled, State::Held, Effect::Apply),
+    (State::Held, Sign::Jumped, State::Held, Effect::Apply),
+    (State::Due, Sign::Jumped, State::Held, Effect::Apply),
+    (State::Due, Sign::Lasted, State::Held, Effect::Apply),
     (State::Held, Sign::Differs, State::Due, Effect::Wait),
-    (State::Due, Sign::Agrees, State::Held, Effect::Nothing),
+    (State::Due, Sign::Agrees, State::Held, Effect::None),
 ];
 
-/// Why a weight was given.
+/// Why a weight changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The first that is found.
+    /// The first estimate replaced the listed weight.
     Found,
-    /// It changed at a stroke.
+    /// The estimate jumped.
     Changed,
-    /// It differed for long.
+    /// The estimate differed for the minimum duration.
     Differed,
-    /// All were told anew in another unit.
+    /// All weights changed to another unit.
     Unit,
 }
 
 /// One change of a weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Since the solver began, s.
+    /// Seconds since the start of the tuner.
     pub at_s: f64,
     pub server: String,
     pub from: f64,
     pub to: f64,
     pub cause: Cause,
-    /// Operations a second, its deviation, share of answers lost, and the zone's tilt when it was given.
+    /// The estimated capacity in operations per second, its deviation, the share of lost answers, and the zone's tilt at the
+    /// time of the change.
     pub capacity: f64,
     pub deviation: f64,
     pub loss: f64,
     pub tilt: f64,
 }
 
+/// A listed server and its weight.
 struct Entry {
     listing: Listing,
     state: State,
+    /// Start of the current difference.
     since: Nanos,
-    given: f64,
+    /// The weight in use.
+    weight: f64,
 }
 
-/// A decaying sum.
+/// A sum that decays exponentially.
 #[derive(Clone, Copy, Default)]
-struct Fading {
+struct DecayingSum {
     sum: f64,
     at: Nanos,
 }
 
-impl Fading {
+impl DecayingSum {
     fn read(&self, now: Nanos) -> f64 {
-        self.sum * 0.5f64.powf((now - self.at).secs() / DEMAND_HALF.secs())
+        self.sum * 0.5f64.powf((now - self.at).secs() / DEMAND_HALF_LIFE.secs())
     }
 
     fn add(&mut self, now: Nanos, amount: f64) {
-        *self = Fading { sum: self.read(now) + amount, at: now };
+        *self = DecayingSum { sum: self.read(now) + amount, at: now };
     }
 
-    /// Per second, where adding has gone on for `age`.
+    /// Rate per second of a sum that was first added to `age` ago.
     fn rate(&self, now: Nanos, age: Nanos) -> f64 {
-        let filled = 1.0 - 0.5f64.powf(age.secs().max(1.0) / DEMAND_HALF.secs());
-        self.read(now) * std::f64::consts::LN_2 / DEMAND_HALF.secs() / filled
+        let filled = 1.0 - 0.5f64.powf(age.secs().max(1.0) / DEMAND_HALF_LIFE.secs());
+        self.read(now) * std::f64::consts::LN_2 / DEMAND_HALF_LIFE.secs() / filled
     }
 }
 
-/// Finds weights.
+/// Computes weights from the events that the decisions get.
 pub struct WeightTuner {
     settings: Settings,
     estimator: Estimator,
     entries: BTreeMap<ServerId, Entry>,
     proxies: BTreeMap<ProxyId, ZoneId>,
-    /// Proxies of its own, as told in number.
-    joined: Option<u32>,
-    demand: BTreeMap<(usize, usize), Fading>,
-    born: Nanos,
-    solve_at: Nanos,
-    /// Logarithm of operations a second for a unit of weight, once found.
+    /// Number of this coordinator's own proxies, if it is set directly.
+    own_proxies: Option<u32>,
+    demand: BTreeMap<(usize, usize), DecayingSum>,
+    started_at: Nanos,
+    next_plan_at: Nanos,
+    /// Logarithm of the capacity in operations per second for a unit of weight, once known.
     unit: Option<f64>,
     tilts: Vec<f64>,
     plan: Option<(Fleet, Plan, Vec<ServerId>)>,
     history: VecDeque<Change>,
-    /// Changes that were not told yet.
-    untold: usize,
-    /// Plans that the solver gave up on, or that were too large to begin.
+    /// Number of changes that were not yet taken.
+    pending_changes: usize,
+    /// Plans that the solver gave up on or that were too large.
     unsolved: u64,
     solved: u64,
 }
@@ -180,20 +189,21 @@
             settings,
             entries: BTreeMap::new(),
             proxies: BTreeMap::new(),
-            joined: None,
+            own_proxies: None,
             demand: BTreeMap::new(),
-            born: now,
-            solve_at: now + SETTLE,
+            started_at: now,
+            next_plan_at: now + START_DELAY,
             unit: None,
             plan: None,
             history: VecDeque::new(),
-            untold: 0,
+            pending_changes: 0,
             unsolved: 0,
             solved: 0,
         }
     }
 
-    /// Hears what the decisions are about to hear, puts found weights in place of listed ones, and adds what is to change.
+    /// Handles the events that the decisions are about to get, replaces listed weights in them, and adds a list of the
+    /// weights that change.
     pub fn step(&mut self, now: Nanos, events: &mut Vec<Event>) {
         for event in events.iter_mut() {
             match event {
@@ -228,51 +238,51 @@
         events.extend(self.update(now));
     }
 
-    /// A list came: the same with found weights.
+    /// Handles a list of servers; returns it with weights replaced.
     pub fn apply_list(&mut self, now: Nanos, scope: ListScope, entries: &[Listing]) -> Arc<[Listing]> {
         if matches!(scope, ListScope::Whole | ListScope::Remembered) {
-            let gone: Vec<ServerId> = self.entries.keys().cloned().collect();
-            for server in gone.iter().filter(|id| !entries.iter().any(|entry| entry.server == **id)) {
+            let known: Vec<ServerId> = self.entries.keys().cloned().collect();
+            for server in known.iter().filter(|id| !entries.iter().any(|entry| entry.server == **id)) {
                 self.entries.remove(server);
                 self.estimator.remove(server);
             }
         }
-        let place = |entry: &Listing| {
+        let replace_weight = |entry: &Listing| {
             if entry.readiness == Readiness::Removed {
                 self.entries.remove(&entry.server);
                 self.estimator.remove(&entry.server);
                 return entry.clone();
             }
             let weight = entry.weight.filter(|weight| weight.is_finite() && *weight > 0.0).unwrap_or(1.0);
-            self.estimator.set_listed(
+            self.estimator.insert(
                 now,
                 &entry.server,
                 ListedServer { kind: entry.kind, weight, started: entry.started },
             );
             let known = self.entries.get(&entry.server);
-            let anew = known.is_none_or(|known| known.listing.started != entry.started);
-            let (state, given) = match known.filter(|_| !anew) {
-                Some(known) => (known.state, known.given),
-                // A newcomer has its kind's weight from the first moment.
+            let is_new = known.is_none_or(|known| known.listing.started != entry.started);
+            let (state, current) = match known.filter(|_| !is_new) {
+                Some(known) => (known.state, known.weight),
+                // A new server starts with the weight of its kind.
                 None => match self.unit {
                     Some(unit) => (State::Held, self.weight(now, &entry.server, entry.zone, weight, unit)),
                     None => (State::Listed, weight),
                 },
             };
             let listing = Listing { weight: Some(weight), ..entry.clone() };
-            let held = Entry { listing, state, since: now, given };
-            self.entries.insert(entry.server.clone(), held);
-            Listing { weight: Some(given), ..entry.clone() }
+            let new_entry = Entry { listing, state, since: now, weight: current };
+            self.entries.insert(entry.server.clone(), new_entry);
+            Listing { weight: Some(current), ..entry.clone() }
         };
-        entries.iter().map(place).collect()
+        entries.iter().map(replace_weight).collect()
     }
 
-    /// Proxies met something at a server.
-    pub fn record_tries(&mut self, now: Nanos, server: &ServerId, met: &TryReport) {
-        self.estimator.record(now, server, met);
+    /// Records a report of proxies on their tries at a server.
+    pub fn record_tries(&mut self, now: Nanos, server: &ServerId, report: &TryReport) {
+        self.estimator.record(now, server, report);
     }
 
-    /// Operations came from proxies of a zone.
+    /// Records operations that arrived at the proxies of a zone.
     pub fn record_demand(&mut self, now: Nanos, zone: ZoneId, class: ClassId, arrived: u64) {
         let at = (usize::from(zone.0), usize::from(class.0));
         if at.0 < self.settings.zones && at.1 < self.settings.classes.len() {
@@ -280,29 +290,29 @@
         }
     }
 
-    /// How many proxies are this coordinator's own, where they are not told one by one.
+    /// Sets the number of this coordinator's own proxies, if their joining is not reported one by one.
     pub fn set_own_proxies(&mut self, proxies: u32) {
-        self.joined = Some(proxies);
+        self.own_proxies = Some(proxies);
     }
 
-    /// The part of all proxies that are its own.
-    fn own_part(&self) -> f64 {
-        let own = self.joined.map_or(self.proxies.len() as f64, f64::from);
+    /// The fraction of all proxies that are this coordinator's own.
+    fn own_share(&self) -> f64 {
+        let own = self.own_proxies.map_or(self.proxies.len() as f64, f64::from);
         (own.max(1.0) / f64::from(self.settings.proxies.max(1))).min(1.0)
     }
 
-    /// Weights that are to change now.
+    /// Updates estimates and plan; returns the weights that change now.
     pub fn update(&mut self, now: Nanos) -> Option<Event> {
-        self.estimator.set_own_share(self.own_part());
+        self.estimator.set_own_share(self.own_share());
         let moved = self.estimator.observe(now);
-        let due = now >= self.solve_at;
-        if due {
-            self.solve_at = now + SOLVE_EVERY;
+        let is_due = now >= self.next_plan_at;
+        if is_due {
+            self.next_plan_at = now + PLAN_INTERVAL;
             self.solve(now);
         } else if moved.is_empty() {
             return None;
         }
-        let again = self.find_unit(now);
+        let is_new_unit = self.update_unit(now);
         let unit = self.unit?;
         let mut changed: Vec<Listing> = Vec::new();
         let ids: Vec<ServerId> = self.entries.keys().cloned().collect();
@@ -312,16 +322,16 @@
             let wanted = self.weight(now, &id, entry.listing.zone, listed, unit);
             let found = self.estimator.capacity(now, &id);
             let Some(capacity) = found else { continue };
-            let away = (wanted / entry.given).ln().abs();
-            let worth = self.settings.churn + DOUBT_SHARE * capacity.deviation;
-            let sign = self.sign(now, entry, away, worth, &capacity);
-            let row = MOVES.iter().find(|row| row.0 == entry.state && sign.contains(&row.1));
+            let difference = (wanted / entry.weight).ln().abs();
+            let threshold = self.settings.churn + CHURN_DEVIATIONS * capacity.deviation;
+            let signs = self.signs(now, entry, difference, threshold, &capacity);
+            let row = TRANSITIONS.iter().find(|row| row.0 == entry.state && signs.contains(&row.1));
             let Some(entry) = self.entries.get_mut(&id) else { continue };
             let cause = match row {
                 Some((_, sign, next, effect)) => {
                     entry.state = *next;
                     match effect {
-                        Effect::Give => Some(match sign {
+                        Effect::Apply => Some(match sign {
                             Sign::Jumped => Cause::Changed,
                             Sign::Settled => Cause::Found,
                             Sign::Lasted | Sign::Differs | Sign::Agrees => Cause::Differed,
@@ -330,18 +340,18 @@
                             entry.since = now;
                             None
                         }
-                        Effect::Nothing => None,
+                        Effect::None => None,
                     }
                 }
                 None => None,
             };
-            let cause = cause.or((again && away > 0.0).then_some(Cause::Unit));
-            if let Some(cause) = cause.filter(|_| away > 0.0) {
+            let cause = cause.or((is_new_unit && difference > 0.0).then_some(Cause::Unit));
+            if let Some(cause) = cause.filter(|_| difference > 0.0) {
                 let tilt = self.tilts.get(usize::from(entry.listing.zone.0)).copied().unwrap_or(1.0);
                 let change = Change {
-                    at_s: (now - self.born).secs(),
+                    at_s: (now - self.started_at).secs(),
                     server: id.0.to_string(),
-                    from: entry.given,
+                    from: entry.weight,
                     to: wanted,
                     cause,
                     capacity: capacity.median,
@@ -349,37 +359,45 @@
                     loss: capacity.loss,
                     tilt,
                 };
-                entry.given = wanted;
+                entry.weight = wanted;
                 changed.push(Listing { weight: Some(wanted), ..entry.listing.clone() });
                 if self.history.len() == HISTORY {
                     self.history.pop_front();
                 }
                 self.history.push_back(change);
-                self.untold += 1;
+                self.pending_changes += 1;
             }
         }
         (!changed.is_empty()).then(|| Event::List { scope: ListScope::Changes, entries: changed.into() })
     }
 
-    /// Signs that hold, the strongest first.
-    fn sign(&self, now: Nanos, entry: &Entry, away: f64, worth: f64, capacity: &Capacity) -> Vec<Sign> {
+    /// All signs that hold, the strongest first.
+    fn signs(
+        &self,
+        now: Nanos,
+        entry: &Entry,
+        difference: f64,
+        threshold: f64,
+        capacity: &Capacity,
+    ) -> Vec<Sign> {
         let mut signs = Vec::new();
-        if capacity.observations > 0 && capacity.deviation <= SURE {
+        if capacity.observations > 0 && capacity.deviation <= SETTLED_DEVIATION {
             signs.push(Sign::Settled);
         }
-        if away > JUMP.max(JUMP_SURE * capacity.deviation) {
+        if difference > JUMP.max(JUMP_DEVIATIONS * capacity.deviation) {
             signs.push(Sign::Jumped);
         }
-        if away > worth && now - entry.since >= HOLD {
+        if difference > threshold && now - entry.since >= MIN_DURATION {
             signs.push(Sign::Lasted);
         }
-        signs.push(if away > worth { Sign::Differs } else { Sign::Agrees });
+        signs.push(if difference > threshold { Sign::Differs } else { Sign::Agrees });
         signs
     }
 
-    /// The unit of weight: once found it stands, since to change it moves every weight and nothing else. True: all are told anew.
-    fn find_unit(&mut self, now: Nanos) -> bool {
-        if now - self.born < SETTLE {
+    /// Updates the unit of weight. It stays as it is if it can, since a change moves all weights and has no other effect.
+    /// Returns true if all weights must be sent again.
+    fn update_unit(&mut self, now: Nanos) -> bool {
+        if now - self.started_at < START_DELAY {
             return false;
         }
         let (mut sum, mut count) = (0.0, 0.0);
@@ -396,29 +414,30 @@
         }
         let unit = sum / count;
         match self.unit {
-            Some(held) if (held - unit).abs() <= UNIT_OFF.ln() => false,
-            held => {
+            Some(current) if (current - unit).abs() <= UNIT_CHANGE.ln() => false,
+            previous => {
                 self.unit = Some(unit);
-                held.is_some()
+                previous.is_some()
             }
         }
     }
 
-    /// What a server is to be listed with.
+    /// The weight of a server by its estimate.
     fn weight(&self, now: Nanos, id: &ServerId, zone: ZoneId, listed: f64, unit: f64) -> f64 {
         let Some(capacity) = self.estimator.capacity(now, id) else { return listed };
-        let surely = (-self.settings.margin * capacity.deviation).exp();
-        let stray = (capacity.median.ln() - unit - listed.ln()).clamp(-STRAY_MOST.ln(), STRAY_MOST.ln());
+        let margin = (-self.settings.margin * capacity.deviation).exp();
+        let ratio =
+            (capacity.median.ln() - unit - listed.ln()).clamp(-UNIT_RATIO_MAX.ln(), UNIT_RATIO_MAX.ln());
         let tilt = self.tilts.get(usize::from(zone.0)).copied().unwrap_or(1.0);
-        let found = listed * stray.exp() * tilt;
-        let weight = found * surely * (1.0 - capacity.loss);
-        (weight.max(LEAST_WEIGHT * found) * 1e4).round().max(1.0) / 1e4
+        let found = listed * ratio.exp() * tilt;
+        let weight = found * margin * (1.0 - capacity.loss);
+        (weight.max(MIN_WEIGHT * found) * 1e4).round().max(1.0) / 1e4
     }
 
-    /// Classes alike in all that matters here are one: these, and the place of each class among them.
+    /// Groups of classes with the same rules and importance, and the index of the group of each class.
     pub fn groups(&self) -> (Vec<Class>, Vec<usize>) {
         let mut classes: Vec<Class> = Vec::new();
-        let mut place_of = Vec::new();
+        let mut group_of = Vec::new();
         for class in &self.settings.classes {
             let one = Class {
                 importance: class.importance,
@@ -426,18 +445,18 @@
                 only_kinds: class.only_kinds.iter().map(|kind| kind.0).collect(),
                 home_only: class.home_only,
             };
-            let place = classes.iter().position(|other| *other == one).unwrap_or_else(|| {
+            let group = classes.iter().position(|other| *other == one).unwrap_or_else(|| {
                 classes.push(one);
                 classes.len() - 1
             });
-            place_of.push(place);
+            group_of.push(group);
         }
-        (classes, place_of)
+        (classes, group_of)
     }
 
-    /// The fleet as it is known now.
+    /// The input for a plan, and the servers in it.
     fn fleet(&self, now: Nanos) -> (Fleet, Vec<ServerId>) {
-        let (classes, place_of) = self.groups();
+        let (classes, group_of) = self.groups();
         let ready = |entry: &&Entry| {
             entry.listing.readiness == Readiness::Ready
                 && usize::from(entry.listing.zone.0) < self.settings.zones
@@ -454,33 +473,35 @@
             });
             ids.push(id.clone());
         }
-        let part = self.own_part();
+        let own_share = self.own_share();
         let mut demand = vec![vec![0.0; classes.len()]; self.settings.zones];
-        // What comes to proxies of other coordinators is not seen: as much for each, spread as the servers are.
+        // The demand at proxies of other coordinators is not known: assume as much for each proxy, spread over the zones as
+        // the capacity is.
         let mut spread = vec![0.0; self.settings.zones];
         servers.iter().for_each(|server| spread[server.zone] += server.capacity);
         let whole = f64::max(spread.iter().sum(), 1e-9);
-        for ((zone, class), fading) in &self.demand {
-            let (rate, class) = (fading.rate(now, now - self.born), place_of[*class]);
+        for ((zone, class), arrivals) in &self.demand {
+            let (rate, class) = (arrivals.rate(now, now - self.started_at), group_of[*class]);
             demand[*zone][class] += rate;
             for (zone, capacity) in spread.iter().enumerate() {
-                demand[zone][class] += rate * (1.0 / part - 1.0) * capacity / whole;
+                demand[zone][class] += rate * (1.0 / own_share - 1.0) * capacity / whole;
             }
         }
         let crossing = self.settings.crossing.clone();
         (Fleet { zones: self.settings.zones, classes, servers, demand, crossing }, ids)
     }
 
+    /// Makes a new plan, and moves the tilts of the zones towards it.
     fn solve(&mut self, now: Nanos) {
         let (fleet, ids) = self.fleet(now);
         let kinds = fleet.servers.iter().map(|server| (server.zone, server.kind));
         let pools = kinds.collect::<std::collections::BTreeSet<(usize, u16)>>().len();
-        if pools * fleet.classes.len() * fleet.zones > SIZE_MOST {
+        if pools * fleet.classes.len() * fleet.zones > PLAN_FLOWS_MAX {
             self.unsolved += 1;
             return;
         }
         let Some(plan) = fleet.solve() else {
-            // The last one stands.
+            // The previous plan stays in use.
             self.unsolved += 1;
             return;
         };
@@ -495,13 +516,13 @@
             let even = whole.0 / f64::max(whole.1, 1e-9);
             let wanted =
                 if load > 0.0 && capacity > 0.0 && even > 0.0 { load / capacity / even } else { 1.0 };
-            let way = wanted.clamp(TILT.0, TILT.1).ln() - tilt.ln();
-            *tilt = (tilt.ln() + TILT_SMOOTH * way).exp();
+            let distance = wanted.clamp(TILT.0, TILT.1).ln() - tilt.ln();
+            *tilt = (tilt.ln() + TILT_SMOOTHING * distance).exp();
         }
         self.plan = Some((fleet, plan, ids));
     }
 
-    /// The last plan, with the fleet it is for and its servers.
+    /// The latest plan with its input and its servers.
     pub fn plan(&self) -> Option<(&Fleet, &Plan, &[ServerId])> {
         self.plan.as_ref().map(|(fleet, plan, ids)| (fleet, plan, ids.as_slice()))
     }
@@ -510,27 +531,27 @@
         &self.estimator
     }
 
-    /// Changes so far, the oldest first, as far as they are remembered.
+    /// The changes so far that are kept, the oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Change> {
         self.history.iter()
     }
 
-    /// Changes since the last time it was asked, as far as they are remembered.
+    /// The kept changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
-        let count = std::mem::take(&mut self.untold).min(self.history.len());
+        let count = std::mem::take(&mut self.pending_changes).min(self.history.len());
         self.history.iter().skip(self.history.len() - count).cloned().collect()
     }
 
-    /// Plans that were solved, and those that were not.
+    /// Numbers of plans that were solved and that were not.
     pub fn plan_counts(&self) -> (u64, u64) {
         (self.solved, self.unsolved)
     }
 
-    /// A server's weight as given and as listed, what stands of it, and why its own word is doubted.
+    /// A server's weight in use, its listed weight, the state, and why its load reports are not used, if so.
     pub fn weight_of(&self, server: &ServerId) -> Option<(f64, f64, State, Option<Doubt>)> {
         let entry = self.entries.get(server)?;
         let listed = entry.listing.weight.unwrap_or(1.0);
-        Some((entry.given, listed, entry.state, self.estimator.doubt(server)))
+        Some((entry.weight, listed, entry.state, self.estimator.doubt(server)))
     }
 
     pub fn settings(&self) -> &Settings {
--- a/crates/craneknot-solver/tests/fleet.rs
+++ b/crates/craneknot-solver/tests/fleet.rs
@@ -61,9 +61,7 @@
             let mut queues =
                 vec![Queue::new(1, 1.5), Queue::new(2, 1.0), Queue::new(4, 0.8), Queue::new(8, 2.0)];
             let mut estimator = Estimator::new(WARM);
-            (0..4).for_each(|number| {
-                estimator.set_listed(Nanos(0), &id(number), told(number as u16, 1.0, None))
-            });
+            (0..4).for_each(|number| estimator.insert(Nanos(0), &id(number), told(number as u16, 1.0, None)));
             let rates: Vec<f64> = queues.iter().map(|queue| fill * queue.capacity()).collect();
             play(&mut estimator, &mut queues, &rates, (0.0, 30.0), seed, |_, _| {});
             for (number, queue) in queues.iter().enumerate() {
@@ -85,7 +83,7 @@
 fn a_halved_server_is_found_out_within_five_seconds() {
     let mut queues = vec![Queue::new(2, 1.0)];
     let mut estimator = Estimator::new(WARM);
-    estimator.set_listed(Nanos(0), &id(0), told(0, 1.0, None));
+    estimator.insert(Nanos(0), &id(0), told(0, 1.0, None));
     play(&mut estimator, &mut queues, &[40.0], (0.0, 20.0), 5, |_, _| {});
     assert!((found(&estimator, 20.0, 0) / 100.0).ln().abs() < 0.25);
     queues[0].speed = 0.5;
@@ -100,7 +98,7 @@
     let mut queues = vec![Queue::new(2, 1.0)];
     queues[0].drops = 0.33;
     let mut estimator = Estimator::new(WARM);
-    estimator.set_listed(Nanos(0), &id(0), told(0, 1.0, None));
+    estimator.insert(Nanos(0), &id(0), told(0, 1.0, None));
     play(&mut estimator, &mut queues, &[40.0], (0.0, 20.0), 7, |_, _| {});
     let capacity = estimator.capacity(Nanos::from_secs(20.0), &id(0)).unwrap();
     assert!((capacity.loss - 0.33).abs() < 0.12, "{capacity:?}");
@@ -112,7 +110,7 @@
 fn a_server_that_lies_is_doubted() {
     let mut queues = vec![Queue::new(2, 1.0), Queue::new(2, 1.0)];
     let mut estimator = Estimator::new(WARM);
-    (0..2).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(0, 1.0, None)));
+    (0..2).for_each(|number| estimator.insert(Nanos(0), &id(number), told(0, 1.0, None)));
     play(&mut estimator, &mut queues, &[40.0, 40.0], (0.0, 10.0), 8, |_, _| {});
     (queues[1].lies, queues[1].speed) = (true, 0.3);
     play(&mut estimator, &mut queues, &[40.0, 40.0], (10.0, 16.0), 9, |_, _| {});
@@ -128,10 +126,10 @@
     let mut queues: Vec<Queue> = (0..6).map(|k| Queue::new(if k < 3 { 1 } else { 4 }, 1.0)).collect();
     let mut estimator = Estimator::new(WARM);
     let kind = |number: usize| u16::from(number >= 3);
-    (0..6).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(kind(number), 1.0, None)));
+    (0..6).for_each(|number| estimator.insert(Nanos(0), &id(number), told(kind(number), 1.0, None)));
     let rates: Vec<f64> = queues.iter().map(|queue| 0.5 * queue.capacity()).collect();
     play(&mut estimator, &mut queues, &rates, (0.0, 15.0), 10, |_, _| {});
-    estimator.set_listed(Nanos::from_secs(15.0), &id(9), told(1, 1.0, Some(15.0)));
+    estimator.insert(Nanos::from_secs(15.0), &id(9), told(1, 1.0, Some(15.0)));
     let capacity = estimator.capacity(Nanos::from_secs(15.0), &id(9)).unwrap();
     assert!((capacity.median / 200.0).ln().abs() < 0.25, "{capacity:?}");
     assert!((0.1..0.5).contains(&capacity.deviation), "{capacity:?}");
@@ -144,7 +142,7 @@
     let mut queues = vec![Queue::new(2, 1.0), Queue::new(2, 2.0)];
     queues.iter_mut().for_each(|queue| queue.tells = false);
     let mut estimator = Estimator::new(WARM);
-    (0..2).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(number as u16, 1.0, None)));
+    (0..2).for_each(|number| estimator.insert(Nanos(0), &id(number), told(number as u16, 1.0, None)));
     play(&mut estimator, &mut queues, &[30.0, 60.0], (0.0, 10.0), 11, |_, _| {});
     play(&mut estimator, &mut queues, &[96.0, 190.0], (10.0, 40.0), 12, |_, _| {});
     for (number, truth) in [(0, 100.0f64), (1, 200.0)] {
@@ -157,7 +155,7 @@
 #[test]
 fn estimates_of_four_tries_stay_wide() {
     let mut estimator = Estimator::new(WARM);
-    estimator.set_listed(Nanos(0), &id(0), told(0, 1.0, None));
+    estimator.insert(Nanos(0), &id(0), told(0, 1.0, None));
     let report = LoadReport { busy: Some(0.1), in_flight: Some(0.2), service_time: None };
     let met = TryReport { tries: 4, unanswered: 0, latency: Nanos::from_millis(20), report };
     estimator.record(Nanos::from_secs(0.5), &id(0), &met);
@@ -322,7 +320,7 @@
     let mut rng = Pcg32::seed_from_u64(4);
     let mut estimators = [Estimator::new(WARM), Estimator::new(WARM)];
     for estimator in &mut estimators {
-        (0..2).for_each(|number| estimator.set_listed(Nanos(0), &id(number), told(number as u16, 1.0, None)));
+        (0..2).for_each(|number| estimator.insert(Nanos(0), &id(number), told(number as u16, 1.0, None)));
     }
     for step in 0..60 {
         let at = step as f64 * PERIOD;
