--- a/crates/craneknot-solver/examples/solver_figures.rs
+++ b/crates/craneknot-solver/examples/solver_figures.rs
@@ -1,5 +1,5 @@
-//! The figures of `docs/design/weight-solver.md`: how far plans are from the best split, how long solving takes, how estimates
-//! err after a start, a halving and a lie, and how often intervals hold the truth.
+//! The figures of `docs/design/weight-solver.md`: how far plans are from the best distribution, how long solving takes, the
+//! error of estimates after a start, a halving and false load reports, and how often intervals contain the capacity.
 //!
 //!     cargo run --release -p craneknot-solver --example solver_figures
 
@@ -18,7 +18,7 @@
 use rand::{Rng as _, SeedableRng};
 use rand_pcg::Pcg32;
 
-fn part(sorted: &[f64], share: f64) -> f64 {
+fn quantile(sorted: &[f64], share: f64) -> f64 {
     sorted.get(((sorted.len() as f64 - 1.0) * share) as usize).copied().unwrap_or(0.0)
 }
 
@@ -26,23 +26,23 @@
     let mut all: Vec<f64> = Vec::new();
     let mut shed = 0;
     for seed in 0..fleets {
-        let fleet = small::draw(&mut small::Rng::new(1_000 + seed));
+        let fleet = small::random_fleet(&mut small::Rng::new(1_000 + seed));
         let Some(plan) = fleet.solve() else { continue };
         shed += usize::from(plan.cost.shed > 0.0);
-        all.push(plan.cost.sum() / small::best_by_looking(&fleet) - 1.0);
+        all.push(plan.cost.sum() / small::best_by_search(&fleet) - 1.0);
     }
     all.sort_by(f64::total_cmp);
     println!(
-        "plan's cost over the best by looking, {} fleets ({shed} of them shed): least {:+.4}, half {:+.4}, 99 of 100 {:+.4}, most {:+.4}",
+        "plan's cost over the best by search, {} fleets ({shed} of them shed): minimum {:+.4}, median {:+.4}, p99 {:+.4}, maximum {:+.4}",
         all.len(),
-        part(&all, 0.0),
-        part(&all, 0.5),
-        part(&all, 0.99),
-        part(&all, 1.0)
+        quantile(&all, 0.0),
+        quantile(&all, 0.5),
+        quantile(&all, 0.99),
+        quantile(&all, 1.0)
     );
 }
 
-fn large(servers: usize, zones: usize, rng: &mut Pcg32) -> Fleet {
+fn large_fleet(servers: usize, zones: usize, rng: &mut Pcg32) -> Fleet {
     let classes = (0..6)
         .map(|class| Class {
             importance: 1.0 + class as f64,
@@ -68,23 +68,23 @@
 }
 
 fn times() {
-    println!("servers zones | solving: half ms, 99 of 100 ms (50 fleets each)");
+    println!("servers zones | solving: median ms, p99 ms (50 fleets each)");
     let mut rng = Pcg32::seed_from_u64(5);
     for (servers, zones) in [(10, 2), (100, 2), (100, 5), (1_000, 2), (1_000, 5), (1_000, 10), (10_000, 5)] {
         let mut all: Vec<f64> = (0..50)
             .filter_map(|_| {
-                let fleet = large(servers, zones, &mut rng);
+                let fleet = large_fleet(servers, zones, &mut rng);
                 let begun = Instant::now();
                 fleet.solve()?;
                 Some(begun.elapsed().as_secs_f64() * 1e3)
             })
             .collect();
         all.sort_by(f64::total_cmp);
-        println!("{servers:>7} {zones:>5} | {:.2}, {:.2}", part(&all, 0.5), part(&all, 0.99));
+        println!("{servers:>7} {zones:>5} | {:.2}, {:.2}", quantile(&all, 0.5), quantile(&all, 0.99));
     }
 }
 
-/// Errors of estimates of many servers by time, after what `change` does to them.
+/// Errors of the estimates of many servers by time after `change` was applied to them.
 fn errors(title: &str, warm: f64, change: impl Fn(&mut Queue), truth: impl Fn(&Queue) -> f64) {
     let warm_up = WarmUp { cold_share: 0.2, warm_after: Nanos::from_millis(8_000) };
     let mut by_time: Vec<Vec<(f64, bool)>> = vec![Vec::new(); 41];
@@ -112,8 +112,8 @@
                 changed = true;
             }
             for (number, queue) in queues.iter_mut().enumerate() {
-                if let Some(met) = queue.play(at, rates[number], &mut rng) {
-                    estimator.record(Nanos::from_secs(at + PERIOD), &id(number), &met);
+                if let Some(report) = queue.run_period(at, rates[number], &mut rng) {
+                    estimator.record(Nanos::from_secs(at + PERIOD), &id(number), &report);
                 }
             }
             at += PERIOD;
@@ -134,7 +134,7 @@
             }
         }
     }
-    print!("{title}: error half (nine of ten), intervals that hold it:");
+    print!("{title}: median error (p90), intervals that contain the capacity:");
     for slot in [2, 4, 6, 10, 20, 40] {
         let mut errors: Vec<f64> = by_time[slot].iter().map(|one| one.0).collect();
         errors.sort_by(f64::total_cmp);
@@ -142,8 +142,8 @@
         print!(
             " {} s {:.2} ({:.2}) {:.0}%;",
             slot as f64 * PERIOD,
-            part(&errors, 0.5),
-            part(&errors, 0.9),
+            quantile(&errors, 0.5),
+            quantile(&errors, 0.9),
             inside * 100.0
         );
     }
@@ -151,18 +151,18 @@
 }
 
 fn main() {
-    // `errors` alone where that is asked for.
+    // With an argument, only the errors are printed.
     if std::env::args().nth(1).is_none() {
         gaps(500);
         times();
     }
     errors("after a start", 0.0, |_| {}, Queue::capacity);
     errors("after a halving", 20.0, |queue| queue.speed /= 2.0, Queue::capacity);
-    errors("a third of the answers lost", 20.0, |queue| queue.drops = 0.33, |queue| queue.capacity() * 0.67);
+    errors("a third of the answers lost", 20.0, |queue| queue.loss = 0.33, |queue| queue.capacity() * 0.67);
     errors(
-        "slowed to a third and lying",
+        "slowed to a third with false load reports",
         20.0,
-        |queue| (queue.lies, queue.speed) = (true, queue.speed / 3.0),
+        |queue| (queue.reports_idle, queue.speed) = (true, queue.speed / 3.0),
         Queue::capacity,
     );
 }
--- a/crates/craneknot-solver/src/estimate.rs
+++ b/crates/craneknot-solver/src/estimate.rs
@@ -266,11 +266,11 @@
         batch.unanswered += unanswered;
         batch.answered += answered;
         batch.latency += report.latency.secs() * answered as f64;
-        if let (Some(busy), Some(held)) = (report.report.busy, report.report.in_flight) {
-            if busy.is_finite() && held.is_finite() && answered > 0 {
+        if let (Some(utilization), Some(in_flight)) = (report.report.busy, report.report.in_flight) {
+            if utilization.is_finite() && in_flight.is_finite() && answered > 0 {
                 batch.reported += answered;
-                batch.utilization += busy * answered as f64;
-                batch.in_flight += held * answered as f64;
+                batch.utilization += utilization * answered as f64;
+                batch.in_flight += in_flight * answered as f64;
             }
         }
         let decay = 0.5f64.powf((now - server.lost.2).secs() / LOSS_HALF_LIFE.secs());
--- a/crates/craneknot-solver/src/lib.rs
+++ b/crates/craneknot-solver/src/lib.rs
@@ -1,9 +1,9 @@
-//! Weights under capacity and cost, from what the fleet shows. Pure: no I/O, the clock is passed in, the same events give the
-//! same weights.
+//! Computes the weights of servers under capacity and cost from what is observed of the fleet. Without I/O: the clock is
+//! passed in, and the same events give the same weights.
 //!
-//! [`estimate`] tells from reports what each server can carry, and how surely; [`plan`] splits the work that is asked for over
-//! the servers by a linear program, under capacity, placement and the price of crossings; [`tuner`] keeps both, hears what the
-//! decisions hear, and says when a listed weight is to change; [`explain`] says why.
+//! [`estimate`] estimates the capacity of each server from reports, with its uncertainty; [`plan`] distributes the demand
+//! over the servers by a linear program, under capacity, placement and the cost of traffic between zones; [`tuner`] maintains
+//! both from the events of the decisions, and tells when a listed weight changes; [`explain`] explains the result.
 
 pub mod estimate;
 pub mod explain;
--- a/crates/craneknot-solver/tests/brute.rs
+++ b/crates/craneknot-solver/tests/brute.rs
@@ -1,48 +1,53 @@
-//! The plan against the best split that looking at all of them finds, on small fleets.
+//! Compares the plan with the best distribution that an exhaustive search finds, on small fleets.
 
 mod small;
 
-use small::{best_by_looking, draw, Rng};
+use small::{best_by_search, random_fleet, Rng};
 
 #[test]
-fn no_split_that_looking_finds_is_better_and_the_plan_is_a_split_that_can_be() {
+fn the_plan_is_feasible_and_as_good_as_the_best_of_an_exhaustive_search() {
     let mut worst: f64 = 0.0;
     for seed in 0..120 {
-        let fleet = draw(&mut Rng::new(seed));
+        let fleet = random_fleet(&mut Rng::new(seed));
         let plan = fleet.solve().expect("a small fleet has a plan");
-        // The plan's own word on its cost is what its split costs by server, within capacity and placement.
-        let realised = fleet.cost_of(&plan.split(&fleet)).expect("the plan's split can be played").sum();
+        // The cost that the plan states is the cost of its distribution by server, within capacity and placement.
+        let realised = fleet.cost_of(&plan.split(&fleet)).expect("the plan's distribution is feasible").sum();
         assert!((realised / plan.cost.sum() - 1.0).abs() < 1e-6, "seed {seed}: {realised} {:?}", plan.cost);
-        let best = best_by_looking(&fleet);
+        let best = best_by_search(&fleet);
         let gap = realised / best - 1.0;
-        assert!(gap <= 0.05, "seed {seed}: plan {realised}, best by looking {best}");
-        // Looking is no strawman: it comes as near from above.
-        assert!(best / realised - 1.0 <= 0.05, "seed {seed}: plan {realised}, best by looking {best}");
+        assert!(gap <= 0.05, "seed {seed}: plan {realised}, best by search {best}");
+        // The search is a fair comparison: it comes as close from above.
+        assert!(best / realised - 1.0 <= 0.05, "seed {seed}: plan {realised}, best by search {best}");
         worst = worst.max(gap);
     }
     assert!(worst < 0.05);
 }
 
-/// One and the same fleet has one and the same plan: what changes a plan is the fleet.
+/// Plans change only if the fleet does.
 #[test]
 fn the_same_fleet_has_the_same_plan() {
     for seed in 0..40 {
-        let fleet = draw(&mut Rng::new(seed));
+        let fleet = random_fleet(&mut Rng::new(seed));
         assert_eq!(fleet.solve(), fleet.solve(), "seed {seed}");
     }
 }
 
-/// A little more or less of everything moves fills a little: no swinging between two plans that cost the same.
+/// A small change of the demand changes utilizations little: there is no switching between plans of the same cost.
 #[test]
-fn plans_move_no_more_than_what_they_are_made_of() {
+fn a_small_change_of_demand_changes_plans_little() {
     for seed in 0..60 {
-        let fleet = draw(&mut Rng::new(seed));
+        let fleet = random_fleet(&mut Rng::new(seed));
         let mut near = fleet.clone();
         near.demand.iter_mut().flatten().for_each(|rate| *rate *= 1.01);
         let (one, other) = (fleet.solve().unwrap(), near.solve().unwrap());
         for (a, b) in one.pools.iter().zip(&other.pools) {
-            // A step of the wait's price is a tenth of a fill.
-            assert!((a.fill() - b.fill()).abs() <= 0.11, "seed {seed}: {} and {}", a.fill(), b.fill());
+            // The steps of the cost of waits are a tenth of utilization wide.
+            assert!(
+                (a.utilization() - b.utilization()).abs() <= 0.11,
+                "seed {seed}: {} and {}",
+                a.utilization(),
+                b.utilization()
+            );
         }
     }
 }
--- a/crates/craneknot-solver/tests/small/mod.rs
+++ b/crates/craneknot-solver/tests/small/mod.rs
@@ -1,4 +1,4 @@
-//! Small fleets by chance, and the best split of their work by looking at all on a grid and then nearby.
+//! Random small fleets, and the best distribution of their demand by a search on a grid and then by local improvements.
 
 use craneknot_solver::plan::{Class, Fleet, Server};
 use rand::{Rng as _, SeedableRng};
@@ -12,8 +12,8 @@
     }
 }
 
-/// Two or three servers in two zones, one or two classes, from nearly idle to more than can be done.
-pub fn draw(rng: &mut Rng) -> Fleet {
+/// A random fleet of two or three servers in two zones with one or two classes, from nearly idle to overloaded.
+pub fn random_fleet(rng: &mut Rng) -> Fleet {
     let rng = &mut rng.0;
     let servers: Vec<Server> = (0..rng.random_range(2..=3))
         .map(|_| Server {
@@ -33,7 +33,7 @@
         .collect();
     let fill = rng.random_range(0.1..1.2) * whole;
     let mut parts: Vec<Vec<f64>> = vec![vec![0.0; classes.len()]; 2];
-    // Three streams of work at the most, so that all splits can be looked at.
+    // At most three streams of work, so that the search can cover all distributions.
     let streams = (2 * classes.len()).min(3);
     parts.iter_mut().flatten().take(streams).for_each(|part| *part = rng.random_range(0.1..1.0));
     let sum: f64 = parts.iter().flatten().sum();
@@ -42,13 +42,13 @@
     Fleet { zones: 2, classes, servers, demand, crossing: vec![vec![0.0, there], vec![back, 0.0]] }
 }
 
-/// All ways to deal `steps` over `places`.
-fn deals(steps: usize, places: usize) -> Vec<Vec<usize>> {
+/// All ways to distribute `steps` over `places`.
+fn distributions(steps: usize, places: usize) -> Vec<Vec<usize>> {
     if places == 1 {
         return vec![vec![steps]];
     }
     let first = |mine: usize| {
-        deals(steps - mine, places - 1).into_iter().map(move |mut rest| {
+        distributions(steps - mine, places - 1).into_iter().map(move |mut rest| {
             rest.insert(0, mine);
             rest
         })
@@ -56,32 +56,32 @@
     (0..=steps).flat_map(first).collect()
 }
 
-/// The least cost of any split: a grid of all, then ever smaller changes of the best.
-pub fn best_by_looking(fleet: &Fleet) -> f64 {
+/// The lowest cost of any distribution: a search of a grid, then ever smaller changes of the best one.
+pub fn best_by_search(fleet: &Fleet) -> f64 {
     let streams: Vec<(usize, usize)> = (0..fleet.zones)
         .flat_map(|zone| (0..fleet.classes.len()).map(move |class| (zone, class)))
         .filter(|(zone, class)| fleet.demand[*zone][*class] > 0.0)
         .collect();
-    // The last place is what is shed.
+    // The last place stands for demand that is shed.
     let places = fleet.servers.len() + 1;
     let steps = if streams.len() <= 2 { 16 } else { 6 };
-    let all = deals(steps, places);
+    let all = distributions(steps, places);
     let mut split = vec![vec![vec![0.0; fleet.servers.len()]; fleet.classes.len()]; fleet.zones];
     let set = |split: &mut Vec<Vec<Vec<f64>>>, (zone, class): (usize, usize), parts: &[f64]| {
         let demand = fleet.demand[zone][class];
         split[zone][class].iter_mut().zip(parts).for_each(|(rate, part)| *rate = demand * part);
     };
-    let fits = |(zone, class): (usize, usize), deal: &Vec<usize>| {
-        let open = |(place, mine): (usize, &usize)| {
+    let fits = |(zone, class): (usize, usize), parts: &Vec<usize>| {
+        let is_allowed = |(place, mine): (usize, &usize)| {
             *mine == 0 || place == places - 1 || fleet.allows(zone, class, &fleet.servers[place])
         };
-        deal.iter().enumerate().all(open)
+        parts.iter().enumerate().all(is_allowed)
     };
     let options: Vec<Vec<Vec<f64>>> = streams
         .iter()
         .map(|stream| {
-            let parts = |deal: &Vec<usize>| deal.iter().map(|mine| *mine as f64 / steps as f64).collect();
-            all.iter().filter(|deal| fits(*stream, deal)).map(parts).collect()
+            let parts = |parts: &Vec<usize>| parts.iter().map(|mine| *mine as f64 / steps as f64).collect();
+            all.iter().filter(|parts| fits(*stream, parts)).map(parts).collect()
         })
         .collect();
     let mut best = (f64::INFINITY, Vec::new());
@@ -104,13 +104,14 @@
         }
         break;
     }
-    // Nearby: some of one stream from one place to another, alone or with another stream's way back, while that helps.
+    // Local improvements: move a part of one stream from one place to another, alone or together with a move of another stream,
+    // while that lowers the cost.
     let (mut least, mut parts): (f64, Vec<Vec<f64>>) = best;
     let mut step = 1.0 / steps as f64;
     while step > 1e-3 {
-        let mut better = true;
-        while better {
-            better = false;
+        let mut improved = true;
+        while improved {
+            improved = false;
             let moves: Vec<(usize, usize, usize)> = (0..streams.len())
                 .flat_map(|k| (0..places).flat_map(move |from| (0..places).map(move |to| (k, from, to))))
                 .filter(|(_, from, to)| from != to)
@@ -121,19 +122,19 @@
             });
             for (one, other) in pairs.chain(doubles) {
                 let mut tried = parts.clone();
-                let mut can = true;
-                // Each moves as much work as the smaller of the two can.
+                let mut is_feasible = true;
+                // Both moves shift the same amount of work, by the smaller of the two streams.
                 let amount = |k: usize| fleet.demand[streams[k].0][streams[k].1];
                 let work = other.map_or(amount(one.0), |other| amount(one.0).min(amount(other.0))) * step;
                 for (k, from, to) in [Some(one), other].into_iter().flatten() {
                     let part = work / amount(k);
                     let (zone, class) = streams[k];
-                    can &= tried[k][from] >= part - 1e-12;
-                    can &= to == places - 1 || fleet.allows(zone, class, &fleet.servers[to]);
+                    is_feasible &= tried[k][from] >= part - 1e-12;
+                    is_feasible &= to == places - 1 || fleet.allows(zone, class, &fleet.servers[to]);
                     tried[k][from] = (tried[k][from] - part).max(0.0);
                     tried[k][to] += part;
                 }
-                if !can {
+                if !is_feasible {
                     continue;
                 }
                 for (place, stream) in streams.iter().enumerate() {
@@ -141,7 +142,7 @@
                 }
                 if let Some(cost) = fleet.cost_of(&split).map(|cost| cost.sum()) {
                     if cost < least - 1e-9 {
-                        (least, parts, better) = (cost, tried, true);
+                        (least, parts, improved) = (cost, tried, true);
                     }
                 }
             }
