--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -9,9 +9,9 @@
 use craneknot_coordinator::ledger::{LedgerContents, Line, ListedState};
 use craneknot_coordinator::weights;
 use craneknot_settings::{CrossingSettings, Names, SolverSettings};
-use craneknot_solver::estimate::Met;
+use craneknot_solver::estimate::TryReport;
 use craneknot_solver::explain::{explain, Explanation};
-use craneknot_solver::steer::{self, Steer};
+use craneknot_solver::tuner::{self, WeightTuner};
 
 use crate::output::{self, error_line, print_line};
 use crate::{status, system_failure, to_pretty_json, Failure};
@@ -57,7 +57,7 @@
 }
 
 /// The zones and classes of the ledger's head as names and settings for the solver.
-fn solver_input(ledger: &LedgerContents, solver: &SolverSettings) -> (Names, steer::Settings) {
+fn solver_input(ledger: &LedgerContents, solver: &SolverSettings) -> (Names, tuner::Settings) {
     let head = &ledger.head;
     let mut names = Names::default();
     head.zones.iter().for_each(|zone| {
@@ -79,7 +79,7 @@
     let nanos = |at: u64| Nanos(at.saturating_mul(1_000));
     let (mut names, settings) = solver_input(ledger, solver);
     let began = nanos(ledger.head.began);
-    let mut steer = Steer::new(settings, began);
+    let mut steer = WeightTuner::new(settings, began);
     let mut servers: BTreeMap<u32, (ServerId, ZoneId, KindId)> = BTreeMap::new();
     let mut now = began;
     // Ledger lines with the same time were received together: weights are evaluated when the time advances.
@@ -105,9 +105,9 @@
         }
         if at > now {
             if !pending.is_empty() {
-                steer.listed(now, ListScope::Changes, &std::mem::take(&mut pending));
+                steer.apply_list(now, ListScope::Changes, &std::mem::take(&mut pending));
             }
-            steer.turn(now);
+            steer.update(now);
             now = at;
         }
         match line {
@@ -134,12 +134,12 @@
                 let Some((server, ..)) = servers.get(server) else { continue };
                 let report = LoadReport { busy: *busy, in_flight: *held, service_time: service.map(nanos) };
                 let (tries, unanswered, latency) = (*tries, *unanswered, nanos(*latency));
-                steer.met(now, server, &Met { tries, unanswered, latency, report });
+                steer.record_tries(now, server, &TryReport { tries, unanswered, latency, report });
             }
             Line::Demand(_, zone, class, arrived, ..) => {
-                steer.came(now, ZoneId(*zone), ClassId(*class as u8), *arrived);
+                steer.record_demand(now, ZoneId(*zone), ClassId(*class as u8), *arrived);
             }
-            Line::Joined(_, zones) => steer.set_joined(zones.iter().sum()),
+            Line::Joined(_, zones) => steer.set_own_proxies(zones.iter().sum()),
             Line::Server(..)
             | Line::ListFailed(_)
             | Line::Probed(..)
@@ -148,9 +148,9 @@
         }
     }
     if !pending.is_empty() {
-        steer.listed(now, ListScope::Changes, &pending);
+        steer.apply_list(now, ListScope::Changes, &pending);
     }
-    steer.turn(now);
+    steer.update(now);
     explain(&steer, now, &weights::SolverNames(&names))
 }
 
--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -8,14 +8,14 @@
 use bytes::Bytes;
 use craneknot::interface::*;
 use craneknot::Controller;
-use craneknot_fleet::member::{self, Charge, Member};
-use craneknot_fleet::raft::{Role, Saved};
+use craneknot_fleet::member::{self, Member, Ownership};
+use craneknot_fleet::raft::{PersistentState, Role};
 use craneknot_fleet::view::Epoch;
 use craneknot_fleet::wire::Datagram;
 use craneknot_fleet::MemberId;
 use craneknot_settings::{CoordinatorSettings, Names};
 use craneknot_solver::explain::{explain, Explanation};
-use craneknot_solver::steer::{Change, Steer};
+use craneknot_solver::tuner::{Change, WeightTuner};
 use craneknot_xds::discovery::{epoch_of, print_of, source_in, DiscoveryRequest, Kind, Node};
 use craneknot_xds::load::LoadStatsRequest;
 use serde::Serialize;
@@ -76,7 +76,7 @@
         to: String,
     },
     /// Save this state durably before any later output is sent.
-    SaveFleetState(Saved),
+    SaveFleetState(PersistentState),
     /// The versions that proxies follow, by proxy name; to be saved, with no need to wait for it.
     SaveFollowed(Vec<(String, String)>),
     /// Send a datagram to another coordinator, by its name.
@@ -209,7 +209,7 @@
     channel: Channel<(StreamId, Message)>,
     reports: ReportAggregator,
     ledger: Option<Ledger>,
-    steer: Option<Steer>,
+    steer: Option<WeightTuner>,
     roster: RosterValidator,
     streams: BTreeMap<StreamId, Stream>,
     stream_by_proxy: BTreeMap<ProxyId, StreamId>,
@@ -254,8 +254,10 @@
         decider: impl FnOnce(&Settings) -> Box<dyn Decider>,
     ) -> Self {
         let (names, decisions) = settings.decisions();
-        let steer =
-            settings.solver.as_ref().map(|_| Steer::new(weights::solver_settings(settings, &decisions), now));
+        let steer = settings
+            .solver
+            .as_ref()
+            .map(|_| WeightTuner::new(weights::solver_settings(settings, &decisions), now));
         let channel = Channel::new(decisions.channel_lines_per_second);
         let source = format!("{}-{}", settings.name, now.0 / 1_000_000);
         let resources = ResourceCache::new(
@@ -306,7 +308,13 @@
 
     /// Shares the fleet with other coordinators from now on; `saved` is the state that an earlier process
     /// saved.
-    pub fn join_fleet(&mut self, settings: &CoordinatorSettings, saved: Saved, seed: u64, now: Nanos) {
+    pub fn join_fleet(
+        &mut self,
+        settings: &CoordinatorSettings,
+        saved: PersistentState,
+        seed: u64,
+        now: Nanos,
+    ) {
         let Some(shared) = &settings.shared else { return };
         let members = shared.members.iter().map(|member| MemberId::new(&member.name)).collect();
         // Placements within a proxy's own zone are numbered in order of arrival, so coordinators number their
@@ -314,7 +322,7 @@
         if !settings.fleet.classes.iter().any(|class| class.home_only) {
             self.resources.set_source("fleet".to_owned());
         }
-        let timing = member::Timing::of_lease(shared.lease.0, shared.drift);
+        let timing = member::Timing::from_lease(shared.lease.0, shared.drift);
         // The date in milliseconds: higher than that of any earlier process, and refuted by the members where
         // it is not.
         let incarnation = now.0 / 1_000_000;
@@ -333,14 +341,14 @@
     /// epoch.
     pub fn note_followed_version(&mut self, version: &str) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.note_epoch(Epoch(epoch_of(version)));
+            fleet.observe_epoch(Epoch(epoch_of(version)));
         }
     }
 
     /// Handles a datagram from another coordinator.
     pub fn handle_datagram(&mut self, now: Nanos, text: &[u8]) -> Result<(), String> {
-        let datagram = Datagram::read(text)?;
-        let outputs = self.fleet.as_mut().map(|fleet| fleet.take(now, datagram));
+        let datagram = Datagram::decode(text)?;
+        let outputs = self.fleet.as_mut().map(|fleet| fleet.handle(now, datagram));
         self.apply_fleet_outputs(outputs.unwrap_or_default());
         Ok(())
     }
@@ -354,10 +362,10 @@
                 }
                 member::Output::Send(to, datagram) => {
                     self.datagrams += 1;
-                    self.outputs.push(Output::Datagram { to: to.to_string(), text: datagram.text() });
+                    self.outputs.push(Output::Datagram { to: to.to_string(), text: datagram.encode() });
                 }
                 // Which streams may be sent to has changed.
-                member::Output::Changed => {
+                member::Output::OwnershipChanged => {
                     self.checked_epoch = None;
                     self.ready_streams.extend(self.streams.keys());
                 }
@@ -366,8 +374,8 @@
     }
 
     /// Who is responsible for a proxy now, and the epoch in which orders may be sent to it.
-    fn charge(&self, now: Nanos, proxy: &str) -> Charge {
-        self.fleet.as_ref().map_or(Charge::Mine(Epoch(0)), |fleet| fleet.charge(now, proxy))
+    fn charge(&self, now: Nanos, proxy: &str) -> Ownership {
+        self.fleet.as_ref().map_or(Ownership::Owned(Epoch(0)), |fleet| fleet.ownership(now, proxy))
     }
 
     /// Redirects streams of proxies that another coordinator is responsible for, and closes those whose
@@ -386,13 +394,13 @@
             let charge = self.charge(now, self.proxy_name(id));
             let Some(stream) = self.streams.get_mut(&id) else { continue };
             match charge {
-                Charge::Mine(_) => stream.owner_unknown_since = None,
-                Charge::Elsewhere(to) => {
+                Ownership::Owned(_) => stream.owner_unknown_since = None,
+                Ownership::OwnedBy(to) => {
                     self.sent_on += 1;
                     self.outputs.push(Output::Redirect { stream: id, to: to.to_string() });
                     self.end_stream(now, id);
                 }
-                Charge::Unknown => {
+                Ownership::Unknown => {
                     self.unowned_streams += 1;
                     let since = *stream.owner_unknown_since.get_or_insert(now);
                     if now - since >= OWNER_UNKNOWN_TIMEOUT {
@@ -462,7 +470,7 @@
             return Err(RequestError::OtherKind(request.type_url));
         }
         if let Some(fleet) = &mut self.fleet {
-            fleet.note_epoch(Epoch(epoch_of(&request.version_info)));
+            fleet.observe_epoch(Epoch(epoch_of(&request.version_info)));
         }
         if !self.streams.contains_key(&id) {
             let node =
@@ -499,12 +507,12 @@
             return Err(RequestError::UnknownZone(node.locality.zone.clone()));
         }
         match self.charge(now, &node.id) {
-            Charge::Mine(_) => {}
-            Charge::Elsewhere(to) => {
+            Ownership::Owned(_) => {}
+            Ownership::OwnedBy(to) => {
                 self.sent_on += 1;
                 return Err(RequestError::Elsewhere(to.to_string()));
             }
-            Charge::Unknown => return Err(RequestError::NoKnownOwner),
+            Ownership::Unknown => return Err(RequestError::NoKnownOwner),
         }
         let zone = self.names.zone(&node.locality.zone);
         let proxy = self.proxy_ids.acquire(&node.id).ok_or(RequestError::NoProxyIdLeft)?;
@@ -676,12 +684,12 @@
                 continue;
             }
             let charge =
-                self.fleet.as_ref().map(|fleet| fleet.charge(now, self.proxy_ids.name(stream.proxy)));
+                self.fleet.as_ref().map(|fleet| fleet.ownership(now, self.proxy_ids.name(stream.proxy)));
             let epoch = match charge {
                 None => 0,
-                Some(Charge::Mine(epoch)) => epoch.0,
+                Some(Ownership::Owned(epoch)) => epoch.0,
                 // The stream waits; every change of view or lease marks all streams as ready.
-                Some(Charge::Elsewhere(_) | Charge::Unknown) => continue,
+                Some(Ownership::OwnedBy(_) | Ownership::Unknown) => continue,
             };
             let (resources, proxy) = (&mut self.resources, stream.proxy);
             let responses = stream.session.responses(now, || resources.full_state(proxy));
@@ -729,7 +737,7 @@
 
     /// Weights that have changed since the last call.
     pub fn weight_changes(&mut self) -> Vec<Change> {
-        self.steer.as_mut().map(Steer::news).unwrap_or_default()
+        self.steer.as_mut().map(WeightTuner::take_changes).unwrap_or_default()
     }
 
     /// Why servers have their weights, where this coordinator computes them.
