--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -62,7 +62,7 @@
         names.zone(zone);
     });
     names.classes = head.classes.iter().map(|class| class.name.clone()).collect();
-    let classes = head.classes.iter().map(|class| class.decided(&mut names)).collect();
+    let classes = head.classes.iter().map(|class| class.to_interface(&mut names)).collect();
     let most = |line: &Line| match line {
         Line::Joined(_, zones) => Some(zones.iter().sum::<u32>()),
         _ => None,
@@ -167,7 +167,7 @@
             };
             let problems = solver.check("", &told.head.zones);
             if let Some(problem) = problems.first() {
-                error_line!("--crossing-of: {} ({})", problem.what, problem.mend);
+                error_line!("--crossing-of: {} ({})", problem.message, problem.remedy);
                 return Err(Failed::Settings);
             }
             play(&told, &solver, asked.at.map(Nanos::from_secs))
--- a/crates/craneknot-coordinator/src/desk.rs
+++ b/crates/craneknot-coordinator/src/desk.rs
@@ -243,7 +243,7 @@
         now: Nanos,
         decider: impl FnOnce(&Settings) -> Box<dyn Decide>,
     ) -> Self {
-        let (names, decisions) = settings.decisions();
+        let (names, decisions) = settings.controller_settings();
         let steer = settings.solver.as_ref().map(|_| Steer::new(weights::of(settings, &decisions), now));
         let channel = Channel::new(decisions.channel_lines_per_second);
         let source = format!("{}-{}", settings.name, now.0 / 1_000_000);
--- a/crates/craneknot-coordinator/src/weights.rs
+++ b/crates/craneknot-coordinator/src/weights.rs
@@ -28,7 +28,7 @@
         proxies,
         margin: solver.margin.unwrap_or(steer::MARGIN),
         churn: solver.churn.unwrap_or(steer::CHURN),
-        crossing: solver.costs(zones, steer::CROSSING),
+        crossing: solver.crossing_costs(zones, steer::CROSSING),
     }
 }
 
--- a/crates/craneknot-model/src/experiment.rs
+++ b/crates/craneknot-model/src/experiment.rs
@@ -473,7 +473,7 @@
 
 /// A swept value on an axis of a plot: a number, or a span in seconds.
 pub fn number_of(value: &serde_json::Value) -> Option<f64> {
-    value.as_f64().or_else(|| Span::read(value.as_str()?).map(|span| span.0.secs()))
+    value.as_f64().or_else(|| Span::parse(value.as_str()?).map(|span| span.0.secs()))
 }
 
 #[cfg(test)]
--- a/crates/craneknot-node/src/clients.rs
+++ b/crates/craneknot-node/src/clients.rs
@@ -11,7 +11,7 @@
 use bytes::{Buf, BytesMut};
 use craneknot::interface::{Event, Nanos, ZoneId};
 use craneknot_platform::messages::{self, Message, MessageError};
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 
 use crate::pending::PendingWork;
 
@@ -131,7 +131,7 @@
         now: Nanos,
         id: ClientId,
         input: &mut BytesMut,
-        names: &GivenNames,
+        names: &InstanceNames,
         proxies: u32,
         pending: &mut PendingWork,
         reports: &mut Vec<Event>,
--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -11,7 +11,7 @@
 use craneknot_platform::discovery::{self, Roster};
 use craneknot_platform::events::RelayEvent;
 use craneknot_platform::{probe, relay};
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 use http::{Response, StatusCode};
 
 use crate::clients::{ClientAction, ClientId, Clients};
@@ -45,7 +45,7 @@
 /// A coordinator without sockets: it connects the controller with clients, discovery, the relay and probes.
 pub struct Coordinator {
     controller: Controller,
-    names: GivenNames,
+    names: InstanceNames,
     proxy_count: u32,
     /// The servers of the last list, without removed ones.
     listed: BTreeMap<ServerId, (Listing, SocketAddr)>,
@@ -426,7 +426,7 @@
     }
 
     fn class_names(&self, classes: ClassSet) -> String {
-        self.names.classes_in(classes).collect::<Vec<_>>().join("+")
+        self.names.class_names(classes).collect::<Vec<_>>().join("+")
     }
 
     /// Reports to the controller, with its next step, that an order was not carried out.
--- a/crates/craneknot-node/tests/clients.rs
+++ b/crates/craneknot-node/tests/clients.rs
@@ -5,12 +5,17 @@
 use craneknot_node::clients::{ClientAction, ClientId, Clients};
 use craneknot_node::descriptors::Descriptors;
 use craneknot_node::pending::{CloseReason, PendingWork};
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 
 mod helpers;
 use helpers::{config, ms};
 
-fn read(clients: &mut Clients, id: u64, text: &str, names: &GivenNames) -> (Vec<ClientAction>, Vec<Event>) {
+fn read(
+    clients: &mut Clients,
+    id: u64,
+    text: &str,
+    names: &InstanceNames,
+) -> (Vec<ClientAction>, Vec<Event>) {
     read_at(ms(0), clients, id, text, names)
 }
 
@@ -19,7 +24,7 @@
     clients: &mut Clients,
     id: u64,
     text: &str,
-    names: &GivenNames,
+    names: &InstanceNames,
 ) -> (Vec<ClientAction>, Vec<Event>) {
     let (mut actions, mut reports, mut pending) = (Vec::new(), Vec::new(), PendingWork::default());
     let mut input = BytesMut::from(text);
--- a/crates/craneknot-platform/src/config.rs
+++ b/crates/craneknot-platform/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use craneknot::interface::Settings;
-use craneknot_settings::given::{self, GivenNames};
+use craneknot_settings::instance::{self, InstanceNames};
 use serde_json::Value;
 
 use crate::discovery::{self, Roster};
@@ -23,7 +23,7 @@
     /// Number of file descriptors that the process may hold.
     pub socket_limit: usize,
     pub settings: Settings,
-    pub names: GivenNames,
+    pub names: InstanceNames,
     /// The list of servers as this coordinator last knew it; it may be outdated.
     pub known_roster: Option<Roster>,
     /// Parse errors of the known list. They are not fatal, because discovery delivers the list anyway.
@@ -43,8 +43,8 @@
         let seed = object.text("seed")?;
         let seed =
             u64::from_str_radix(seed, 16).map_err(|_| object.invalid("seed", "up to 16 hex digits"))?;
-        let mut names = GivenNames::default();
-        let mut settings = given::settings(object.required("settings")?, &mut names)
+        let mut names = InstanceNames::default();
+        let mut settings = instance::parse_settings(object.required("settings")?, &mut names)
             .map_err(|cause| format!("configuration: settings: {cause}"))?;
         // The setting describes a simulator. The platform's discovery only answers requests: when the list counted as
         // pushed, it was never requested and drains went unnoticed.
--- a/crates/craneknot-platform/src/discovery.rs
+++ b/crates/craneknot-platform/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use craneknot::interface::*;
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 use serde_json::Value;
 
 use crate::fields::Object;
@@ -36,13 +36,13 @@
 }
 
 /// Parses a list from JSON text.
-pub fn parse(text: &[u8], names: &mut GivenNames) -> Result<Roster, String> {
+pub fn parse(text: &[u8], names: &mut InstanceNames) -> Result<Roster, String> {
     let value: Value = serde_json::from_slice(text).map_err(|cause| format!("list: not JSON: {cause}"))?;
     parse_value(&value, names)
 }
 
 /// Parses a list that is part of a larger JSON document.
-pub fn parse_value(value: &Value, names: &mut GivenNames) -> Result<Roster, String> {
+pub fn parse_value(value: &Value, names: &mut InstanceNames) -> Result<Roster, String> {
     let object = Object::new("list", value)?;
     let members =
         object.required("members")?.as_array().ok_or_else(|| object.invalid("members", "an array"))?;
@@ -65,7 +65,7 @@
     }
 }
 
-fn parse_server(value: &Value, names: &mut GivenNames) -> Result<(Listing, SocketAddr), String> {
+fn parse_server(value: &Value, names: &mut InstanceNames) -> Result<(Listing, SocketAddr), String> {
     let object = Object::new("list entry", value)?;
     let address = object.text("host_port")?;
     let address = address.parse().map_err(|_| object.invalid("host_port", "an address"))?;
--- a/crates/craneknot-platform/src/events.rs
+++ b/crates/craneknot-platform/src/events.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 use craneknot::interface::*;
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 
 /// The path of a request for the event stream.
 pub const PATH: &str = "/api/events";
@@ -45,7 +45,12 @@
 
 impl Decoder {
     /// Skips events with an invalid field. An error ends the stream, because what follows can't be trusted.
-    pub fn decode(&mut self, bytes: &[u8], names: &mut GivenNames, proxies: u32) -> Result<Decoded, String> {
+    pub fn decode(
+        &mut self,
+        bytes: &[u8],
+        names: &mut InstanceNames,
+        proxies: u32,
+    ) -> Result<Decoded, String> {
         self.buffer.extend_from_slice(bytes);
         let mut decoded = Decoded::default();
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -80,7 +85,7 @@
 fn parse_event(
     event: &str,
     data: &str,
-    names: &mut GivenNames,
+    names: &mut InstanceNames,
     proxies: u32,
 ) -> Result<Option<RelayEvent>, String> {
     let invalid = |key: &str| format!("event {event}: {key} is missing or invalid in {data:?}");
--- a/crates/craneknot-platform/src/messages.rs
+++ b/crates/craneknot-platform/src/messages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use craneknot::interface::*;
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 use serde_json::{json, Value};
 
 use crate::fields::Object;
@@ -50,7 +50,7 @@
 
 /// A load report from named values. The values have the names that the settings give them or, in some deployments,
 /// those in the platform's documentation.
-pub fn load_report(names: &GivenNames, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
+pub fn load_report(names: &InstanceNames, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     let documented_name = |name: &str| match name {
         "busy" => Some("util"),
         "rif" => Some("inflight"),
@@ -61,7 +61,7 @@
 }
 
 /// Parses one line, without its line break; `proxies` is the number of proxies of the instance.
-pub fn parse(line: &[u8], names: &GivenNames, proxies: u32) -> Result<Message, MessageError> {
+pub fn parse(line: &[u8], names: &InstanceNames, proxies: u32) -> Result<Message, MessageError> {
     let value: Value =
         serde_json::from_slice(line).map_err(|cause| MessageError::Corrupt(format!("not JSON: {cause}")))?;
     let object = Object::new("message", &value).map_err(MessageError::Corrupt)?;
@@ -101,7 +101,7 @@
     (interval > Nanos(0)).then_some(interval).ok_or_else(|| object.invalid("interval", "more than nothing"))
 }
 
-fn upstream_stats(object: &Object, names: &GivenNames) -> Result<Event, String> {
+fn upstream_stats(object: &Object, names: &InstanceNames) -> Result<Event, String> {
     let zone = object.text("locality")?;
     let zone = names.known_zone(zone).ok_or_else(|| object.invalid("locality", "one of the settings"))?;
     let (tries, unanswered) = try_counts(object)?;
@@ -129,7 +129,7 @@
     })
 }
 
-fn client_stats(object: &Object, names: &GivenNames, proxies: u32) -> Result<Event, String> {
+fn client_stats(object: &Object, names: &InstanceNames, proxies: u32) -> Result<Event, String> {
     let proxy = object.integer("node", u64::from(proxies.clamp(1, 65_536)) - 1)? as u16;
     let class = names.class(object.text("route")?);
     let (arrived, unanswered) = operation_counts(object)?;
--- a/crates/craneknot-platform/src/probe.rs
+++ b/crates/craneknot-platform/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes, which ask a server for its load.
 
 use craneknot::interface::LoadReport;
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 
 use crate::messages;
 
@@ -9,7 +9,7 @@
 pub const PATH: &str = "/metrics/load";
 
 /// Parses the load report in the body of an answer; values that can't be parsed are left out.
-pub fn parse_report(body: &[u8], names: &GivenNames) -> LoadReport {
+pub fn parse_report(body: &[u8], names: &InstanceNames) -> LoadReport {
     let text = std::str::from_utf8(body).unwrap_or_default().trim();
     let values = text.strip_prefix("TEXT").unwrap_or_default();
     let value = |key: &str| {
--- a/crates/craneknot-platform/src/relay.rs
+++ b/crates/craneknot-platform/src/relay.rs
@@ -1,7 +1,7 @@
 //! Calls to the relay: orders are sent as a form and answered in XML.
 
 use craneknot::interface::*;
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 use quick_xml::events::Event as Xml;
 use quick_xml::Reader;
 
@@ -13,8 +13,8 @@
 pub const MAX_CALL_BYTES: usize = 60_000;
 
 /// Encodes an order for the relay; `None` for orders that are not addressed to proxies.
-pub fn encode_order(order: &Order, names: &GivenNames) -> Option<String> {
-    let classes = |set: ClassSet| names.classes_in(set).collect::<Vec<&str>>().join("+");
+pub fn encode_order(order: &Order, names: &InstanceNames) -> Option<String> {
+    let classes = |set: ClassSet| names.class_names(set).collect::<Vec<&str>>().join("+");
     match order {
         Order::Line { table, server, weight } => Some(format!("share,{},{},{weight}", table.0, server.0)),
         Order::Bind { proxy, classes: set, table } => {
--- a/crates/craneknot-platform/tests/messages.rs
+++ b/crates/craneknot-platform/tests/messages.rs
@@ -6,7 +6,7 @@
 use craneknot_platform::messages::{self, Message, MessageError};
 use craneknot_platform::relay::{self, Answer, Rejection};
 use craneknot_platform::{discovery, probe};
-use craneknot_settings::given::GivenNames;
+use craneknot_settings::instance::InstanceNames;
 use quickcheck::QuickCheck;
 use serde_json::{json, Value};
 
@@ -92,7 +92,7 @@
     assert!(discovery::parse(nothing.to_string().as_bytes(), &mut names).is_err(), "no entry can be parsed");
 }
 
-fn parse(names: &GivenNames, value: &Value) -> Result<Message, MessageError> {
+fn parse(names: &InstanceNames, value: &Value) -> Result<Message, MessageError> {
     messages::parse(value.to_string().as_bytes(), names, 150)
 }
 
--- a/crates/craneknot-rehearsal/src/script.rs
+++ b/crates/craneknot-rehearsal/src/script.rs
@@ -347,7 +347,7 @@
     fn check(&self) -> Vec<Problem> {
         // The fleet's own checks, under the names that stand in a script.
         let mut found = self.fleet().check();
-        found.iter_mut().for_each(|problem| problem.place = problem.place.replacen("/fleet", "", 1));
+        found.iter_mut().for_each(|problem| problem.location = problem.location.replacen("/fleet", "", 1));
         let zone = |place: String, zone: &String| {
             (!self.zones.contains(zone)).then(|| {
                 Problem::new(
--- a/crates/craneknot-settings/src/check.rs
+++ b/crates/craneknot-settings/src/check.rs
@@ -15,14 +15,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// A JSON pointer, or `line L, column C` where the text is no JSON.
-    pub place: String,
-    pub what: String,
-    pub mend: String,
+    pub location: String,
+    pub message: String,
+    pub remedy: String,
 }
 
 impl Problem {
-    pub fn new(place: impl Into<String>, what: impl Into<String>, mend: impl Into<String>) -> Self {
-        Problem { place: place.into(), what: what.into(), mend: mend.into() }
+    pub fn new(location: impl Into<String>, message: impl Into<String>, remedy: impl Into<String>) -> Self {
+        Problem { location: location.into(), message: message.into(), remedy: remedy.into() }
     }
 }
 
@@ -35,10 +35,10 @@
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, problem) in self.list.iter().enumerate() {
-            let at = if problem.place.is_empty() { "/" } else { &problem.place };
-            let gap = if place == 0 { "" } else { "\n" };
-            write!(f, "{gap}{}: {at}: {} ({})", self.file.display(), problem.what, problem.mend)?;
+        for (index, problem) in self.list.iter().enumerate() {
+            let at = if problem.location.is_empty() { "/" } else { &problem.location };
+            let gap = if index == 0 { "" } else { "\n" };
+            write!(f, "{gap}{}: {at}: {} ({})", self.file.display(), problem.message, problem.remedy)?;
         }
         Ok(())
     }
@@ -59,9 +59,9 @@
 
 /// Reads settings from a file.
 pub fn load<T: JsonSchema + DeserializeOwned + Check>(file: &Path) -> Result<T, Problems> {
-    let fail = |what: String, mend: &str| Problems {
+    let fail = |message: String, remedy: &str| Problems {
         file: file.to_owned(),
-        list: vec![Problem::new("", what, mend)],
+        list: vec![Problem::new("", message, remedy)],
     };
     let mut text = Vec::new();
     let read = fs::File::open(file).and_then(|file| file.take(LARGEST + 1).read_to_end(&mut text));
@@ -76,9 +76,9 @@
 pub fn parse<T: JsonSchema + DeserializeOwned + Check>(file: &Path, text: &[u8]) -> Result<T, Problems> {
     let fail = |list: Vec<Problem>| Problems { file: file.to_owned(), list };
     let value: Value = serde_json::from_slice(text).map_err(|cause| {
-        let place = format!("line {}, column {}", cause.line(), cause.column());
+        let location = format!("line {}, column {}", cause.line(), cause.column());
         fail(vec![Problem::new(
-            place,
+            location,
             cause.to_string(),
             "write one JSON value; check commas and quotes there",
         )])
@@ -93,8 +93,8 @@
         .take(20)
         .map(|error| {
             let rule = error.schema_path().to_string();
-            let mend = format!("see `craneknot schema`, {rule}");
-            Problem::new(error.instance_path().to_string(), error.to_string(), mend)
+            let remedy = format!("see `craneknot schema`, {rule}");
+            Problem::new(error.instance_path().to_string(), error.to_string(), remedy)
         })
         .collect();
     if !list.is_empty() {
--- a/crates/craneknot-settings/src/coordinator.rs
+++ b/crates/craneknot-settings/src/coordinator.rs
@@ -61,7 +61,7 @@
 
 impl ClassSettings {
     /// As the decisions are told of it, zones and kinds by their places among the names.
-    pub fn decided(&self, names: &mut Names) -> interface::ClassSettings {
+    pub fn to_interface(&self, names: &mut Names) -> interface::ClassSettings {
         interface::ClassSettings {
             latency_goal: self.latency_goal.0,
             deadline: self.hard_stop.0,
@@ -332,7 +332,7 @@
     }
 
     /// Costs by zone of the proxy and of the server.
-    pub fn costs(&self, zones: &[String], usual: f64) -> Vec<Vec<f64>> {
+    pub fn crossing_costs(&self, zones: &[String], usual: f64) -> Vec<Vec<f64>> {
         let cost = |from: &String, to: &String| {
             let told = self.crossings.iter().find(|one| one.from == *from && one.to == *to);
             match told {
@@ -449,14 +449,14 @@
 
 impl CoordinatorSettings {
     /// The names, and what the decisions are started with.
-    pub fn decisions(&self) -> (Names, interface::Settings) {
+    pub fn controller_settings(&self) -> (Names, interface::Settings) {
         let fleet = &self.fleet;
         let mut names = Names {
             zones: fleet.zones.clone(),
             kinds: fleet.kinds.clone(),
             classes: fleet.classes.iter().map(|class| class.name.clone()).collect(),
         };
-        let classes = fleet.classes.iter().map(|class| class.decided(&mut names)).collect();
+        let classes = fleet.classes.iter().map(|class| class.to_interface(&mut names)).collect();
         let settings = interface::Settings {
             classes,
             controllers: fleet.coordinators,
--- a/crates/craneknot-settings/src/given.rs
+++ b/crates/craneknot-settings/src/instance.rs
@@ -8,12 +8,12 @@
 
 /// The zones, kinds, classes and report values of one instance, by the names the wire gives them.
 #[derive(Default)]
-pub struct GivenNames {
+pub struct InstanceNames {
     names: Names,
     reports: Vec<String>,
 }
 
-impl GivenNames {
+impl InstanceNames {
     pub fn zone(&mut self, name: &str) -> ZoneId {
         self.names.zone(name)
     }
@@ -27,7 +27,7 @@
     }
 
     /// The names of the classes of a set.
-    pub fn classes_in(&self, set: ClassSet) -> impl Iterator<Item = &str> {
+    pub fn class_names(&self, set: ClassSet) -> impl Iterator<Item = &str> {
         let all = self.names.classes.iter().enumerate();
         all.filter(move |(place, _)| set.has(ClassId(*place as u8))).map(|(_, name)| name.as_str())
     }
@@ -53,7 +53,7 @@
 }
 
 /// The settings an instance starts with; one that is missing is an error, not a guess.
-pub fn settings(config: &Value, names: &mut GivenNames) -> Result<Settings, String> {
+pub fn parse_settings(config: &Value, names: &mut InstanceNames) -> Result<Settings, String> {
     let at = |path: &str| -> Result<&Value, String> {
         let found = path.split('.').try_fold(config, |value, key| value.get(key));
         found.ok_or_else(|| format!("setting {path} is missing"))
--- a/crates/craneknot-settings/src/lib.rs
+++ b/crates/craneknot-settings/src/lib.rs
@@ -4,7 +4,7 @@
 mod agent;
 mod check;
 mod coordinator;
-pub mod given;
+pub mod instance;
 mod span;
 
 pub use agent::{AgentSettings, CoordinatorAddress, NodeSettings};
--- a/crates/craneknot-settings/src/span.rs
+++ b/crates/craneknot-settings/src/span.rs
@@ -20,7 +20,7 @@
         Span(Nanos::from_millis(millis))
     }
 
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let (digits, unit) = UNITS.iter().find_map(|(name, unit)| Some((text.strip_suffix(name)?, unit)))?;
         let plain = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         let nanos = plain.then(|| digits.parse::<f64>().ok()).flatten()? * unit;
@@ -55,7 +55,7 @@
                 "{text:?} is no span of time: write it as \"250ms\" or \"1.5s\""
             ))
         };
-        Span::read(&text).ok_or_else(wrong)
+        Span::parse(&text).ok_or_else(wrong)
     }
 }
 
@@ -82,11 +82,11 @@
         for (text, nanos) in
             [("250ms", 250_000_000), ("1.5s", 1_500_000_000), ("2min", 120_000_000_000), ("7ns", 7)]
         {
-            assert_eq!(Span::read(text), Some(Span(Nanos(nanos))), "{text}");
-            assert_eq!(Span::read(&Span(Nanos(nanos)).to_string()), Span::read(text));
+            assert_eq!(Span::parse(text), Some(Span(Nanos(nanos))), "{text}");
+            assert_eq!(Span::parse(&Span(Nanos(nanos)).to_string()), Span::parse(text));
         }
         for text in ["", "5", "s", "-1s", "1e3s", "5 s", "5parsec", "99999999999999999999h", "1.2.3s"] {
-            assert_eq!(Span::read(text), None, "{text}");
+            assert_eq!(Span::parse(text), None, "{text}");
         }
     }
 }
--- a/crates/craneknot-settings/tests/settings.rs
+++ b/crates/craneknot-settings/tests/settings.rs
@@ -34,7 +34,7 @@
 #[test]
 fn whole_settings_reach_the_decisions() {
     let settings = read(&whole()).unwrap();
-    let (mut names, decisions) = settings.decisions();
+    let (mut names, decisions) = settings.controller_settings();
     assert_eq!((decisions.classes[0].only_zones[0], names.zone("south").0), (names.zone("north"), 1));
     assert_eq!(decisions.drain_grace.secs(), 2.0);
     assert!(schema_text::<CoordinatorSettings>().contains("latency_goal"));
@@ -59,9 +59,9 @@
         let mut settings = whole();
         *settings.pointer_mut(at).unwrap() = value.clone();
         let problems = read(&settings).unwrap_err();
-        let found = problems.list.iter().find(|problem| problem.place == place);
+        let found = problems.list.iter().find(|problem| problem.location == place);
         let found = found.unwrap_or_else(|| panic!("{at} = {value}: {problems}"));
-        assert!(!found.what.is_empty() && !found.mend.is_empty());
+        assert!(!found.message.is_empty() && !found.remedy.is_empty());
         assert!(problems.to_string().starts_with("c.json: "));
     }
     let mut unknown = whole();
@@ -69,7 +69,7 @@
     assert!(read(&unknown).unwrap_err().to_string().contains("drain_gracee"));
     let problems =
         parse::<CoordinatorSettings>(Path::new("c.json"), b"{\"name\": \"a\",\n  oops").unwrap_err();
-    assert!(problems.list[0].place.starts_with("line 2, column"), "{problems}");
+    assert!(problems.list[0].location.starts_with("line 2, column"), "{problems}");
     assert!(load::<AgentSettings>(Path::new("/nowhere/a.json")).is_err());
 }
 
@@ -80,8 +80,8 @@
         let length = text.len();
         changes.iter().for_each(|(at, byte)| text[usize::from(*at) % length] = *byte);
         match parse::<CoordinatorSettings>(Path::new("c.json"), &text) {
-            Ok(settings) => settings.decisions().1.classes.len() == 1,
-            Err(problems) => problems.list.iter().all(|problem| !problem.what.is_empty()),
+            Ok(settings) => settings.controller_settings().1.classes.len() == 1,
+            Err(problems) => problems.list.iter().all(|problem| !problem.message.is_empty()),
         }
     }
     QuickCheck::new().tests(150).quickcheck(survives as fn(Vec<(u16, u8)>) -> bool);
--- a/crates/craneknot-wirehost/src/main.rs
+++ b/crates/craneknot-wirehost/src/main.rs
@@ -11,7 +11,7 @@
 use craneknot::Controller;
 use serde_json::{json, Value};
 
-use craneknot_settings::given::{self, GivenNames as Names};
+use craneknot_settings::instance::{self, InstanceNames as Names};
 use wire::{Fault, Fields, Sheets};
 
 /// One instance: its controller and the names it has met.
@@ -106,7 +106,8 @@
 fn spawn(fields: &Fields, now: Nanos) -> Result<Instance, String> {
     let seed = fields.seed(2)?;
     let mut names = Names::default();
-    let settings = given::settings(fields.raw(3)?, &mut names).map_err(|what| format!("SPAWN: {what}"))?;
+    let settings =
+        instance::parse_settings(fields.raw(3)?, &mut names).map_err(|what| format!("SPAWN: {what}"))?;
     Ok(Instance { controller: Controller::new(settings, seed, now), names })
 }
 
--- a/crates/craneknot-wirehost/src/wire.rs
+++ b/crates/craneknot-wirehost/src/wire.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use craneknot::interface::*;
-use craneknot_settings::given::GivenNames as Names;
+use craneknot_settings::instance::InstanceNames as Names;
 use serde_json::{json, Value};
 
 /// What is wrong with the input, and on which line.
