--- a/crates/craneknot-agent/src/hold.rs
+++ b/crates/craneknot-agent/src/hold.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
+use craneknot_xds::convert;
 use craneknot_xds::discovery::{self, DiscoveryResponse, FileVersion, Kind, Status};
-use craneknot_xds::meaning;
 use craneknot_xds::resources::{Cluster, ClusterLoadAssignment, RouteConfiguration};
 
 const TABLES_MOST: usize = 4_096; // tables a proxy can hold: it has a few classes and one table for each
@@ -101,7 +101,7 @@
     pub fn prints(&self) -> BTreeMap<String, (String, String)> {
         let text = |kind: Kind, table: &String| {
             let held = self.contents.get(&kind).and_then(|contents| contents.get(table));
-            held.map_or(String::new(), |held| discovery::print_of(held.text.as_bytes()))
+            held.map_or(String::new(), |held| discovery::fingerprint(held.text.as_bytes()))
         };
         let tables = self.bound().into_values();
         tables.map(|t| (t.clone(), (text(Kind::Endpoints, &t), text(Kind::Routes, &t)))).collect()
@@ -227,7 +227,7 @@
     pub fn lines(&self, class: &str) -> Option<Vec<(String, f64)>> {
         let table = &self.contents.get(&Kind::Clusters)?.get(class)?.table;
         let text = &self.contents.get(&Kind::Endpoints)?.get(table)?.text;
-        serde_json::from_str(text).ok().map(|table| meaning::lines(&table))
+        serde_json::from_str(text).ok().map(|table| convert::lines(&table))
     }
 }
 
@@ -260,7 +260,7 @@
 fn routes_name(text: &str) -> Result<String, String> {
     let routes: RouteConfiguration = serde_json::from_str(text).map_err(|cause| cause.to_string())?;
     for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
-        meaning::admission(route)?;
+        convert::admission(route)?;
     }
     if routes.name.is_empty() {
         Err("routes without a name".into())
@@ -296,12 +296,12 @@
     fn table(name: &str, port: u16) -> String {
         let server = format!("127.0.0.1:{port}");
         let line =
-            meaning::Line { server: &server, zone: "north", weight: 1.0, health: HealthStatus::Healthy };
-        serde_json::to_string(&meaning::table(name, &[line])).unwrap()
+            convert::Line { server: &server, zone: "north", weight: 1.0, health: HealthStatus::Healthy };
+        serde_json::to_string(&convert::table(name, &[line])).unwrap()
     }
 
     fn cluster(class: &str, table: &str) -> String {
-        serde_json::to_string(&meaning::cluster(class, table, "RANDOM")).unwrap()
+        serde_json::to_string(&convert::cluster(class, table, "RANDOM")).unwrap()
     }
 
     fn take(holding: &mut Holding, kind: Kind, number: u64, resources: Vec<String>) -> Vec<Kind> {
--- a/crates/craneknot-agent/tests/broken.rs
+++ b/crates/craneknot-agent/tests/broken.rs
@@ -1,19 +1,19 @@
 //! Broken responses and files: refused with a cause, never a panic, and what stood stays.
 
 use craneknot_agent::hold::{Holding, Verdict};
+use craneknot_xds::convert::{self, Admission, Line};
 use craneknot_xds::discovery::{file_text, read_file, DiscoveryResponse, Kind};
-use craneknot_xds::meaning::{self, Admission, Line};
 use craneknot_xds::resources::HealthStatus;
 use quickcheck::QuickCheck;
 
 fn resource(kind: Kind) -> String {
     let line = |server| Line { server, zone: "north", weight: 1.0, health: HealthStatus::Healthy };
     let lines = [line("127.0.0.1:9001"), line("127.0.0.1:9002")];
-    let all = Admission::all(craneknot::interface::LevelUnit::Ignored);
+    let all = Admission::unlimited(craneknot::interface::LevelUnit::Ignored);
     match kind {
-        Kind::Endpoints => serde_json::to_string(&meaning::table("t", &lines)),
-        Kind::Routes => serde_json::to_string(&meaning::routes("t", [("read", all)].into_iter())),
-        Kind::Clusters => serde_json::to_string(&meaning::cluster("read", "t", "RANDOM")),
+        Kind::Endpoints => serde_json::to_string(&convert::table("t", &lines)),
+        Kind::Routes => serde_json::to_string(&convert::routes("t", [("read", all)].into_iter())),
+        Kind::Clusters => serde_json::to_string(&convert::cluster("read", "t", "RANDOM")),
     }
     .unwrap()
 }
--- a/crates/craneknot-coordinator/src/book.rs
+++ b/crates/craneknot-coordinator/src/book.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use craneknot::interface::*;
+use craneknot_xds::convert::{self, Admission};
 use craneknot_xds::discovery::Kind;
-use craneknot_xds::meaning::{self, Admission};
 use craneknot_xds::resources::HealthStatus;
 
 #[derive(Default)]
@@ -269,14 +269,14 @@
             return text.clone();
         }
         self.encoded += 1;
-        let line = |(server, weight): (&'_ ServerId, &f64)| meaning::Line {
+        let line = |(server, weight): (&'_ ServerId, &f64)| convert::Line {
             server: self.zones.get_key_value(server).map_or("", |(server, _)| &server.0),
             zone: self.zones.get(server).map_or("", String::as_str),
             weight: *weight,
             health: HealthStatus::Healthy,
         };
         let lines: Vec<_> = held.lines.iter().map(line).collect();
-        let made = text(&meaning::table(&table_name(&self.source, table), &lines));
+        let made = text(&convert::table(&table_name(&self.source, table), &lines));
         self.bytes += made.len() as u64;
         held.endpoints = Some(made.clone());
         made
@@ -290,10 +290,10 @@
         }
         self.encoded += 1;
         let admission = |(class, (level, tries)): (&usize, &(f64, Retries))| {
-            (classes[*class].as_str(), Admission { level: Some(*level), unit, tries: *tries })
+            (classes[*class].as_str(), Admission { level: Some(*level), unit, retries: *tries })
         };
         let made =
-            text(&meaning::routes(&table_name(&self.source, table), held.levels.iter().map(admission)));
+            text(&convert::routes(&table_name(&self.source, table), held.levels.iter().map(admission)));
         self.bytes += made.len() as u64;
         held.routes = Some(made.clone());
         made
@@ -305,7 +305,7 @@
         let mut made = Vec::new();
         for (class, table) in bound {
             let (classes, policy, source) = (&self.classes, &self.lb_policy, &self.source);
-            let one = || text(&meaning::cluster(&classes[class], &table_name(source, table), policy));
+            let one = || text(&convert::cluster(&classes[class], &table_name(source, table), policy));
             made.push(self.clusters.entry((class, table)).or_insert_with(one).clone());
         }
         made
--- a/crates/craneknot-coordinator/src/desk.rs
+++ b/crates/craneknot-coordinator/src/desk.rs
@@ -15,7 +15,7 @@
 use craneknot_settings::{CoordinatorSettings, Names};
 use craneknot_solver::explain::{explain, Explanation};
 use craneknot_solver::steer::{Change, Steer};
-use craneknot_xds::discovery::{epoch_of, print_of, source_in, DiscoveryRequest, Kind, Node};
+use craneknot_xds::discovery::{epoch_of, fingerprint, source_with_epoch, DiscoveryRequest, Kind, Node};
 use craneknot_xds::load::LoadStatsRequest;
 use serde::Serialize;
 
@@ -442,7 +442,7 @@
         if request.resource_names.len() > NAMES_MOST {
             return Err(Refused::TooManyNames(request.resource_names.len()));
         }
-        if !request.type_url.is_empty() && Kind::of_type(&request.type_url) != Some(kind) {
+        if !request.type_url.is_empty() && Kind::from_type_url(&request.type_url) != Some(kind) {
             return Err(Refused::OtherKind(request.type_url));
         }
         if let Some(fleet) = &mut self.fleet {
@@ -622,7 +622,7 @@
         let Parts { endpoints, routes, clusters: _ } = &mut message.parts;
         for (kind, texts) in [(Kind::Endpoints, endpoints), (Kind::Routes, routes)] {
             texts.retain(|table, text| {
-                let held = stream.holds(&self.book.name_of(*table), kind, || print_of(text));
+                let held = stream.holds(&self.book.name_of(*table), kind, || fingerprint(text));
                 if held {
                     lines += self.book.lines_of(kind, *table);
                     bytes += text.len() as u64;
@@ -655,7 +655,7 @@
             if stream.session.next_at().is_some() {
                 self.stirred.insert(id);
             }
-            let version = format!("{}/{}", source_in(epoch, &self.source), self.moment);
+            let version = format!("{}/{}", source_with_epoch(epoch, &self.source), self.moment);
             for answer in answers {
                 if let Answer::Resources { resources, .. } = &answer {
                     self.bytes_sent += resources.iter().map(|text| text.len() as u64).sum::<u64>();
--- a/crates/craneknot-coordinator/src/probes.rs
+++ b/crates/craneknot-coordinator/src/probes.rs
@@ -60,7 +60,7 @@
 
 /// What a server says of its load, as the decisions hear it.
 pub fn load(header: Option<&str>) -> LoadReport {
-    let Some(report) = header.and_then(orca::LoadReport::read) else { return LoadReport::default() };
+    let Some(report) = header.and_then(orca::LoadReport::parse) else { return LoadReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
     LoadReport {
         busy: report.cpu_utilization,
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -512,7 +512,7 @@
 
     fn serve(&mut self, conn: ConnId, now: Nanos, message: &Request<Bytes>) {
         let (method, path) = (message.method(), message.uri().path());
-        if let Some(kind) = Kind::of_path(path).filter(|_| method == Method::POST) {
+        if let Some(kind) = Kind::from_path(path).filter(|_| method == Method::POST) {
             self.discovery(conn, now, kind, message.body());
         } else if path == load::PATH && method == Method::POST {
             self.load_report(conn, now, message.body());
--- a/crates/craneknot-rehearsal/src/chooser.rs
+++ b/crates/craneknot-rehearsal/src/chooser.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use craneknot::interface::{LevelUnit, Nanos, Retries};
-use craneknot_xds::discovery::{epoch_of, read_file, FileFault, Kind};
-use craneknot_xds::meaning::{self, Admission};
+use craneknot_xds::convert::{self, Admission};
+use craneknot_xds::discovery::{epoch_of, read_file, FileError, Kind};
 use craneknot_xds::resources::{Cluster, ClusterLoadAssignment, RouteConfiguration};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -77,16 +77,16 @@
         kind: Kind,
         text: &[u8],
         number: &dyn Fn(&str) -> Option<usize>,
-    ) -> Result<(), FileFault> {
+    ) -> Result<(), FileError> {
         let (version, response) = read_file(kind, text)?;
         self.epochs.insert(kind, epoch_of(&version.source));
-        let wrong = |cause: serde_json::Error| FileFault::Text(cause.to_string());
+        let wrong = |cause: serde_json::Error| FileError::Malformed(cause.to_string());
         match kind {
             Kind::Endpoints => {
                 let mut tables = BTreeMap::new();
                 for resource in &response.resources {
                     let table: ClusterLoadAssignment = serde_json::from_str(resource.get()).map_err(wrong)?;
-                    let lines = meaning::lines(&table).into_iter();
+                    let lines = convert::lines(&table).into_iter();
                     let lines =
                         lines.filter_map(|(server, weight)| Some((number(&server)?, weight))).collect();
                     tables.insert(table.cluster_name, lines);
@@ -100,7 +100,7 @@
                     let mut levels = BTreeMap::new();
                     for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
                         let Some(class) = self.class(&route.route.cluster) else { continue };
-                        levels.insert(class, meaning::admission(route).map_err(FileFault::Text)?);
+                        levels.insert(class, convert::admission(route).map_err(FileError::Malformed)?);
                     }
                     all.insert(routes.name, levels);
                 }
@@ -138,7 +138,10 @@
 
     fn admission(&self, class: usize) -> Admission {
         let routes = self.bound.get(&class).and_then(|table| self.routes.get(table));
-        routes.and_then(|routes| routes.get(&class)).copied().unwrap_or(Admission::all(LevelUnit::Ignored))
+        routes
+            .and_then(|routes| routes.get(&class))
+            .copied()
+            .unwrap_or(Admission::unlimited(LevelUnit::Ignored))
     }
 
     /// Lets an operation in, or says when to come back.
@@ -205,7 +208,7 @@
 
     /// Whether another try may follow the last one; `tries` were made.
     pub fn may_try_again(&self, class: usize, tried: Tried, tries: usize) -> bool {
-        match (self.admission(class).tries, tried) {
+        match (self.admission(class).retries, tried) {
             (_, Tried::Good) | (Retries::Never, _) | (Retries::IfNotExecuted, Tried::Failed) => false,
             (Retries::IfNotExecuted | Retries::Once, _) => tries < 2,
             (Retries::Twice, _) => tries < 3,
@@ -222,10 +225,10 @@
     fn chooser(admission: Admission) -> Chooser {
         let mut chooser = Chooser::new(vec!["read".into()], 2, Nanos::from_millis(3_000), 5);
         let line =
-            |server, weight| meaning::Line { server, zone: "a", weight, health: HealthStatus::Healthy };
-        let table = meaning::table("t", &[line("127.0.0.1:1", 3.0), line("127.0.0.1:2", 1.0)]);
-        let routes = meaning::routes("t", [("read", admission)].into_iter());
-        let cluster = meaning::cluster("read", "t", "RANDOM");
+            |server, weight| convert::Line { server, zone: "a", weight, health: HealthStatus::Healthy };
+        let table = convert::table("t", &[line("127.0.0.1:1", 3.0), line("127.0.0.1:2", 1.0)]);
+        let routes = convert::routes("t", [("read", admission)].into_iter());
+        let cluster = convert::cluster("read", "t", "RANDOM");
         let number = |server: &str| server.rsplit_once(':')?.1.parse().ok();
         let text = |kind, value: String| file_text(kind, "a", 1, &[&value]);
         for (kind, value) in [
@@ -239,7 +242,7 @@
     }
 
     fn all(tries: Retries) -> Admission {
-        Admission { level: None, unit: LevelUnit::Ignored, tries }
+        Admission { level: None, unit: LevelUnit::Ignored, retries: tries }
     }
 
     #[test]
@@ -256,7 +259,7 @@
 
     #[test]
     fn a_rate_lets_in_what_it_says_and_tells_when_to_come_back() {
-        let rate = Admission { level: Some(4.0), unit: LevelUnit::Rate, tries: Retries::Never };
+        let rate = Admission { level: Some(4.0), unit: LevelUnit::Rate, retries: Retries::Never };
         let mut chooser = chooser(rate);
         let second = |second: u64, k: u64| Nanos::from_millis(10_000 + second * 1_000 + k * 10);
         let mut let_in = 0;
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -745,7 +745,7 @@
         let (proxy, class, conn) = (serving.proxy, serving.class, serving.conn);
         let Some(server) = serving.tried.last().copied() else { return };
         let text = answer.headers().get(orca::HEADER).and_then(|value| value.to_str().ok());
-        if let Some(report) = text.and_then(orca::LoadReport::read) {
+        if let Some(report) = text.and_then(orca::LoadReport::parse) {
             self.proxies[proxy].sums.load(class, server, &report);
         }
         if let Some(conn) = conn {
--- a/crates/craneknot-xds/src/meaning.rs
+++ b/crates/craneknot-xds/src/convert.rs
@@ -13,7 +13,7 @@
 pub const WEIGHT_UNIT: f64 = 10_000.0;
 
 /// The status of an operation that a level refuses.
-pub const REFUSED: u32 = 503;
+pub const REJECTED_STATUS: u32 = 503;
 
 const MILLION: f64 = 1e6;
 const RATE_FILTER: &str = "envoy.filters.http.local_ratelimit";
@@ -25,12 +25,12 @@
     /// Operations a second at each proxy, or a share; nothing: all.
     pub level: Option<f64>,
     pub unit: LevelUnit,
-    pub tries: Retries,
+    pub retries: Retries,
 }
 
 impl Admission {
-    pub fn all(unit: LevelUnit) -> Self {
-        Admission { level: None, unit, tries: Retries::Never }
+    pub fn unlimited(unit: LevelUnit) -> Self {
+        Admission { level: None, unit, retries: Retries::Never }
     }
 }
 
@@ -47,7 +47,7 @@
 pub fn table(name: &str, lines: &[Line<'_>]) -> ClusterLoadAssignment {
     let mut zones: BTreeMap<&str, Vec<LbEndpoint>> = BTreeMap::new();
     for line in lines {
-        let Some(socket_address) = SocketAddress::read(line.server) else { continue };
+        let Some(socket_address) = SocketAddress::parse(line.server) else { continue };
         let load_balancing_weight = (line.weight * WEIGHT_UNIT).round().clamp(1.0, 4e6) as u32;
         let endpoint = Endpoint { address: Address { socket_address } };
         let health_status = line.health;
@@ -132,14 +132,14 @@
             (Some(share), LevelUnit::Share) if share < 1.0 => {
                 let numerator = ((1.0 - share.max(0.0)) * MILLION).round() as u32;
                 let percentage = FractionalPercent { numerator, denominator: "MILLION".to_owned() };
-                let abort = FaultAbort { http_status: REFUSED, percentage };
+                let abort = FaultAbort { http_status: REJECTED_STATUS, percentage };
                 filters.insert(SHARE_FILTER.to_owned(), FilterConfig::HttpFault { abort });
             }
             (Some(_) | None, LevelUnit::Rate | LevelUnit::Share | LevelUnit::Ignored) => {}
         }
         Route {
             matches: RouteMatch { prefix: format!("/{class}") },
-            route: RouteAction { cluster: class.to_owned(), retry_policy: retry_policy(admission.tries) },
+            route: RouteAction { cluster: class.to_owned(), retry_policy: retry_policy(admission.retries) },
             typed_per_filter_config: filters,
         }
     };
@@ -158,11 +158,11 @@
 /// What a route says of its class.
 pub fn admission(route: &Route) -> Result<Admission, String> {
     let class = &route.route.cluster;
-    let mut admission = Admission::all(LevelUnit::Ignored);
+    let mut admission = Admission::unlimited(LevelUnit::Ignored);
     for filter in route.typed_per_filter_config.values() {
         match filter {
             FilterConfig::LocalRateLimit { token_bucket, .. } => {
-                let interval = Seconds::read(&token_bucket.fill_interval).filter(|span| span.0 > 0.0);
+                let interval = Seconds::parse(&token_bucket.fill_interval).filter(|span| span.0 > 0.0);
                 let interval =
                     interval.ok_or_else(|| format!("class {class}: fill_interval is not a duration"))?;
                 admission.unit = LevelUnit::Rate;
@@ -183,7 +183,7 @@
     let Some(policy) = &route.route.retry_policy else { return Ok(admission) };
     let conditions = || policy.retry_on.split(',').map(str::trim).filter(|condition| !condition.is_empty());
     let unrun = |condition: &str| matches!(condition, "connect-failure" | "refused-stream");
-    admission.tries = match policy.num_retries {
+    admission.retries = match policy.num_retries {
         0 => Retries::Never,
         _ if conditions().next().is_none() => Retries::Never,
         _ if conditions().all(unrun) => Retries::IfNotExecuted,
@@ -211,12 +211,12 @@
         for (level, unit) in
             [(Some(0.25), LevelUnit::Share), (Some(7.5), LevelUnit::Rate), (Some(0.4), LevelUnit::Rate)]
         {
-            for tries in [Never, IfNotExecuted, Once, Twice] {
-                let said = Admission { level, unit, tries };
+            for retries in [Never, IfNotExecuted, Once, Twice] {
+                let said = Admission { level, unit, retries };
                 let text = serde_json::to_string(&routes("t1", [("read", said)].into_iter())).unwrap();
                 let back: RouteConfiguration = serde_json::from_str(&text).unwrap();
                 let understood = admission(&back.virtual_hosts[0].routes[0]).unwrap();
-                assert_eq!((understood.unit, understood.tries), (unit, tries));
+                assert_eq!((understood.unit, understood.retries), (unit, retries));
                 assert!((understood.level.unwrap() - level.unwrap()).abs() < 1e-6, "{understood:?}");
             }
         }
@@ -226,7 +226,7 @@
     #[test]
     fn extremes_of_levels_are_borne() {
         let read = |level, unit| {
-            let said = Admission { level: Some(level), unit, tries: Retries::Never };
+            let said = Admission { level: Some(level), unit, retries: Retries::Never };
             admission(&routes("t", [("read", said)].into_iter()).virtual_hosts[0].routes[0]).unwrap().level
         };
         assert_eq!(read(1.0, LevelUnit::Share), None);
--- a/crates/craneknot-xds/src/discovery.rs
+++ b/crates/craneknot-xds/src/discovery.rs
@@ -49,11 +49,11 @@
         }
     }
 
-    pub fn of_path(path: &str) -> Option<Kind> {
+    pub fn from_path(path: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.path() == path)
     }
 
-    pub fn of_type(type_url: &str) -> Option<Kind> {
+    pub fn from_type_url(type_url: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.type_url() == type_url)
     }
 }
@@ -162,7 +162,7 @@
 }
 
 impl FileVersion {
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.rsplitn(3, '/');
         let checksum = u64::from_str_radix(parts.next()?, 16).ok()?;
         let number = parts.next()?.parse().ok()?;
@@ -171,7 +171,7 @@
 }
 
 /// A source's name with the epoch of its orders; epoch 0 stands alone.
-pub fn source_in(epoch: u64, source: &str) -> String {
+pub fn source_with_epoch(epoch: u64, source: &str) -> String {
     if epoch == 0 {
         source.to_owned()
     } else {
@@ -186,7 +186,7 @@
 }
 
 /// Tells one text of a resource from another (XXH3), in hexadecimal digits.
-pub fn print_of(text: &[u8]) -> String {
+pub fn fingerprint(text: &[u8]) -> String {
     format!("{:016x}", xxh3_64(text))
 }
 
@@ -211,36 +211,36 @@
 
 /// Why a file is not what an agent wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FileFault {
+pub enum FileError {
     /// Not a whole discovery response.
-    Text(String),
+    Malformed(String),
     /// Of another kind than the file's name says.
-    OtherKind(String),
+    WrongKind(String),
     /// Its resources are not those of its version: torn, or written by another hand.
     Torn,
 }
 
-impl fmt::Display for FileFault {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileFault::Text(cause) => write!(f, "not a whole discovery response: {cause}"),
-            FileFault::OtherKind(type_url) => write!(f, "holds {type_url}"),
-            FileFault::Torn => write!(f, "its resources are not those of its version"),
+            FileError::Malformed(cause) => write!(f, "not a whole discovery response: {cause}"),
+            FileError::WrongKind(type_url) => write!(f, "holds {type_url}"),
+            FileError::Torn => write!(f, "its resources are not those of its version"),
         }
     }
 }
 
 /// Reads such a file, and checks that it is whole.
-pub fn read_file(kind: Kind, text: &[u8]) -> Result<(FileVersion, DiscoveryResponse), FileFault> {
+pub fn read_file(kind: Kind, text: &[u8]) -> Result<(FileVersion, DiscoveryResponse), FileError> {
     let response: DiscoveryResponse =
-        serde_json::from_slice(text).map_err(|cause| FileFault::Text(cause.to_string()))?;
+        serde_json::from_slice(text).map_err(|cause| FileError::Malformed(cause.to_string()))?;
     if response.type_url != kind.type_url() {
-        return Err(FileFault::OtherKind(response.type_url));
+        return Err(FileError::WrongKind(response.type_url));
     }
-    let version = FileVersion::read(&response.version_info).ok_or(FileFault::Torn)?;
+    let version = FileVersion::parse(&response.version_info).ok_or(FileError::Torn)?;
     match checksum(response.resources.iter().map(|resource| resource.get())) == version.checksum {
         true => Ok((version, response)),
-        false => Err(FileFault::Torn),
+        false => Err(FileError::Torn),
     }
 }
 
@@ -268,7 +268,7 @@
             &["{\"cluster_name\":\"t1\"}", "{\"cluster_name\":\"t3\"}"],
         );
         let mixed = format!("{}{}", &text[..text.len() / 2], &other[text.len() / 2..]);
-        assert_eq!(read_file(Kind::Endpoints, mixed.as_bytes()).unwrap_err(), FileFault::Torn);
-        assert!(matches!(read_file(Kind::Routes, text.as_bytes()), Err(FileFault::OtherKind(_))));
+        assert_eq!(read_file(Kind::Endpoints, mixed.as_bytes()).unwrap_err(), FileError::Torn);
+        assert!(matches!(read_file(Kind::Routes, text.as_bytes()), Err(FileError::WrongKind(_))));
     }
 }
--- a/crates/craneknot-xds/src/lib.rs
+++ b/crates/craneknot-xds/src/lib.rs
@@ -5,8 +5,8 @@
 //! carry, [`load`] what proxies report, [`orca`] what servers say of themselves in their answers, [`meaning`]
 //! how a table, a binding and a level read as resources and back.
 
+pub mod convert;
 pub mod discovery;
 pub mod load;
-pub mod meaning;
 pub mod orca;
 pub mod resources;
--- a/crates/craneknot-xds/src/load.rs
+++ b/crates/craneknot-xds/src/load.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let seconds: f64 = text.strip_suffix('s')?.parse().ok()?;
         (seconds.is_finite() && seconds >= 0.0).then_some(Seconds(seconds))
     }
@@ -81,7 +81,7 @@
 impl<'de> Deserialize<'de> for Seconds {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Seconds::read(&text)
+        Seconds::parse(&text)
             .ok_or_else(|| serde::de::Error::custom(format!("{text:?} is not a duration such as 1.5s")))
     }
 }
@@ -197,7 +197,9 @@
         assert_eq!(cluster.upstream_locality_stats[0].total_issued_requests, Count(12));
         assert_eq!(Seconds(0.25).text(), "0.250000000s");
         assert!(
-            Seconds::read("-1s").is_none() && Seconds::read("NaNs").is_none() && Seconds::read("4").is_none()
+            Seconds::parse("-1s").is_none()
+                && Seconds::parse("NaNs").is_none()
+                && Seconds::parse("4").is_none()
         );
         let back: LoadStatsRequest = serde_json::from_str(&serde_json::to_string(&stats).unwrap()).unwrap();
         assert_eq!(back, stats);
--- a/crates/craneknot-xds/src/orca.rs
+++ b/crates/craneknot-xds/src/orca.rs
@@ -23,7 +23,7 @@
     }
 
     /// Nothing where the header is not one of both forms; values that are no finite numbers are left out.
-    pub fn read(header: &str) -> Option<Self> {
+    pub fn parse(header: &str) -> Option<Self> {
         let header = header.trim();
         let mut report = match header.split_once(' ') {
             Some(("JSON", text)) => serde_json::from_str(text).ok()?,
@@ -60,11 +60,11 @@
             cpu_utilization: Some(0.5),
             named_metrics: BTreeMap::from([("inflight".to_owned(), 7.0)]),
         };
-        assert_eq!(LoadReport::read(&report.header()), Some(report.clone()));
-        assert_eq!(LoadReport::read("TEXT cpu_utilization=0.5, named_metrics.inflight=7"), Some(report));
-        assert_eq!(LoadReport::read("TEXT cpu_utilization=NaN").unwrap().cpu_utilization, None);
+        assert_eq!(LoadReport::parse(&report.header()), Some(report.clone()));
+        assert_eq!(LoadReport::parse("TEXT cpu_utilization=0.5, named_metrics.inflight=7"), Some(report));
+        assert_eq!(LoadReport::parse("TEXT cpu_utilization=NaN").unwrap().cpu_utilization, None);
         for nonsense in ["", "JSON", "JSON {", "TEXT a", "BIN aGk=", "TEXT a=b"] {
-            assert_eq!(LoadReport::read(nonsense), None, "{nonsense}");
+            assert_eq!(LoadReport::parse(nonsense), None, "{nonsense}");
         }
     }
 }
--- a/crates/craneknot-xds/src/resources.rs
+++ b/crates/craneknot-xds/src/resources.rs
@@ -16,7 +16,7 @@
 
 impl SocketAddress {
     /// Of `address:port`.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let (address, port) = text.rsplit_once(':')?;
         let address = address.trim_start_matches('[').trim_end_matches(']');
         Some(SocketAddress { address: address.to_owned(), port_value: port.parse().ok()? })
