--- a/crates/craneknot-settings/src/agent.rs
+++ b/crates/craneknot-settings/src/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent is started with.
+//! Settings of an agent.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,23 +10,24 @@
 use crate::check::{Check, Problem};
 use crate::span::Span;
 
-/// One proxy that an agent stands beside.
+/// One proxy that an agent serves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// The proxy's name; no two of a fleet share one.
+    /// The proxy's name, unique within the fleet.
     #[schemars(length(min = 1, max = 128))]
     pub id: String,
     pub zone: String,
-    /// Operations a second that it usually gets; rough.
+    /// Approximate usual load of the proxy, in operations per second.
     #[schemars(range(min = 0.0))]
     #[serde(default = "one")]
     pub usual_rate: f64,
-    /// The folder of the files that the proxy follows. Relative to the settings' folder.
+    /// The folder of the files that the proxy watches. Relative to the folder of the settings file.
     pub folder: PathBuf,
 }
 
-/// Where a coordinator listens; its name, where coordinators that share a fleet send agents to one another.
+/// The address of a coordinator. Its name is needed where coordinators share a fleet and redirect agents to one
+/// another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum CoordinatorAddress {
@@ -57,7 +58,7 @@
     1.0
 }
 
-/// An agent, beside one proxy or several.
+/// An agent, which serves one or more proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
@@ -66,24 +67,25 @@
     /// In order of preference; the agent follows one at a time.
     #[schemars(length(min = 1))]
     pub coordinators: Vec<CoordinatorAddress>,
-    /// Where proxies send their load reports; port 0: any free one.
+    /// The address to which proxies send their load reports; port 0: any free port.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Written once it listens. Relative to the settings' folder.
+    /// File written once the agent listens. Relative to the folder of the settings file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready_file: Option<PathBuf>,
-    /// The first wait before a coordinator is dialled again; it doubles up to `redial_most`.
+    /// The first delay before reconnecting to a coordinator; it doubles up to `redial_most`.
     #[serde(default = "redial_least")]
     pub redial_least: Span,
     #[serde(default = "redial_most")]
     pub redial_most: Span,
-    /// A coordinator that leaves a report unanswered for so long is held to be gone.
+    /// A coordinator that leaves a report unanswered for this long is considered lost.
     #[serde(default = "silent_after")]
     pub silent_after: Span,
-    /// Files are synced to the disk before their rename; false: only a machine that loses power can tell.
+    /// Whether files are synced to disk before their rename; without it, files can be lost only if the machine loses
+    /// power.
     #[serde(default = "yes")]
     pub sync: bool,
-    /// Of its random numbers; left out: from the clock.
+    /// Seed of the random numbers; default: from the clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
 }
@@ -108,27 +110,31 @@
     fn check(&self) -> Vec<Problem> {
         let mut found = Vec::new();
         let (mut ids, mut folders) = (BTreeSet::new(), BTreeSet::new());
-        for (k, node) in self.nodes.iter().enumerate() {
+        for (index, node) in self.nodes.iter().enumerate() {
             if !ids.insert(&node.id) {
-                let what = format!("{:?} is named twice", node.id);
-                found.push(Problem::new(format!("/nodes/{k}/id"), what, "give each proxy a name of its own"));
+                let message = format!("{:?} is used by two nodes", node.id);
+                found.push(Problem::new(
+                    format!("/nodes/{index}/id"),
+                    message,
+                    "give each proxy a unique name",
+                ));
             }
             if !folders.insert(&node.folder) {
-                let what = format!("{:?} serves two proxies", node.folder);
+                let message = format!("{:?} is used by two nodes", node.folder);
                 found.push(Problem::new(
-                    format!("/nodes/{k}/folder"),
-                    what,
-                    "give each proxy a folder of its own",
+                    format!("/nodes/{index}/folder"),
+                    message,
+                    "give each proxy its own folder",
                 ));
             }
         }
         if self.redial_most < self.redial_least {
-            let what = format!("{} is under redial_least of {}", self.redial_most, self.redial_least);
-            found.push(Problem::new("/redial_most", what, "give that or more"));
+            let message = format!("{} is less than redial_least ({})", self.redial_most, self.redial_least);
+            found.push(Problem::new("/redial_most", message, "give at least redial_least"));
         }
-        for (place, span) in [("/redial_least", self.redial_least), ("/silent_after", self.silent_after)] {
+        for (pointer, span) in [("/redial_least", self.redial_least), ("/silent_after", self.silent_after)] {
             if span <= Span::millis(0) {
-                found.push(Problem::new(place, "is nothing", "give a span above 0"));
+                found.push(Problem::new(pointer, "is zero", "give a duration above 0"));
             }
         }
         found
--- a/crates/craneknot-settings/src/check.rs
+++ b/crates/craneknot-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a file of settings.
+//! Loading and validating a settings file.
 
 use std::fmt;
 use std::fs;
@@ -9,12 +9,12 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-const LARGEST: u64 = 8 * 1024 * 1024; // bytes; larger than any settings written by hand or tool
+const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024; // larger than any settings file written by hand or by a tool
 
-/// One thing that is wrong.
+/// One validation error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// A JSON pointer, or `line L, column C` where the text is no JSON.
+    /// A JSON pointer, or `line L, column C` where the text is not valid JSON.
     pub location: String,
     pub message: String,
     pub remedy: String,
@@ -26,7 +26,7 @@
     }
 }
 
-/// All that is wrong with one file.
+/// All validation errors of one file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problems {
     pub file: PathBuf,
@@ -36,9 +36,15 @@
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, problem) in self.list.iter().enumerate() {
-            let at = if problem.location.is_empty() { "/" } else { &problem.location };
-            let gap = if index == 0 { "" } else { "\n" };
-            write!(f, "{gap}{}: {at}: {} ({})", self.file.display(), problem.message, problem.remedy)?;
+            let location = if problem.location.is_empty() { "/" } else { &problem.location };
+            let separator = if index == 0 { "" } else { "\n" };
+            write!(
+                f,
+                "{separator}{}: {location}: {} ({})",
+                self.file.display(),
+                problem.message,
+                problem.remedy
+            )?;
         }
         Ok(())
     }
@@ -46,33 +52,33 @@
 
 impl std::error::Error for Problems {}
 
-/// What a schema cannot say.
+/// Validation rules that a schema cannot express.
 pub trait Check {
     fn check(&self) -> Vec<Problem>;
 }
 
-/// The schema of a type, as text.
+/// The JSON schema of a type, as text.
 pub fn schema_text<T: JsonSchema>() -> String {
     let schema = schemars::schema_for!(T);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
-/// Reads settings from a file.
+/// Loads and validates settings from a file.
 pub fn load<T: JsonSchema + DeserializeOwned + Check>(file: &Path) -> Result<T, Problems> {
     let fail = |message: String, remedy: &str| Problems {
         file: file.to_owned(),
         list: vec![Problem::new("", message, remedy)],
     };
     let mut text = Vec::new();
-    let read = fs::File::open(file).and_then(|file| file.take(LARGEST + 1).read_to_end(&mut text));
-    read.map_err(|cause| fail(cause.to_string(), "name a file that can be read"))?;
-    if text.len() as u64 > LARGEST {
-        return Err(fail(format!("the file is larger than {LARGEST} bytes"), "name a file of settings"));
+    let read = fs::File::open(file).and_then(|file| file.take(MAX_FILE_BYTES + 1).read_to_end(&mut text));
+    read.map_err(|cause| fail(cause.to_string(), "name a readable file"))?;
+    if text.len() as u64 > MAX_FILE_BYTES {
+        return Err(fail(format!("the file is larger than {MAX_FILE_BYTES} bytes"), "name a settings file"));
     }
     parse(file, &text)
 }
 
-/// Reads settings from text; `file` names it in errors.
+/// Parses and validates settings from text; `file` names it in errors.
 pub fn parse<T: JsonSchema + DeserializeOwned + Check>(file: &Path, text: &[u8]) -> Result<T, Problems> {
     let fail = |list: Vec<Problem>| Problems { file: file.to_owned(), list };
     let value: Value = serde_json::from_slice(text).map_err(|cause| {
@@ -84,10 +90,10 @@
         )])
     })?;
     let schema = schemars::schema_for!(T);
-    let broken =
-        |cause: String| fail(vec![Problem::new("", cause, "this is a fault of the program: report it")]);
+    let internal_error =
+        |cause: String| fail(vec![Problem::new("", cause, "this is a bug in the program: report it")]);
     let validator =
-        jsonschema::validator_for(schema.as_value()).map_err(|cause| broken(cause.to_string()))?;
+        jsonschema::validator_for(schema.as_value()).map_err(|cause| internal_error(cause.to_string()))?;
     let list: Vec<Problem> = validator
         .iter_errors(&value)
         .take(20)
@@ -100,10 +106,10 @@
     if !list.is_empty() {
         return Err(fail(list));
     }
-    let read: T = serde_json::from_value(value)
+    let settings: T = serde_json::from_value(value)
         .map_err(|cause| fail(vec![Problem::new("", cause.to_string(), "see `craneknot schema`")]))?;
-    match read.check() {
-        list if list.is_empty() => Ok(read),
+    match settings.check() {
+        list if list.is_empty() => Ok(settings),
         list => Err(fail(list)),
     }
 }
--- a/crates/craneknot-settings/src/coordinator.rs
+++ b/crates/craneknot-settings/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! What a coordinator is started with.
+//! Settings of a coordinator.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use crate::check::{Check, Problem};
 use crate::span::Span;
 
-/// What happens when an operation of a class runs twice.
+/// The effect of running an operation of a class twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeats {
-    /// Nothing.
+    /// No further effect.
     Safe,
-    /// Some servers drop the repeat for a while.
+    /// Some servers drop a repeated operation for a while.
     Guarded,
     /// It takes effect twice.
     Never,
@@ -28,9 +28,9 @@
 #[serde(rename_all = "snake_case")]
 pub enum LevelUnit {
     Share,
-    /// Operations a second at each proxy.
+    /// Operations per second at each proxy.
     Rate,
-    /// Proxies follow no levels.
+    /// Proxies ignore levels.
     Ignored,
 }
 
@@ -38,29 +38,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSettings {
-    /// Its name, and the first part of its operations' path.
+    /// The name, which is also the first segment of the path of the class's operations.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Answers within it are worth the whole importance.
+    /// Answers within this time count with the full importance.
     pub latency_goal: Span,
-    /// Clients wait no longer.
+    /// Clients give up after this time.
     pub hard_stop: Span,
     #[schemars(range(min = 0.0))]
     pub importance: f64,
     pub repeats: Repeats,
-    /// The only zones it may run in; left out: any.
+    /// The only zones in which the class may run; default: any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub only_zones: Vec<String>,
-    /// The only kinds of server it may run on; left out: any.
+    /// The only kinds of server on which the class may run; default: any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub only_kinds: Vec<String>,
-    /// It runs in the proxy's own zone alone.
+    /// Whether the class runs in the proxy's own zone only.
     #[serde(default)]
     pub home_only: bool,
 }
 
 impl ClassSettings {
-    /// As the decisions are told of it, zones and kinds by their places among the names.
+    /// The class as the controller receives it, with zones and kinds as indices into `names`.
     pub fn to_interface(&self, names: &mut Names) -> interface::ClassSettings {
         interface::ClassSettings {
             latency_goal: self.latency_goal.0,
@@ -73,47 +73,48 @@
         }
     }
 
-    /// Whether it may run on a server of that zone and kind.
+    /// Whether the class may run on a server of that zone and kind.
     pub fn allows(&self, zone: &String, kind: &String) -> bool {
         (self.only_zones.is_empty() || self.only_zones.contains(zone))
             && (self.only_kinds.is_empty() || self.only_kinds.contains(kind))
     }
 }
 
-/// The figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RuleSettings {
-    /// Nothing is sent to a draining or gone server this long after the coordinator was told.
+    /// Nothing is sent to a draining or removed server once this long has passed since the coordinator was notified.
     pub drain_grace: Span,
-    /// A server starts at this share of its capacity or more.
+    /// A cold server has at least this share of its capacity.
     #[schemars(range(min = 0.001, max = 1.0))]
     pub cold_share: f64,
-    /// It is warm no later than this after its start.
+    /// A server is warm at the latest this long after its start.
     pub warm_after: Span,
-    /// Sent more than this multiple of what it can do at the moment ...
+    /// A cold server that receives more than this multiple of its current capacity for `fall_window` is overloaded and
+    /// fails.
     #[schemars(range(min = 1.0))]
     pub fall_multiple: f64,
-    /// ... for this long, a cold server falls over.
+    /// How long a load above `fall_multiple` lasts before a cold server fails.
     pub fall_window: Span,
-    /// The longest that a joined proxy may lack a line.
+    /// The longest time for which a joined proxy may have no line.
     pub bare_limit: Span,
 }
 
-/// The channel by which orders leave.
+/// The channel on which orders are sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ChannelSettings {
     #[schemars(range(min = 1.0))]
     pub lines_per_second: f64,
-    /// Lines that may wait, those of message heads included.
+    /// Maximum number of queued lines, including those of message headers.
     #[schemars(range(min = 1.0))]
     pub lines_limit: f64,
-    /// Lines that a message costs on top of its own.
+    /// Lines that each message costs in addition to its own lines.
     #[schemars(range(min = 0.0))]
     #[serde(default)]
     pub lines_per_message: f64,
-    /// Messages to one proxy within `message_span`; 0: no limit.
+    /// Maximum number of messages to one proxy within `message_span`; 0: no limit.
     #[serde(default)]
     pub message_limit: u32,
     #[serde(default = "ten_seconds")]
@@ -128,9 +129,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RosterSettings {
-    /// A JSON file, replaced by a rename. Relative to the settings' folder.
+    /// A JSON file, replaced by a rename. Relative to the folder of the settings file.
     pub file: PathBuf,
-    /// Where the last list taken is kept for the next start; left out: it is not kept.
+    /// File in which the last accepted list is stored for the next start; default: it is not stored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remembered: Option<PathBuf>,
 }
@@ -140,7 +141,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ProbeSettings {
     pub enabled: bool,
-    /// What is asked of a server, by GET.
+    /// The path requested from a server, by GET.
     #[serde(default = "probe_path")]
     pub path: String,
     pub time_out: Span,
@@ -150,7 +151,7 @@
     "/healthz".to_owned()
 }
 
-/// The fleet as every coordinator is told of it.
+/// The fleet, as described to every coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
@@ -160,15 +161,15 @@
     pub kinds: Vec<String>,
     #[schemars(length(min = 1, max = 32))]
     pub classes: Vec<ClassSettings>,
-    /// Coordinators in all.
+    /// Total number of coordinators.
     #[schemars(range(min = 1))]
     pub coordinators: u32,
-    /// Proxies in all, of all coordinators.
+    /// Total number of proxies, of all coordinators.
     #[schemars(range(min = 1, max = 65536))]
     pub proxies: u32,
     /// The unit of levels.
     pub levels: LevelUnit,
-    /// How proxies pick a line, as the published `lb_policy` names it.
+    /// How proxies pick a line: a value of the xDS field `lb_policy`.
     #[serde(default = "random")]
     pub lb_policy: String,
 }
@@ -177,17 +178,17 @@
     "RANDOM".to_owned()
 }
 
-/// What peers may ask of the coordinator's sockets.
+/// Limits on the connections to the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct StreamSettings {
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Bytes of one request.
+    /// Maximum size of one request, in bytes.
     pub request_bytes: usize,
-    /// A request must be whole this long after its first byte.
+    /// A request must be complete this long after its first byte.
     pub request_within: Span,
-    /// A stream whose bytes do not leave for so long is broken.
+    /// A stream whose pending bytes cannot be sent for this long is closed.
     pub stuck_after: Span,
 }
 
@@ -202,34 +203,37 @@
     }
 }
 
-/// A fellow coordinator, or this one.
+/// One coordinator of a shared fleet: a peer, or this one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct MemberSettings {
-    /// Its own settings' name.
+    /// The `name` in the member's own settings.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Where its datagrams go.
+    /// The address to which datagrams for the member are sent.
     #[schemars(with = "String")]
     pub datagrams: SocketAddr,
 }
 
-/// Several coordinators that share one fleet and take over from one another.
+/// Several coordinators that share one fleet and fail over to one another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SharedSettings {
-    /// All of them, this one included; the same everywhere. An odd number bears the most losses.
+    /// All coordinators, including this one; the same list on each. An odd number tolerates the most failures for its
+    /// size.
     #[schemars(length(min = 1, max = 31))]
     pub members: Vec<MemberSettings>,
-    /// Where this one's datagrams come in; port 0: any free one, told in the ready file.
+    /// The address at which this coordinator receives datagrams; port 0: any free port, written to the ready file.
     #[schemars(with = "String")]
     pub datagrams: SocketAddr,
-    /// Term, vote, history and the last list are kept here. Relative to the settings' folder.
+    /// Folder that stores the term, the vote, the history and the last list. Relative to the folder of the settings
+    /// file.
     pub store: PathBuf,
-    /// How long a coordinator may act without the leader's word: the longer, the calmer, and the later a takeover.
+    /// How long a coordinator may act without hearing from the leader. A longer lease means fewer leader changes, but a
+    /// later failover.
     #[serde(default = "two_seconds")]
     pub lease: Span,
-    /// Clocks run at most this much faster or slower than true time, as a share.
+    /// Maximum drift of the clocks from true time, faster or slower, as a share.
     #[schemars(range(min = 0.0, max = 0.2))]
     #[serde(default = "hundredth")]
     pub drift: f64,
@@ -243,43 +247,44 @@
     0.01
 }
 
-/// A coordinator.
+/// Settings of one coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorSettings {
-    /// Tells it from others in versions and logs.
+    /// Identifies the coordinator in versions and logs.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Where agents dial; port 0: any free one.
+    /// The address to which agents connect; port 0: any free port.
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Written once it listens: a JSON object with its address. Relative to the settings' folder.
+    /// File written once the coordinator listens: a JSON object with its address. Relative to the folder of the settings
+    /// file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready_file: Option<PathBuf>,
-    /// Of its random numbers; left out: from the clock.
+    /// Seed of the random numbers; default: from the clock.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
     pub fleet: FleetSettings,
     pub rules: RuleSettings,
     pub channel: ChannelSettings,
     pub roster: RosterSettings,
-    /// How often proxies report.
+    /// Interval of the proxies' reports.
     pub report_period: Span,
     pub probes: ProbeSettings,
     #[serde(default)]
     pub streams: StreamSettings,
-    /// Left out: it shares its fleet with no one.
+    /// Present if several coordinators share the fleet; default: this is the only one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared: Option<SharedSettings>,
-    /// Left out: nothing is kept.
+    /// The ledger of the coordinator's inputs; default: none is written.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ledger: Option<LedgerSettings>,
-    /// Left out: servers are weighed as listed.
+    /// Computes weights; default: servers keep their listed weights.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub solver: Option<SolverSettings>,
 }
 
-/// What an operation costs that goes from a proxy of one zone to a server of another.
+/// The cost of sending an operation from a proxy of one zone to a server of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CrossingSettings {
@@ -290,19 +295,20 @@
     pub cost: f64,
 }
 
-/// Weights found from what the fleet shows, in place of listed ones.
+/// Weights estimated from the fleet's reports instead of the listed ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SolverSettings {
-    /// Deviations of a server's estimated capacity that are kept free; left out: the solver's own.
+    /// Margin kept free below a server's estimated capacity, in standard deviations of the estimate; default: the
+    /// solver's.
     #[schemars(range(min = 0.0, max = 4.0))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub margin: Option<f64>,
-    /// Share by which a weight must differ to be sent; left out: the solver's own.
+    /// Share by which a weight must change before it is sent; default: the solver's.
     #[schemars(range(min = 0.0, max = 2.0))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub churn: Option<f64>,
-    /// Cost of a crossing, in mean service times, where `crossings` has no other; left out: the solver's own.
+    /// Cost of crossing zones, in mean service times, for pairs not listed in `crossings`; default: the solver's.
     #[schemars(range(min = 0.0, max = 1000.0))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub crossing: Option<f64>,
@@ -311,61 +317,67 @@
 }
 
 impl SolverSettings {
-    /// What is wrong with it in a fleet of these zones; `place` is its own pointer.
-    pub fn check(&self, place: &str, zones: &[String]) -> Vec<Problem> {
+    /// Validates the settings for a fleet of these zones; `pointer` is the JSON pointer to the settings themselves.
+    pub fn check(&self, pointer: &str, zones: &[String]) -> Vec<Problem> {
         let mut found = Vec::new();
-        for (k, crossing) in self.crossings.iter().enumerate() {
+        for (index, crossing) in self.crossings.iter().enumerate() {
             for (end, zone) in [("from", &crossing.from), ("to", &crossing.to)] {
                 if !zones.contains(zone) {
-                    let what = format!("zone {zone:?} is not among the fleet's zones");
-                    let at = format!("{place}/crossings/{k}/{end}");
-                    found.push(Problem::new(at, what, "name one of those, or add it there"));
+                    let message = format!("zone {zone:?} is not listed in the fleet's zones");
+                    let at = format!("{pointer}/crossings/{index}/{end}");
+                    found.push(Problem::new(at, message, "use a listed name, or add this one to the list"));
                 }
             }
-            let again = |other: &CrossingSettings| other.from == crossing.from && other.to == crossing.to;
-            if self.crossings.iter().take(k).any(again) {
-                let what = format!("{} to {} is listed twice", crossing.from, crossing.to);
-                found.push(Problem::new(format!("{place}/crossings/{k}"), what, "remove one"));
+            let is_repeated =
+                |other: &CrossingSettings| other.from == crossing.from && other.to == crossing.to;
+            if self.crossings.iter().take(index).any(is_repeated) {
+                let message = format!("{} to {} is listed twice", crossing.from, crossing.to);
+                found.push(Problem::new(
+                    format!("{pointer}/crossings/{index}"),
+                    message,
+                    "remove one of them",
+                ));
             }
         }
         found
     }
 
-    /// Costs by zone of the proxy and of the server.
-    pub fn crossing_costs(&self, zones: &[String], usual: f64) -> Vec<Vec<f64>> {
+    /// Costs by zone of the proxy and zone of the server; `default_cost` applies where the settings have none.
+    pub fn crossing_costs(&self, zones: &[String], default_cost: f64) -> Vec<Vec<f64>> {
         let cost = |from: &String, to: &String| {
-            let told = self.crossings.iter().find(|one| one.from == *from && one.to == *to);
-            match told {
-                Some(told) => told.cost,
+            let listed = self.crossings.iter().find(|one| one.from == *from && one.to == *to);
+            match listed {
+                Some(crossing) => crossing.cost,
                 None if from == to => 0.0,
-                None => self.crossing.unwrap_or(usual),
+                None => self.crossing.unwrap_or(default_cost),
             }
         };
         zones.iter().map(|from| zones.iter().map(|to| cost(from, to)).collect()).collect()
     }
 }
 
-/// Where what the coordinator is told is kept, for the model and the solver.
+/// The ledger: a record of the coordinator's inputs, for the model and the solver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LedgerSettings {
-    /// Gzipped JSON lines; old ones are moved aside as `.1`, `.2`, the newest first. Relative to the settings' folder.
+    /// A file of gzipped JSON lines. Old files are rotated to `.1`, `.2`, the newest first. Relative to the folder of the
+    /// settings file.
     pub file: PathBuf,
-    /// How often it is written.
+    /// Interval at which the ledger is written.
     #[serde(default = "five_seconds")]
     pub every: Span,
-    /// A file this large is moved aside.
+    /// A file is rotated once it reaches this size, in bytes.
     #[schemars(range(min = 1))]
     #[serde(default = "mebibytes_64")]
     pub most_bytes: u64,
-    /// Old files kept.
+    /// Number of rotated files to keep.
     #[schemars(range(max = 1000))]
     #[serde(default = "eight")]
     pub kept: u32,
 }
 
 impl LedgerSettings {
-    /// The usual ones for a file.
+    /// The default settings, with this file.
     pub fn at(file: impl Into<PathBuf>) -> Self {
         LedgerSettings { file: file.into(), every: five_seconds(), most_bytes: mebibytes_64(), kept: eight() }
     }
@@ -391,23 +403,23 @@
     pub classes: Vec<String>,
 }
 
-fn place_of(list: &mut Vec<String>, name: &str) -> u16 {
+fn index_of(list: &mut Vec<String>, name: &str) -> u16 {
     let found = list.iter().position(|known| known == name);
-    let place = found.unwrap_or_else(|| {
+    let index = found.unwrap_or_else(|| {
         list.push(name.to_owned());
         list.len() - 1
     });
-    u16::try_from(place).unwrap_or(u16::MAX)
+    u16::try_from(index).unwrap_or(u16::MAX)
 }
 
 impl Names {
-    /// The zone of a name; one not met before gets the next place.
+    /// The id of a zone; an unknown name is added with the next id.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        ZoneId(place_of(&mut self.zones, name))
+        ZoneId(index_of(&mut self.zones, name))
     }
 
     pub fn kind(&mut self, name: &str) -> KindId {
-        KindId(place_of(&mut self.kinds, name))
+        KindId(index_of(&mut self.kinds, name))
     }
 
     pub fn has_zone(&self, name: &str) -> bool {
@@ -448,7 +460,7 @@
 }
 
 impl CoordinatorSettings {
-    /// The names, and what the decisions are started with.
+    /// The names, and the settings of the controller.
     pub fn controller_settings(&self) -> (Names, interface::Settings) {
         let fleet = &self.fleet;
         let mut names = Names {
@@ -483,54 +495,63 @@
     }
 }
 
-fn doubles<'a>(place: &str, names: impl Iterator<Item = &'a str>) -> Vec<Problem> {
+fn find_duplicates<'a>(pointer: &str, names: impl Iterator<Item = &'a str>) -> Vec<Problem> {
     let mut seen = BTreeSet::new();
-    let again = names.enumerate().filter(|(_, name)| !seen.insert(*name));
-    again
-        .map(|(k, name)| {
-            Problem::new(format!("{place}/{k}"), format!("{name:?} is listed twice"), "remove one")
+    let duplicates = names.enumerate().filter(|(_, name)| !seen.insert(*name));
+    duplicates
+        .map(|(index, name)| {
+            Problem::new(
+                format!("{pointer}/{index}"),
+                format!("{name:?} is listed twice"),
+                "remove one of them",
+            )
         })
         .collect()
 }
 
-fn positive(place: &str, span: Span) -> Option<Problem> {
-    (span.0 == Nanos(0)).then(|| Problem::new(place, "is nothing", "give a span above 0"))
+fn require_positive(pointer: &str, span: Span) -> Option<Problem> {
+    (span.0 == Nanos(0)).then(|| Problem::new(pointer, "is zero", "give a duration above 0"))
 }
 
 impl Check for FleetSettings {
     fn check(&self) -> Vec<Problem> {
-        let mut found = doubles("/fleet/zones", self.zones.iter().map(String::as_str));
-        found.extend(doubles("/fleet/kinds", self.kinds.iter().map(String::as_str)));
-        found.extend(doubles("/fleet/classes", self.classes.iter().map(|class| class.name.as_str())));
-        for (k, class) in self.classes.iter().enumerate() {
-            let at = |field: &str| format!("/fleet/classes/{k}/{field}");
+        let mut found = find_duplicates("/fleet/zones", self.zones.iter().map(String::as_str));
+        found.extend(find_duplicates("/fleet/kinds", self.kinds.iter().map(String::as_str)));
+        found.extend(find_duplicates("/fleet/classes", self.classes.iter().map(|class| class.name.as_str())));
+        for (index, class) in self.classes.iter().enumerate() {
+            let pointer = |field: &str| format!("/fleet/classes/{index}/{field}");
             if !class.name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte)) {
-                let mend = "use letters, digits, '-', '_' and '.': it is part of a path";
-                found.push(Problem::new(at("name"), format!("{:?} does not fit a path", class.name), mend));
+                let remedy = "use letters, digits, '-', '_' and '.': it is part of a path";
+                found.push(Problem::new(
+                    pointer("name"),
+                    format!("{:?} is not valid in a path", class.name),
+                    remedy,
+                ));
             }
             if class.hard_stop < class.latency_goal {
-                let what = format!("{} is under the latency goal of {}", class.hard_stop, class.latency_goal);
-                found.push(Problem::new(at("hard_stop"), what, "give the latency goal or more"));
+                let message =
+                    format!("{} is less than the latency goal ({})", class.hard_stop, class.latency_goal);
+                found.push(Problem::new(pointer("hard_stop"), message, "give at least the latency goal"));
             }
-            found.extend(positive(&at("latency_goal"), class.latency_goal));
-            for (z, zone) in
+            found.extend(require_positive(&pointer("latency_goal"), class.latency_goal));
+            for (index, zone) in
                 class.only_zones.iter().enumerate().filter(|(_, zone)| !self.zones.contains(zone))
             {
-                let what = format!("zone {zone:?} is not among /fleet/zones");
+                let message = format!("zone {zone:?} is not listed in /fleet/zones");
                 found.push(Problem::new(
-                    format!("{}/{z}", at("only_zones")),
-                    what,
-                    "name one of those, or add it there",
+                    format!("{}/{index}", pointer("only_zones")),
+                    message,
+                    "use a listed name, or add this one to the list",
                 ));
             }
-            for (z, kind) in
+            for (index, kind) in
                 class.only_kinds.iter().enumerate().filter(|(_, kind)| !self.kinds.contains(kind))
             {
-                let what = format!("kind {kind:?} is not among /fleet/kinds");
+                let message = format!("kind {kind:?} is not listed in /fleet/kinds");
                 found.push(Problem::new(
-                    format!("{}/{z}", at("only_kinds")),
-                    what,
-                    "name one of those, or add it there",
+                    format!("{}/{index}", pointer("only_kinds")),
+                    message,
+                    "use a listed name, or add this one to the list",
                 ));
             }
         }
@@ -542,56 +563,77 @@
     fn check(&self) -> Vec<Problem> {
         let mut found = self.fleet.check();
         if self.name.contains('/') || self.name.chars().any(char::is_control) {
-            found.push(Problem::new("/name", "holds a '/' or a control sign", "use letters and digits"));
+            found.push(Problem::new(
+                "/name",
+                "contains a '/' or a control character",
+                "use letters and digits",
+            ));
         }
-        found.extend(positive("/rules/drain_grace", self.rules.drain_grace));
-        found.extend(positive("/rules/fall_window", self.rules.fall_window));
-        found.extend(positive("/rules/bare_limit", self.rules.bare_limit));
-        found.extend(positive("/report_period", self.report_period));
-        found.extend(positive("/probes/time_out", self.probes.time_out));
-        found.extend(positive("/streams/request_within", self.streams.request_within));
-        found.extend(positive("/streams/stuck_after", self.streams.stuck_after));
-        // What cannot be put off: a binding for each class of each proxy of one coordinator, with its head.
+        found.extend(require_positive("/rules/drain_grace", self.rules.drain_grace));
+        found.extend(require_positive("/rules/fall_window", self.rules.fall_window));
+        found.extend(require_positive("/rules/bare_limit", self.rules.bare_limit));
+        found.extend(require_positive("/report_period", self.report_period));
+        found.extend(require_positive("/probes/time_out", self.probes.time_out));
+        found.extend(require_positive("/streams/request_within", self.streams.request_within));
+        found.extend(require_positive("/streams/stuck_after", self.streams.stuck_after));
+        // Bindings cannot be delayed, so the queue must hold one for each class of each proxy of a coordinator, plus the
+        // message headers.
         let proxies = f64::from(self.fleet.proxies) / f64::from(self.fleet.coordinators);
-        let least = proxies * (self.channel.lines_per_message + self.fleet.classes.len() as f64);
-        if self.channel.lines_limit < least {
-            let what =
-                format!("{} lines do not hold one binding a class for every proxy", self.channel.lines_limit);
-            found.push(Problem::new("/channel/lines_limit", what, format!("give {} or more", least.ceil())));
+        let min_lines = proxies * (self.channel.lines_per_message + self.fleet.classes.len() as f64);
+        if self.channel.lines_limit < min_lines {
+            let message = format!(
+                "{} lines are too few for one binding per class for every proxy",
+                self.channel.lines_limit
+            );
+            found.push(Problem::new(
+                "/channel/lines_limit",
+                message,
+                format!("give at least {}", min_lines.ceil()),
+            ));
         }
         if self.channel.message_limit > 0 && self.channel.message_span.0 == Nanos(0) {
             found.push(Problem::new(
                 "/channel/message_span",
-                "is nothing",
-                "give the span that message_limit is for",
+                "is zero",
+                "give the duration to which message_limit applies",
             ));
         }
         found.extend(self.solver.iter().flat_map(|solver| solver.check("/solver", &self.fleet.zones)));
-        found.extend(self.ledger.iter().filter_map(|ledger| positive("/ledger/every", ledger.every)));
+        found.extend(self.ledger.iter().filter_map(|ledger| require_positive("/ledger/every", ledger.every)));
         if let Some(shared) = &self.shared {
-            found
-                .extend(doubles("/shared/members", shared.members.iter().map(|member| member.name.as_str())));
+            found.extend(find_duplicates(
+                "/shared/members",
+                shared.members.iter().map(|member| member.name.as_str()),
+            ));
             if !shared.members.iter().any(|member| member.name == self.name) {
-                let what = format!("{:?} itself is not among them", self.name);
-                found.push(Problem::new("/shared/members", what, "name every coordinator, this one too"));
+                let message = format!("{:?} is missing from the members", self.name);
+                found.push(Problem::new(
+                    "/shared/members",
+                    message,
+                    "list every coordinator, including this one",
+                ));
             }
             if shared.members.len() != self.fleet.coordinators as usize {
-                let what =
+                let message =
                     format!("{} members, but {} coordinators", shared.members.len(), self.fleet.coordinators);
-                found.push(Problem::new("/shared/members", what, "make /fleet/coordinators their number"));
+                found.push(Problem::new(
+                    "/shared/members",
+                    message,
+                    "set /fleet/coordinators to the number of members",
+                ));
             }
             if shared.lease < Span::millis(100) {
                 found.push(Problem::new(
                     "/shared/lease",
-                    "is under 100ms",
-                    "give what a few datagrams' ways take, many times",
+                    "is less than 100ms",
+                    "give many times the travel time of a few datagrams",
                 ));
             }
         }
         if !self.probes.path.starts_with('/') {
             found.push(Problem::new(
                 "/probes/path",
-                "does not begin with '/'",
+                "does not start with '/'",
                 "give a path such as /healthz",
             ));
         }
--- a/crates/craneknot-settings/src/instance.rs
+++ b/crates/craneknot-settings/src/instance.rs
@@ -1,12 +1,12 @@
-//! The settings that an instance of the decisions is given at its start, as the bench's first message and the
-//! platform's configuration have them: one reader for both.
+//! Parser for the settings that a controller instance receives at its start. The first message of the simulator and
+//! the platform's configuration share this format.
 
 use craneknot::interface::*;
 use serde_json::Value;
 
 use crate::coordinator::Names;
 
-/// The zones, kinds, classes and report values of one instance, by the names the wire gives them.
+/// The zones, kinds, classes and report values of one instance, by the names used on the wire.
 #[derive(Default)]
 pub struct InstanceNames {
     names: Names,
@@ -23,20 +23,21 @@
     }
 
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        self.names.class(name).and_then(|place| u8::try_from(place).ok()).map(ClassId)
+        self.names.class(name).and_then(|index| u8::try_from(index).ok()).map(ClassId)
     }
 
-    /// The names of the classes of a set.
+    /// The names of the classes in a set.
     pub fn class_names(&self, set: ClassSet) -> impl Iterator<Item = &str> {
         let all = self.names.classes.iter().enumerate();
-        all.filter(move |(place, _)| set.has(ClassId(*place as u8))).map(|(_, name)| name.as_str())
+        all.filter(move |(index, _)| set.has(ClassId(*index as u8))).map(|(_, name)| name.as_str())
     }
 
-    /// A load report; `read` gives the value at a place of the report, which has that name in the settings.
+    /// Builds a load report; `read` returns the value at an index of the report, given the index and the name that the
+    /// settings list there.
     pub fn report(&self, read: impl Fn(usize, &str) -> Option<f64>) -> LoadReport {
         let value = |name: &str| {
-            let place = self.reports.iter().position(|known| known == name)?;
-            read(place, name)
+            let index = self.reports.iter().position(|known| known == name)?;
+            read(index, name)
         };
         LoadReport {
             busy: value("busy"),
@@ -45,14 +46,14 @@
         }
     }
 
-    /// A zone that the settings name; nothing for any other.
+    /// The id of a zone listed in the settings; none for any other name.
     pub fn known_zone(&self, name: &str) -> Option<ZoneId> {
-        let place = self.names.zones.iter().position(|known| known == name)?;
-        u16::try_from(place).ok().map(ZoneId)
+        let index = self.names.zones.iter().position(|known| known == name)?;
+        u16::try_from(index).ok().map(ZoneId)
     }
 }
 
-/// The settings an instance starts with; one that is missing is an error, not a guess.
+/// Parses the settings of an instance. A missing setting is an error; it gets no default.
 pub fn parse_settings(config: &Value, names: &mut InstanceNames) -> Result<Settings, String> {
     let at = |path: &str| -> Result<&Value, String> {
         let found = path.split('.').try_fold(config, |value, key| value.get(key));
@@ -76,8 +77,8 @@
         return Err("more than 32 classes".into());
     }
     let mut classes = Vec::new();
-    for (place, profile) in profiles.iter().enumerate() {
-        let missing = |key: &str| format!("setting profiles[{place}].{key} is missing or malformed");
+    for (index, profile) in profiles.iter().enumerate() {
+        let missing = |key: &str| format!("setting profiles[{index}].{key} is missing or malformed");
         let number = |key: &str| profile.get(key).and_then(Value::as_f64).ok_or_else(|| missing(key));
         let text = |key: &str| profile.get(key).and_then(Value::as_str).ok_or_else(|| missing(key));
         let only = |key: &str| profile.get(key).map(strings).unwrap_or_default();
@@ -90,11 +91,11 @@
                 "free" => Repeats::Safe,
                 "guarded" => Repeats::Guarded,
                 "single_shot" => Repeats::Never,
-                other => return Err(format!("profiles[{place}].semantics: unknown {other}")),
+                other => return Err(format!("profiles[{index}].semantics: unknown {other}")),
             },
             only_zones: only("only-zones").iter().map(|zone| names.zone(zone)).collect(),
             only_kinds: only("only-kinds").iter().map(|kind| names.kind(kind)).collect(),
-            home_only: home_only.get(place).and_then(Value::as_bool).unwrap_or(false),
+            home_only: home_only.get(index).and_then(Value::as_bool).unwrap_or(false),
         });
     }
     Ok(Settings {
--- a/crates/craneknot-settings/src/lib.rs
+++ b/crates/craneknot-settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Settings as JSON. The schema is made from the types; [`load`] checks a file against it and then against what a
-//! schema cannot say, and every error names the file, the place (a JSON pointer, or line and column) and the mend.
+//! Settings as JSON. The schema is generated from the types. [`load`] validates a file against the schema and then
+//! against the rules that a schema cannot express. Every error names the file, the location (a JSON pointer, or line
+//! and column) and a remedy.
 
 mod agent;
 mod check;
--- a/crates/craneknot-settings/src/span.rs
+++ b/crates/craneknot-settings/src/span.rs
@@ -1,4 +1,4 @@
-//! Durations with a unit.
+//! Durations written with a unit.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -7,23 +7,25 @@
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A span of time, written as a number and `ns`, `us`, `ms`, `s`, `min` or `h`: `"250ms"`, `"1.5s"`.
+/// A duration, written as a number and `ns`, `us`, `ms`, `s`, `min` or `h`: `"250ms"`, `"1.5s"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Nanos);
 
 const UNITS: [(&str, f64); 6] =
     [("ns", 1.0), ("us", 1e3), ("ms", 1e6), ("min", 60e9), ("s", 1e9), ("h", 3_600e9)];
-const LONGEST: f64 = 366.0 * 24.0 * 3_600e9; // ns; a year: more is a slip of the pen
+const LONGEST: f64 = 366.0 * 24.0 * 3_600e9; // ns; one year: a longer duration is taken for a typing error
 
 impl Span {
     pub const fn millis(millis: u64) -> Self {
         Span(Nanos::from_millis(millis))
     }
 
+    /// Parses a decimal number with its unit; none if the text is malformed or the duration is over a year.
     pub fn parse(text: &str) -> Option<Self> {
         let (digits, unit) = UNITS.iter().find_map(|(name, unit)| Some((text.strip_suffix(name)?, unit)))?;
-        let plain = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-        let nanos = plain.then(|| digits.parse::<f64>().ok()).flatten()? * unit;
+        let is_decimal =
+            !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+        let nanos = is_decimal.then(|| digits.parse::<f64>().ok()).flatten()? * unit;
         (nanos <= LONGEST).then(|| Span(Nanos(nanos.round() as u64)))
     }
 }
@@ -50,12 +52,10 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        let wrong = || {
-            serde::de::Error::custom(format!(
-                "{text:?} is no span of time: write it as \"250ms\" or \"1.5s\""
-            ))
+        let invalid = || {
+            serde::de::Error::custom(format!("{text:?} is not a duration: write it as \"250ms\" or \"1.5s\""))
         };
-        Span::parse(&text).ok_or_else(wrong)
+        Span::parse(&text).ok_or_else(invalid)
     }
 }
 
@@ -68,7 +68,7 @@
         json_schema!({
             "type": "string",
             "pattern": "^[0-9]+(\\.[0-9]+)?(ns|us|ms|s|min|h)$",
-            "description": "A span of time: a number and its unit (ns, us, ms, s, min, h)."
+            "description": "A duration: a number and its unit (ns, us, ms, s, min, h)."
         })
     }
 }
@@ -78,7 +78,7 @@
     use super::*;
 
     #[test]
-    fn spans_are_read_with_their_unit() {
+    fn spans_are_parsed_with_their_unit() {
         for (text, nanos) in
             [("250ms", 250_000_000), ("1.5s", 1_500_000_000), ("2min", 120_000_000_000), ("7ns", 7)]
         {
--- a/crates/craneknot-settings/tests/settings.rs
+++ b/crates/craneknot-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Errors name the place and the mend, and broken settings never panic.
+//! Errors name the location and the remedy, and invalid settings never panic.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use quickcheck::QuickCheck;
 use serde_json::{json, Value};
 
-fn whole() -> Value {
+fn valid_settings() -> Value {
     json!({
         "name": "a", "listen": "127.0.0.1:0",
         "fleet": {
@@ -27,21 +27,24 @@
     })
 }
 
-fn read(value: &Value) -> Result<CoordinatorSettings, Problems> {
+fn parse_value(value: &Value) -> Result<CoordinatorSettings, Problems> {
     parse(Path::new("c.json"), value.to_string().as_bytes())
 }
 
 #[test]
-fn whole_settings_reach_the_decisions() {
-    let settings = read(&whole()).unwrap();
-    let (mut names, decisions) = settings.controller_settings();
-    assert_eq!((decisions.classes[0].only_zones[0], names.zone("south").0), (names.zone("north"), 1));
-    assert_eq!(decisions.drain_grace.secs(), 2.0);
+fn valid_settings_reach_the_controller() {
+    let settings = parse_value(&valid_settings()).unwrap();
+    let (mut names, controller_settings) = settings.controller_settings();
+    assert_eq!(
+        (controller_settings.classes[0].only_zones[0], names.zone("south").0),
+        (names.zone("north"), 1)
+    );
+    assert_eq!(controller_settings.drain_grace.secs(), 2.0);
     assert!(schema_text::<CoordinatorSettings>().contains("latency_goal"));
 }
 
 #[test]
-fn every_error_names_its_place() {
+fn every_error_names_its_location() {
     let cases = [
         ("/rules/drain_grace", json!("2 s"), "/rules/drain_grace"),
         ("/rules/drain_grace", json!("0s"), "/rules/drain_grace"),
@@ -55,18 +58,18 @@
         ("/channel/lines_limit", json!(3), "/channel/lines_limit"),
         ("/probes/time_out", json!(5), "/probes/time_out"),
     ];
-    for (at, value, place) in cases {
-        let mut settings = whole();
-        *settings.pointer_mut(at).unwrap() = value.clone();
-        let problems = read(&settings).unwrap_err();
-        let found = problems.list.iter().find(|problem| problem.location == place);
-        let found = found.unwrap_or_else(|| panic!("{at} = {value}: {problems}"));
+    for (pointer, value, location) in cases {
+        let mut settings = valid_settings();
+        *settings.pointer_mut(pointer).unwrap() = value.clone();
+        let problems = parse_value(&settings).unwrap_err();
+        let found = problems.list.iter().find(|problem| problem.location == location);
+        let found = found.unwrap_or_else(|| panic!("{pointer} = {value}: {problems}"));
         assert!(!found.message.is_empty() && !found.remedy.is_empty());
         assert!(problems.to_string().starts_with("c.json: "));
     }
-    let mut unknown = whole();
+    let mut unknown = valid_settings();
     unknown["rules"]["drain_gracee"] = json!("2s");
-    assert!(read(&unknown).unwrap_err().to_string().contains("drain_gracee"));
+    assert!(parse_value(&unknown).unwrap_err().to_string().contains("drain_gracee"));
     let problems =
         parse::<CoordinatorSettings>(Path::new("c.json"), b"{\"name\": \"a\",\n  oops").unwrap_err();
     assert!(problems.list[0].location.starts_with("line 2, column"), "{problems}");
@@ -74,9 +77,9 @@
 }
 
 #[test]
-fn changed_settings_are_taken_or_refused_with_a_place() {
-    fn survives(changes: Vec<(u16, u8)>) -> bool {
-        let mut text = whole().to_string().into_bytes();
+fn mutated_settings_are_accepted_or_rejected_with_a_message() {
+    fn is_handled(changes: Vec<(u16, u8)>) -> bool {
+        let mut text = valid_settings().to_string().into_bytes();
         let length = text.len();
         changes.iter().for_each(|(at, byte)| text[usize::from(*at) % length] = *byte);
         match parse::<CoordinatorSettings>(Path::new("c.json"), &text) {
@@ -84,5 +87,5 @@
             Err(problems) => problems.list.iter().all(|problem| !problem.message.is_empty()),
         }
     }
-    QuickCheck::new().tests(150).quickcheck(survives as fn(Vec<(u16, u8)>) -> bool);
+    QuickCheck::new().tests(150).quickcheck(is_handled as fn(Vec<(u16, u8)>) -> bool);
 }
