--- a/crates/craneknot-xds/src/convert.rs
+++ b/crates/craneknot-xds/src/convert.rs
@@ -1,5 +1,5 @@
-//! How a table, a binding and a level read as resources, and back. Nothing is decided here: what cannot be said
-//! exactly is rounded, and what cannot be understood is an error that names the place.
+//! Converts tables, bindings and levels to resources and back. No policy is applied here: a value without an exact
+//! representation is rounded, and a malformed resource is an error that names its class.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,27 @@
 use crate::load::Seconds;
 use crate::resources::*;
 
-/// Weights are whole numbers on the wire: so many to a unit.
+/// The integer on the wire that stands for a weight of 1.
 pub const WEIGHT_UNIT: f64 = 10_000.0;
 
-/// The status of an operation that a level refuses.
+/// The HTTP status of an operation that a level rejects.
 pub const REJECTED_STATUS: u32 = 503;
 
 const MILLION: f64 = 1e6;
 const RATE_FILTER: &str = "envoy.filters.http.local_ratelimit";
 const SHARE_FILTER: &str = "envoy.filters.http.fault";
 
-/// A level and further tries of one class.
+/// The level and the retries of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Admission {
-    /// Operations a second at each proxy, or a share; nothing: all.
+    /// Operations per second at each proxy, or a share; none: no limit.
     pub level: Option<f64>,
     pub unit: LevelUnit,
     pub retries: Retries,
 }
 
 impl Admission {
+    /// Admits all operations and allows no retries.
     pub fn unlimited(unit: LevelUnit) -> Self {
         Admission { level: None, unit, retries: Retries::Never }
     }
@@ -42,8 +43,8 @@
     pub health: HealthStatus,
 }
 
-/// The resource of a table. A line without an `address:port` or a weight that rounds to nothing keeps weight 1:
-/// the least that can be said, so that a server that shall get something is never lost in rounding.
+/// Encodes a table. A line without an `address:port` is skipped. A weight that rounds to zero becomes 1, the smallest
+/// weight on the wire, so that rounding never removes a server from a table.
 pub fn table(name: &str, lines: &[Line<'_>]) -> ClusterLoadAssignment {
     let mut zones: BTreeMap<&str, Vec<LbEndpoint>> = BTreeMap::new();
     for line in lines {
@@ -65,10 +66,10 @@
     }
 }
 
-/// The lines of a table that may be picked, by server.
+/// Decodes the lines of a table that a proxy may pick: server and weight.
 pub fn lines(table: &ClusterLoadAssignment) -> Vec<(String, f64)> {
     let endpoints = table.endpoints.iter().flat_map(|zone| &zone.lb_endpoints);
-    let open = endpoints.filter(|endpoint| match endpoint.health_status {
+    let pickable = endpoints.filter(|endpoint| match endpoint.health_status {
         HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded => true,
         HealthStatus::Unhealthy | HealthStatus::Draining | HealthStatus::Timeout => false,
     });
@@ -76,10 +77,10 @@
         let server = endpoint.endpoint.address.socket_address.text();
         (server, f64::from(endpoint.load_balancing_weight) / WEIGHT_UNIT)
     };
-    open.map(line).filter(|(_, weight)| *weight > 0.0).collect()
+    pickable.map(line).filter(|(_, weight)| *weight > 0.0).collect()
 }
 
-/// The resource of a class bound to a table.
+/// Encodes the binding of a class to a table.
 pub fn cluster(class: &str, table: &str, lb_policy: &str) -> Cluster {
     Cluster {
         kind: Kind::Clusters.type_url().to_owned(),
@@ -96,10 +97,10 @@
     }
 }
 
-fn retry_policy(tries: Retries) -> Option<RetryPolicy> {
-    let (retry_on, num_retries) = match tries {
+fn retry_policy(retries: Retries) -> Option<RetryPolicy> {
+    let (retry_on, num_retries) = match retries {
         Retries::Never => return None,
-        // Conditions under which the server surely never began.
+        // Conditions that guarantee that the server never started the operation.
         Retries::IfNotExecuted => ("connect-failure,refused-stream", 1),
         Retries::Once => ("5xx,reset,connect-failure,refused-stream", 1),
         Retries::Twice => ("5xx,reset,connect-failure,refused-stream", 2),
@@ -108,16 +109,17 @@
     Some(RetryPolicy { retry_on: retry_on.to_owned(), num_retries, retry_host_predicate })
 }
 
-/// The tokens of a rate: as many thousandths of an operation as a whole number of them can say.
+/// Encodes a rate in operations per second, limited to a thousandth at the least and a million at the most.
 fn token_bucket(rate: f64) -> TokenBucket {
-    // One token a fill keeps any rate exact; the bucket holds what a second brings, one at the least.
+    // The fill interval makes a whole number of tokens match the rate; the bucket holds the tokens of one second, at
+    // least one.
     let rate = rate.clamp(1e-3, MILLION);
     let whole = rate.ceil();
     let fill_interval = Seconds(whole / rate).text();
     TokenBucket { max_tokens: whole as u32, tokens_per_fill: whole as u32, fill_interval }
 }
 
-/// The resource of a table's levels.
+/// Encodes the levels and retries of a table's classes.
 pub fn routes<'a>(name: &str, classes: impl Iterator<Item = (&'a str, Admission)>) -> RouteConfiguration {
     let route = |(class, admission): (&str, Admission)| {
         let mut filters = BTreeMap::new();
@@ -155,7 +157,7 @@
     }
 }
 
-/// What a route says of its class.
+/// Decodes the level and the retries of a route's class.
 pub fn admission(route: &Route) -> Result<Admission, String> {
     let class = &route.route.cluster;
     let mut admission = Admission::unlimited(LevelUnit::Ignored);
@@ -182,11 +184,11 @@
     }
     let Some(policy) = &route.route.retry_policy else { return Ok(admission) };
     let conditions = || policy.retry_on.split(',').map(str::trim).filter(|condition| !condition.is_empty());
-    let unrun = |condition: &str| matches!(condition, "connect-failure" | "refused-stream");
+    let is_not_executed = |condition: &str| matches!(condition, "connect-failure" | "refused-stream");
     admission.retries = match policy.num_retries {
         0 => Retries::Never,
         _ if conditions().next().is_none() => Retries::Never,
-        _ if conditions().all(unrun) => Retries::IfNotExecuted,
+        _ if conditions().all(is_not_executed) => Retries::IfNotExecuted,
         1 => Retries::Once,
         _ => Retries::Twice,
     };
@@ -198,40 +200,43 @@
     use super::*;
 
     #[test]
-    fn what_is_said_is_understood_again() {
-        let lines_in = [
+    fn encoded_resources_decode_to_the_same_values() {
+        let lines_to_encode = [
             Line { server: "127.0.0.1:81", zone: "north", weight: 1.5, health: HealthStatus::Healthy },
             Line { server: "[::1]:82", zone: "south", weight: 0.00001, health: HealthStatus::Healthy },
             Line { server: "127.0.0.1:83", zone: "north", weight: 1.0, health: HealthStatus::Draining },
         ];
-        let text = serde_json::to_string(&table("t1", &lines_in)).unwrap();
-        let back: ClusterLoadAssignment = serde_json::from_str(&text).unwrap();
-        assert_eq!(lines(&back), [("127.0.0.1:81".to_owned(), 1.5), ("[::1]:82".to_owned(), 0.0001)]);
+        let text = serde_json::to_string(&table("t1", &lines_to_encode)).unwrap();
+        let decoded: ClusterLoadAssignment = serde_json::from_str(&text).unwrap();
+        assert_eq!(lines(&decoded), [("127.0.0.1:81".to_owned(), 1.5), ("[::1]:82".to_owned(), 0.0001)]);
         use Retries::*;
         for (level, unit) in
             [(Some(0.25), LevelUnit::Share), (Some(7.5), LevelUnit::Rate), (Some(0.4), LevelUnit::Rate)]
         {
             for retries in [Never, IfNotExecuted, Once, Twice] {
-                let said = Admission { level, unit, retries };
-                let text = serde_json::to_string(&routes("t1", [("read", said)].into_iter())).unwrap();
-                let back: RouteConfiguration = serde_json::from_str(&text).unwrap();
-                let understood = admission(&back.virtual_hosts[0].routes[0]).unwrap();
-                assert_eq!((understood.unit, understood.retries), (unit, retries));
-                assert!((understood.level.unwrap() - level.unwrap()).abs() < 1e-6, "{understood:?}");
+                let encoded = Admission { level, unit, retries };
+                let text = serde_json::to_string(&routes("t1", [("read", encoded)].into_iter())).unwrap();
+                let decoded: RouteConfiguration = serde_json::from_str(&text).unwrap();
+                let decoded_admission = admission(&decoded.virtual_hosts[0].routes[0]).unwrap();
+                assert_eq!((decoded_admission.unit, decoded_admission.retries), (unit, retries));
+                assert!(
+                    (decoded_admission.level.unwrap() - level.unwrap()).abs() < 1e-6,
+                    "{decoded_admission:?}"
+                );
             }
         }
     }
 
-    /// A share of one is no level at all, and the decisions' "lets all in" stays within 32 bits.
+    /// A share of 1 encodes as no level, and the controller's rate for admitting everything fits in 32 bits.
     #[test]
-    fn extremes_of_levels_are_borne() {
-        let read = |level, unit| {
-            let said = Admission { level: Some(level), unit, retries: Retries::Never };
-            admission(&routes("t", [("read", said)].into_iter()).virtual_hosts[0].routes[0]).unwrap().level
+    fn extreme_levels_are_encoded() {
+        let round_trip = |level, unit| {
+            let encoded = Admission { level: Some(level), unit, retries: Retries::Never };
+            admission(&routes("t", [("read", encoded)].into_iter()).virtual_hosts[0].routes[0]).unwrap().level
         };
-        assert_eq!(read(1.0, LevelUnit::Share), None);
-        assert_eq!(read(0.0, LevelUnit::Share), Some(0.0));
-        assert_eq!(read(1e6, LevelUnit::Rate), Some(1e6));
-        assert!(read(0.0, LevelUnit::Rate).unwrap() < 0.01);
+        assert_eq!(round_trip(1.0, LevelUnit::Share), None);
+        assert_eq!(round_trip(0.0, LevelUnit::Share), Some(0.0));
+        assert_eq!(round_trip(1e6, LevelUnit::Rate), Some(1e6));
+        assert!(round_trip(0.0, LevelUnit::Rate).unwrap() < 0.01);
     }
 }
--- a/crates/craneknot-xds/src/discovery.rs
+++ b/crates/craneknot-xds/src/discovery.rs
@@ -1,5 +1,4 @@
-//! `envoy.service.discovery.v3`: requests and responses, as the REST-JSON variant carries them and as files hold
-//! them.
+//! `envoy.service.discovery.v3`: requests and responses, in the form used by the REST-JSON variant and in files.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,13 +7,13 @@
 use serde_json::value::RawValue;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The kinds of resource that are spoken of here, in the order in which they are to be applied: what a binding
-/// points to comes before it.
+/// The supported kinds of resource, in the order in which they must be applied: a resource precedes the bindings that
+/// refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// Tables: `ClusterLoadAssignment`.
     Endpoints,
-    /// Levels and further tries: `RouteConfiguration`.
+    /// Levels and retries: `RouteConfiguration`.
     Routes,
     /// Bindings: `Cluster`.
     Clusters,
@@ -40,7 +39,7 @@
         }
     }
 
-    /// The file that a proxy follows.
+    /// The name of the file that a proxy watches.
     pub fn file(self) -> &'static str {
         match self {
             Kind::Endpoints => "endpoints.json",
@@ -75,7 +74,7 @@
     }
 }
 
-/// `envoy.config.core.v3.Node`: who asks.
+/// `envoy.config.core.v3.Node`: the sender of a request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Node {
@@ -87,7 +86,7 @@
     pub metadata: BTreeMap<String, serde_json::Value>,
 }
 
-/// `google.rpc.Status`: why a response was refused.
+/// `google.rpc.Status`: why a response was rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
@@ -96,7 +95,7 @@
 }
 
 impl Status {
-    /// `FAILED_PRECONDITION`: an order of an older epoch than one that was followed.
+    /// `FAILED_PRECONDITION`: an order whose epoch is older than one already applied.
     pub fn outdated(message: impl Into<String>) -> Self {
         Status { code: 9, message: message.into() }
     }
@@ -106,17 +105,17 @@
         Status { code: 3, message: message.into() }
     }
 
-    /// `RESOURCE_EXHAUSTED`: a disk that is full.
+    /// `RESOURCE_EXHAUSTED`: the disk is full.
     pub fn exhausted(message: impl Into<String>) -> Self {
         Status { code: 8, message: message.into() }
     }
 }
 
-/// What a node has of one kind, and that it waits for more.
+/// Reports the version that a node has of one kind of resource, and asks for the next.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DiscoveryRequest {
-    /// The last version accepted; empty: none yet.
+    /// The last accepted version; empty if there is none.
     #[serde(alias = "versionInfo")]
     pub version_info: String,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -125,15 +124,15 @@
     pub resource_names: Vec<String>,
     #[serde(alias = "typeUrl")]
     pub type_url: String,
-    /// The nonce of the response that this accepts or refuses; empty: the first request of a stream.
+    /// The nonce of the response that this request accepts or rejects; empty in the first request of a stream.
     #[serde(alias = "responseNonce")]
     pub response_nonce: String,
-    /// Present: the response of that nonce was refused.
+    /// Present if the response with that nonce was rejected.
     #[serde(alias = "errorDetail", skip_serializing_if = "Option::is_none")]
     pub error_detail: Option<Status>,
 }
 
-/// Resources of one kind. What a resource holds is kept as the text that came.
+/// Resources of one kind. The text of each resource is kept as received.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DiscoveryResponse {
@@ -146,8 +145,8 @@
     pub nonce: String,
 }
 
-/// The version of a file: who ordered it, its number, and a checksum of what it holds, so that a reader can tell
-/// a torn file from a whole one whatever its text.
+/// The version of a file: the source of its orders, a number, and a checksum of its resources, by which a reader
+/// detects a torn file whatever its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileVersion {
     pub source: String,
@@ -162,6 +161,7 @@
 }
 
 impl FileVersion {
+    /// Parses the text form `source/number/checksum`; the source may contain slashes.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.rsplitn(3, '/');
         let checksum = u64::from_str_radix(parts.next()?, 16).ok()?;
@@ -170,7 +170,7 @@
     }
 }
 
-/// A source's name with the epoch of its orders; epoch 0 stands alone.
+/// A source's name prefixed with the epoch of its orders; epoch 0 has no prefix.
 pub fn source_with_epoch(epoch: u64, source: &str) -> String {
     if epoch == 0 {
         source.to_owned()
@@ -179,18 +179,18 @@
     }
 }
 
-/// The epoch of a version or a source; 0 where it names none.
+/// The epoch of a version or a source; 0 if it has no epoch prefix.
 pub fn epoch_of(version: &str) -> u64 {
-    let told = version.strip_prefix('e').and_then(|rest| rest.split_once(':'));
-    told.and_then(|(digits, _)| digits.parse().ok()).unwrap_or(0)
+    let prefix = version.strip_prefix('e').and_then(|rest| rest.split_once(':'));
+    prefix.and_then(|(digits, _)| digits.parse().ok()).unwrap_or(0)
 }
 
-/// Tells one text of a resource from another (XXH3), in hexadecimal digits.
+/// Fingerprint (XXH3) of a resource's text, in hexadecimal digits.
 pub fn fingerprint(text: &[u8]) -> String {
     format!("{:016x}", xxh3_64(text))
 }
 
-/// The checksum (XXH3) of resources as they stand in a file.
+/// The checksum (XXH3) of resources as written to a file.
 pub fn checksum<'a>(resources: impl Iterator<Item = &'a str>) -> u64 {
     let mut text = String::new();
     for resource in resources {
@@ -200,7 +200,7 @@
     xxh3_64(text.as_bytes())
 }
 
-/// The text of a file that a proxy follows.
+/// The text of a file that a proxy watches.
 pub fn file_text(kind: Kind, source: &str, number: u64, resources: &[&str]) -> String {
     let checksum = checksum(resources.iter().copied());
     let version = FileVersion { source: source.to_owned(), number, checksum };
@@ -209,28 +209,28 @@
     format!("{{\"version_info\":{quoted},\"type_url\":\"{}\",\"resources\":[\n{body}\n]}}\n", kind.type_url())
 }
 
-/// Why a file is not what an agent wrote.
+/// Why a file differs from what an agent writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileError {
-    /// Not a whole discovery response.
+    /// Not a complete discovery response.
     Malformed(String),
-    /// Of another kind than the file's name says.
+    /// The kind of resource differs from the one that the file name implies.
     WrongKind(String),
-    /// Its resources are not those of its version: torn, or written by another hand.
+    /// The resources do not match the version's checksum: the file is torn, or another program wrote it.
     Torn,
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileError::Malformed(cause) => write!(f, "not a whole discovery response: {cause}"),
-            FileError::WrongKind(type_url) => write!(f, "holds {type_url}"),
-            FileError::Torn => write!(f, "its resources are not those of its version"),
+            FileError::Malformed(cause) => write!(f, "not a complete discovery response: {cause}"),
+            FileError::WrongKind(type_url) => write!(f, "wrong resource type: {type_url}"),
+            FileError::Torn => write!(f, "its resources do not match the checksum in its version"),
         }
     }
 }
 
-/// Reads such a file, and checks that it is whole.
+/// Parses a file written by an agent, and checks its kind and checksum.
 pub fn read_file(kind: Kind, text: &[u8]) -> Result<(FileVersion, DiscoveryResponse), FileError> {
     let response: DiscoveryResponse =
         serde_json::from_slice(text).map_err(|cause| FileError::Malformed(cause.to_string()))?;
@@ -249,7 +249,7 @@
     use super::*;
 
     #[test]
-    fn a_file_cut_or_mixed_is_told_from_a_whole_one() {
+    fn truncated_and_mixed_files_are_detected() {
         let text = file_text(
             Kind::Endpoints,
             "a-17",
--- a/crates/craneknot-xds/src/lib.rs
+++ b/crates/craneknot-xds/src/lib.rs
@@ -1,9 +1,9 @@
-//! The published discovery and load-reporting messages (xDS v3) as JSON, and what an order means as a resource.
+//! The xDS v3 messages of discovery and load reporting as JSON, and the conversion of orders to resources.
 //!
-//! Field names are those of the published protocol buffers in their original spelling; on input the lower camel
-//! case of proto3's JSON mapping is taken as well. [`discovery`] has the envelopes, [`resources`] what they
-//! carry, [`load`] what proxies report, [`orca`] what servers say of themselves in their answers, [`meaning`]
-//! how a table, a binding and a level read as resources and back.
+//! Field names are those of the published protocol buffers in their original spelling; input may also use the lower
+//! camel case of proto3's JSON mapping. [`discovery`] has the requests and responses, [`resources`] the resources in
+//! them, [`load`] the load reports of proxies, [`orca`] the load reports of servers in their answers, and [`convert`]
+//! converts tables, bindings and levels to resources and back.
 
 pub mod convert;
 pub mod discovery;
--- a/crates/craneknot-xds/src/load.rs
+++ b/crates/craneknot-xds/src/load.rs
@@ -1,32 +1,32 @@
-//! `envoy.service.load_stats.v3`: what proxies met, as they report it.
+//! `envoy.service.load_stats.v3`: load reports of proxies.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::discovery::{Locality, Node};
 use crate::resources::Address;
 
-/// The path of the published service's one method.
+/// The path of the only method of the published service.
 pub const PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 
-/// The key in a node's metadata that tells when a report was closed, in ms of the agent's clock: a report that comes again
-/// counts once.
+/// The key in a node's metadata of the time at which a report was closed, in ms of the agent's clock. By it a report
+/// that is received twice is counted once.
 pub const CLOSED_AT: &str = "report_closed_ms";
 
-/// Names of load metrics, beside those that servers name themselves.
+/// Names of load metrics, in addition to the ones that servers define.
 pub mod metric {
-    /// Answering time of good answers, ms.
+    /// Latency of successful answers, in ms.
     pub const LATENCY_MS: &str = "latency_ms";
-    /// Operations that came, each counted once however often it was tried.
+    /// Operations received, each counted once regardless of the number of tries.
     pub const OPERATIONS: &str = "operations";
-    /// Busy share of the server's cores, as its answers tell (ORCA `cpu_utilization`).
+    /// Busy share of the server's cores, from its answers (ORCA `cpu_utilization`).
     pub const CPU: &str = "cpu_utilization";
-    /// Operations the server holds (ORCA named metric).
+    /// Operations in flight at the server (ORCA named metric).
     pub const INFLIGHT: &str = "named_metrics.inflight";
-    /// The server's recent service time, ms (ORCA named metric).
+    /// The server's recent service time, in ms (ORCA named metric).
     pub const SERVICE_MS: &str = "named_metrics.service_ms";
 }
 
-/// A 64-bit count: proto3's JSON writes it as text, and readers take numbers as well.
+/// A 64-bit count. Proto3's JSON mapping writes it as a string; numbers are accepted on input.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Count(pub u64);
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// `google.protobuf.Duration` in JSON: seconds with an `s`.
+/// `google.protobuf.Duration` in JSON: seconds with the suffix `s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Seconds(pub f64);
 
@@ -153,14 +153,14 @@
     pub cluster_name: String,
     #[serde(alias = "upstreamLocalityStats")]
     pub upstream_locality_stats: Vec<LocalityStats>,
-    /// Operations refused by the proxy itself.
+    /// Operations rejected by the proxy itself.
     #[serde(alias = "totalDroppedRequests")]
     pub total_dropped_requests: Count,
     #[serde(alias = "loadReportInterval")]
     pub load_report_interval: Seconds,
 }
 
-/// What one proxy met in one span.
+/// The load report of one proxy for one interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadStatsRequest {
@@ -170,7 +170,7 @@
     pub cluster_stats: Vec<ClusterStats>,
 }
 
-/// What the receiver wants to hear, and how often.
+/// What the receiver wants to have reported, and how often.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadStatsResponse {
@@ -201,7 +201,8 @@
                 && Seconds::parse("NaNs").is_none()
                 && Seconds::parse("4").is_none()
         );
-        let back: LoadStatsRequest = serde_json::from_str(&serde_json::to_string(&stats).unwrap()).unwrap();
-        assert_eq!(back, stats);
+        let decoded: LoadStatsRequest =
+            serde_json::from_str(&serde_json::to_string(&stats).unwrap()).unwrap();
+        assert_eq!(decoded, stats);
     }
 }
--- a/crates/craneknot-xds/src/orca.rs
+++ b/crates/craneknot-xds/src/orca.rs
@@ -1,5 +1,5 @@
-//! Open Request Cost Aggregation (`xds.data.orca.v3.OrcaLoadReport`): a server's word on its load, in a header of
-//! its answers, as `TEXT key=value, ...` or `JSON {...}`.
+//! Open Request Cost Aggregation (`xds.data.orca.v3.OrcaLoadReport`): a server's load report in a header of its
+//! answers, as `TEXT key=value, ...` or `JSON {...}`.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Busy share of its cores.
+    /// Busy share of the server's cores.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cpu_utilization: Option<f64>,
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
@@ -22,7 +22,7 @@
         format!("JSON {}", serde_json::to_string(self).unwrap_or_default())
     }
 
-    /// Nothing where the header is not one of both forms; values that are no finite numbers are left out.
+    /// Parses a header; none if it has neither of the two forms. Values that are negative or not finite are dropped.
     pub fn parse(header: &str) -> Option<Self> {
         let header = header.trim();
         let mut report = match header.split_once(' ') {
@@ -55,7 +55,7 @@
     use super::*;
 
     #[test]
-    fn both_forms_are_read_and_nonsense_is_nothing() {
+    fn both_forms_are_parsed_and_malformed_headers_are_rejected() {
         let report = LoadReport {
             cpu_utilization: Some(0.5),
             named_metrics: BTreeMap::from([("inflight".to_owned(), 7.0)]),
@@ -63,8 +63,8 @@
         assert_eq!(LoadReport::parse(&report.header()), Some(report.clone()));
         assert_eq!(LoadReport::parse("TEXT cpu_utilization=0.5, named_metrics.inflight=7"), Some(report));
         assert_eq!(LoadReport::parse("TEXT cpu_utilization=NaN").unwrap().cpu_utilization, None);
-        for nonsense in ["", "JSON", "JSON {", "TEXT a", "BIN aGk=", "TEXT a=b"] {
-            assert_eq!(LoadReport::parse(nonsense), None, "{nonsense}");
+        for malformed in ["", "JSON", "JSON {", "TEXT a", "BIN aGk=", "TEXT a=b"] {
+            assert_eq!(LoadReport::parse(malformed), None, "{malformed}");
         }
     }
 }
--- a/crates/craneknot-xds/src/resources.rs
+++ b/crates/craneknot-xds/src/resources.rs
@@ -1,4 +1,4 @@
-//! The resources themselves, with the fields that are used here; others are let pass on input.
+//! The resources, with the fields that are used here; unknown fields in input are ignored.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 }
 
 impl SocketAddress {
-    /// Of `address:port`.
+    /// Parses `address:port`.
     pub fn parse(text: &str) -> Option<Self> {
         let (address, port) = text.rsplit_once(':')?;
         let address = address.trim_start_matches('[').trim_end_matches(']');
         Some(SocketAddress { address: address.to_owned(), port_value: port.parse().ok()? })
     }
 
-    /// As `address:port`, the name by which the decisions know a server.
+    /// Formats as `address:port`, the name by which the controller knows a server.
     pub fn text(&self) -> String {
         match self.address.contains(':') {
             true => format!("[{}]:{}", self.address, self.port_value),
@@ -42,7 +42,7 @@
     pub address: Address,
 }
 
-/// `envoy.config.core.v3.HealthStatus`, as far as it is used.
+/// `envoy.config.core.v3.HealthStatus`, limited to the values in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum HealthStatus {
@@ -60,7 +60,7 @@
     pub endpoint: Endpoint,
     #[serde(alias = "healthStatus", default)]
     pub health_status: HealthStatus,
-    /// From 1 on; in a table the sum stays within 32 bits.
+    /// At least 1; the sum over a table must fit in 32 bits.
     #[serde(alias = "loadBalancingWeight")]
     pub load_balancing_weight: u32,
 }
@@ -84,7 +84,7 @@
     pub endpoints: Vec<LocalityLbEndpoints>,
 }
 
-/// `envoy.config.core.v3.ConfigSource`: where a cluster's endpoints are read from.
+/// `envoy.config.core.v3.ConfigSource`: the source of a cluster's endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSource {
     #[serde(alias = "pathConfigSource")]
@@ -128,12 +128,12 @@
 /// `envoy.config.route.v3.RetryPolicy`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryPolicy {
-    /// Conditions, parted by commas.
+    /// Conditions, separated by commas.
     #[serde(alias = "retryOn")]
     pub retry_on: String,
     #[serde(alias = "numRetries")]
     pub num_retries: u32,
-    /// Another try never goes where one went already.
+    /// Keeps a retry away from servers that were already tried.
     #[serde(alias = "retryHostPredicate", default, skip_serializing_if = "Vec::is_empty")]
     pub retry_host_predicate: Vec<Named>,
 }
@@ -150,27 +150,27 @@
     pub retry_policy: Option<RetryPolicy>,
 }
 
-/// A filter's part of a route, by its type.
+/// The configuration of one filter for a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "@type")]
 pub enum FilterConfig {
-    /// A level in operations a second.
+    /// A level in operations per second.
     #[serde(rename = "type.googleapis.com/envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit")]
     LocalRateLimit {
         stat_prefix: String,
         token_bucket: TokenBucket,
-        /// What is refused; an empty value means the published default, 429.
+        /// Status of rejected operations; an empty value means the published default, 429.
         #[serde(default)]
         status: HttpStatus,
     },
-    /// A level as a share: the rest is answered at once with this status.
+    /// A level as a share: the remaining operations are answered immediately with the status of `abort`.
     #[serde(rename = "type.googleapis.com/envoy.extensions.filters.http.fault.v3.HTTPFault")]
     HttpFault { abort: FaultAbort },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpStatus {
-    /// The name of the code, as the published enumeration has it.
+    /// The code's name in the published enumeration.
     pub code: String,
 }
 
@@ -179,7 +179,7 @@
 pub struct TokenBucket {
     pub max_tokens: u32,
     pub tokens_per_fill: u32,
-    /// A number of seconds with up to nine decimals and an `s`, as proto3's JSON writes durations.
+    /// Seconds with up to nine decimals and the suffix `s`, as in proto3's JSON mapping of durations.
     pub fill_interval: String,
 }
 
@@ -193,7 +193,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FractionalPercent {
     pub numerator: u32,
-    /// `MILLION`.
+    /// `MILLION` when encoded here.
     pub denominator: String,
 }
 
@@ -214,7 +214,7 @@
     pub routes: Vec<Route>,
 }
 
-/// `envoy.config.route.v3.RouteConfiguration`: the levels and further tries of a table's classes.
+/// `envoy.config.route.v3.RouteConfiguration`: the levels and retries of a table's classes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteConfiguration {
     #[serde(rename = "@type", default)]
