--- a/crates/craneknot-cli/src/model.rs
+++ b/crates/craneknot-cli/src/model.rs
@@ -8,7 +8,7 @@
 use craneknot_model::experiment::{self, Asked, Axis, Outcome, Single};
 use craneknot_model::hosted::Build;
 use craneknot_model::plot::{self, Input};
-use craneknot_model::world::{play_whole, Ask, ROUND_TRIP};
+use craneknot_model::world::{play_with_options, RunOptions, ROUND_TRIP};
 use craneknot_model::{feed, fit, hunt};
 use craneknot_rehearsal::recording::Recording;
 use craneknot_rehearsal::Script;
@@ -238,14 +238,14 @@
             };
             if let Some(folder) = ledgers {
                 fs::create_dir_all(&folder).map_err(system)?;
-                let played = play_whole(&read, Ask { ledgers: true, ..Ask::default() });
+                let played = play_with_options(&read, RunOptions { ledgers: true, ..RunOptions::default() });
                 for told in &played.ledgers {
                     let file = folder.join(format!("{}.ledger.gz", told.head.coordinator));
                     ledger::write(&file, told).map_err(system)?;
                 }
             }
             if let Some(path) = record {
-                let played = play_whole(&read, Ask::default());
+                let played = play_with_options(&read, RunOptions::default());
                 let recording = Recording::of("model", &read, played.begin, &played.records, &played.report);
                 recording.write(&path).map_err(system)?;
                 output::write_output(format_args!("{}", played.report.lines()));
--- a/crates/craneknot-model/examples/speed.rs
+++ b/crates/craneknot-model/examples/speed.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use craneknot_model::world::{play_whole, Ask};
+use craneknot_model::world::{play_with_options, RunOptions};
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
 
@@ -38,7 +38,7 @@
     ] {
         let script = scaled(proxies, servers, rate, seconds);
         let begin = Instant::now();
-        let played = play_whole(&script, Ask::default());
+        let played = play_with_options(&script, RunOptions::default());
         let wall = begin.elapsed().as_secs_f64();
         let asked = played.report.service.asked as f64;
         let figure = |name: &str| -> f64 {
--- a/crates/craneknot-model/examples/weights.rs
+++ b/crates/craneknot-model/examples/weights.rs
@@ -4,7 +4,7 @@
 //!     cargo run --release -p craneknot-model --example weights -- large   # 1,000 servers, one seed
 
 use craneknot_model::bound;
-use craneknot_model::world::{play_whole, Ask};
+use craneknot_model::world::{play_with_options, RunOptions};
 use craneknot_rehearsal::script::{ProxyGroup, ServerGroup, Trouble, TroubleKind, Weights};
 use craneknot_rehearsal::Script;
 use craneknot_settings::{SolverSettings, Span};
@@ -69,7 +69,7 @@
         ] {
             let one = |seed: u64| {
                 let script = fleet(servers, fill, weights, solver, seed);
-                let played = play_whole(&script, Ask::default());
+                let played = play_with_options(&script, RunOptions::default());
                 let bound = match servers {
                     0..=100 => bound::service(&script, played.begin, &played.asked).unwrap_or(f64::NAN),
                     _ => f64::NAN,
--- a/crates/craneknot-model/src/experiment.rs
+++ b/crates/craneknot-model/src/experiment.rs
@@ -14,7 +14,7 @@
 use crate::baseline::Who;
 use crate::bound;
 use crate::hosted::Build;
-use crate::world::{play_whole, Ask, Cost};
+use crate::world::{play_with_options, Cost, RunOptions};
 
 pub const FORMAT: &str = "craneknot-outcome-1";
 
@@ -244,8 +244,8 @@
 
 const BATCH: usize = 4; // runs begun at once; the same on every machine, since it decides how many are played
 
-fn single(script: &Script, ask: Ask, baselines: bool) -> Single {
-    let played = play_whole(script, ask);
+fn single(script: &Script, ask: RunOptions, baselines: bool) -> Single {
+    let played = play_with_options(script, ask);
     let mut single = Single::of(script, &played.report);
     single.cost = ask.cost.then(|| CostFigures::of(&played.cost)).flatten();
     if let Some(cause) = &played.fault {
@@ -253,7 +253,8 @@
     }
     if baselines {
         for who in Who::BASELINES {
-            let played = play_whole(script, Ask { who, build: None, cost: false, ..ask });
+            let played =
+                play_with_options(script, RunOptions { selector: who, build: None, cost: false, ..ask });
             single.beside.insert(who.title().to_owned(), played.report.service.service);
             let fell =
                 played.records.iter().filter(|record| matches!(record.what, What::Fell { .. })).count();
@@ -300,14 +301,14 @@
 /// The build's name, where it is not this program's own.
 fn told(build: &Build) -> Option<String> {
     match build {
-        Build::Own | Build::OwnCoarse => None,
+        Build::Own | Build::OwnQuantized => None,
         Build::Hosted(program) => Some(program.display().to_string()),
     }
 }
 
 /// Plays the script with one seed after another until the bars are narrow enough.
 pub fn run(script: &Script, build: &Build, asked: Asked, mut progress: impl FnMut(&Single)) -> Outcome {
-    let ask = Ask { build: Some(build), cost: asked.cost, ..Ask::default() };
+    let ask = RunOptions { build: Some(build), cost: asked.cost, ..RunOptions::default() };
     let one = |number| single(&seeded(script, number), ask, asked.baselines);
     let report = |batch: &[Single]| batch.iter().for_each(&mut progress);
     let singles = runs(asked, one, |single| single.service, report);
@@ -330,13 +331,13 @@
     let other = Script { seed: one.seed, ..other.clone() };
     let coarse = [first, second].iter().any(|build| matches!(build, Build::Hosted(_)));
     let as_told = |build: &Build| match build {
-        Build::Own if coarse => Build::OwnCoarse,
-        Build::Own | Build::OwnCoarse | Build::Hosted(_) => build.clone(),
+        Build::Own if coarse => Build::OwnQuantized,
+        Build::Own | Build::OwnQuantized | Build::Hosted(_) => build.clone(),
     };
     let (first, second) = (as_told(first), as_told(second));
     let both = |number| {
         let play = |script: &Script, build: &Build| {
-            let ask = Ask { build: Some(build), cost: asked.cost, ..Ask::default() };
+            let ask = RunOptions { build: Some(build), cost: asked.cost, ..RunOptions::default() };
             single(&seeded(script, number), ask, asked.baselines)
         };
         (play(one, &first), play(&other, &second))
@@ -425,7 +426,7 @@
     for (cell, script) in cells.into_iter().zip(scripts) {
         let name =
             cell.iter().map(|(pointer, value)| format!("{pointer}={value}")).collect::<Vec<_>>().join(" ");
-        let ask = Ask { cost: asked.cost, ..Ask::default() };
+        let ask = RunOptions { cost: asked.cost, ..RunOptions::default() };
         let one = |number| single(&seeded(&script, number), ask, asked.baselines);
         let told = |batch: &[Single]| batch.iter().for_each(|single| progress(&name, single));
         let singles = runs(asked, one, |single| single.service, told);
@@ -457,7 +458,7 @@
     let one = |number: u64| {
         // Far from the seeds of whole days, so that no replay is by chance the recorded day itself.
         let chance = (number + 1) << 32;
-        let ask = Ask { arrivals: Some(&arrivals), chance, ..Ask::default() };
+        let ask = RunOptions { arrivals: Some(&arrivals), seed_xor: chance, ..RunOptions::default() };
         Single { seed: chance, ..single(script, ask, asked.baselines) }
     };
     let told = |batch: &[Single]| batch.iter().for_each(&mut progress);
--- a/crates/craneknot-model/src/feed.rs
+++ b/crates/craneknot-model/src/feed.rs
@@ -113,7 +113,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::world::{play_whole, Ask};
+    use crate::world::{play_with_options, RunOptions};
     use craneknot_rehearsal::script::{Trouble, TroubleKind};
 
     fn script() -> Script {
@@ -136,7 +136,7 @@
             server_kind: None,
             unlisted: false,
         }];
-        let played = play_whole(&script, Ask { ledgers: true, ..Ask::default() });
+        let played = play_with_options(&script, RunOptions { ledgers: true, ..RunOptions::default() });
         assert_eq!(played.ledgers.len(), script.coordinators as usize);
         let fed = recording(&played.ledgers, &script, 1).unwrap();
         let true_count = played.asked.len() as f64;
@@ -159,7 +159,7 @@
     #[test]
     fn other_fleets_and_empty_ledgers_are_refused_with_a_cause() {
         let script = script();
-        let played = play_whole(&script, Ask { ledgers: true, ..Ask::default() });
+        let played = play_with_options(&script, RunOptions { ledgers: true, ..RunOptions::default() });
         let mut other = script.clone();
         other.zones[0] = "elsewhere".to_owned();
         assert!(recording(&played.ledgers, &other, 1).unwrap_err().contains("zone"));
--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -221,7 +221,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::world::{play_whole, Ask, ROUND_TRIP};
+    use crate::world::{play_with_options, RunOptions, ROUND_TRIP};
     use craneknot_rehearsal::script::{Trouble, TroubleKind};
 
     /// The model's own recording gives back what it was played with.
@@ -240,7 +240,7 @@
             unlisted: false,
         };
         script.troubles = (0..12).map(|k| deploy(2_000 + 12_000 * k)).collect();
-        let played = play_whole(&script, Ask::default());
+        let played = play_with_options(&script, RunOptions::default());
         let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
         let true_work = script.clients.demand.clone();
         // The recording's own script is no help.
@@ -266,7 +266,7 @@
     #[test]
     fn a_recording_with_nothing_in_it_says_so() {
         let script = Script::built_in().unwrap();
-        let played = play_whole(&script, Ask::default());
+        let played = play_with_options(&script, RunOptions::default());
         let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
         recording.lines.clear();
         assert!(fit(&recording, ROUND_TRIP).unwrap_err().contains("nothing can be fitted"));
--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -2,7 +2,7 @@
 //! lines as the simulator of the users does. So two builds of the decisions meet the same days.
 //!
 //! The lines carry moments in microseconds and no names of ours: zones, kinds and classes go by their places. What comes from
-//! this program's own decisions in [`Coarse`] is rounded alike, so that the same build in either form plays the same day to the
+//! this program's own decisions in [`Quantized`] is rounded alike, so that the same build in either form plays the same day to the
 //! last digit.
 
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
@@ -27,7 +27,7 @@
     #[default]
     Own,
     /// This program's, told moments and figures as coarsely as a hosted build is.
-    OwnCoarse,
+    OwnQuantized,
     /// Those of a wirehost, the path of its program.
     Hosted(PathBuf),
 }
@@ -53,7 +53,7 @@
     pub fn start(&self, settings: &Settings, seed: u64, now: Nanos, fault: &Fault) -> Box<dyn Decide> {
         match self {
             Build::Own => Box::new(Controller::new(settings.clone(), seed, now)),
-            Build::OwnCoarse => Box::new(Coarse(Controller::new(settings.clone(), seed, micros(now)))),
+            Build::OwnQuantized => Box::new(Quantized(Controller::new(settings.clone(), seed, micros(now)))),
             Build::Hosted(program) => match Hosted::start(program, settings, seed, now, fault.clone()) {
                 Ok(hosted) => Box::new(hosted),
                 Err(cause) => {
@@ -75,9 +75,9 @@
 }
 
 /// This program's decisions, told as coarsely as the lines of JSON tell.
-pub struct Coarse(Controller);
+pub struct Quantized(Controller);
 
-impl Decide for Coarse {
+impl Decide for Quantized {
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order> {
         let events: Vec<Event> = events.iter().filter_map(coarse).collect();
         let orders = self.0.step(micros(now), &events).into_iter();
--- a/crates/craneknot-model/src/hunt.rs
+++ b/crates/craneknot-model/src/hunt.rs
@@ -11,7 +11,7 @@
 use rayon::prelude::*;
 
 use crate::bound;
-use crate::world::{self, Ask};
+use crate::world::{self, RunOptions};
 
 const KINDS: [TroubleKind; 22] = [
     TroubleKind::Burst,
@@ -67,7 +67,7 @@
 
 impl Day {
     fn play(script: Script) -> Self {
-        let played = world::play_whole(&script, Ask::default());
+        let played = world::play_with_options(&script, RunOptions::default());
         let most = bound::service(&script, played.begin, &played.asked).unwrap_or(1.0);
         let behind = most - played.report.service.service;
         let badness = Badness { broken: !played.report.passed(), behind };
--- a/crates/craneknot-model/src/plot.rs
+++ b/crates/craneknot-model/src/plot.rs
@@ -188,7 +188,7 @@
 
 /// The charts of a recording.
 pub fn of_recording(recording: &Recording) -> Result<Vec<String>, String> {
-    let line = Timeline::of(recording);
+    let line = Timeline::from_recording(recording);
     Ok(vec![
         over_time(
             &line,
@@ -306,7 +306,7 @@
     use super::*;
     use crate::experiment::{run, sweep, Asked};
     use crate::hosted::Build;
-    use crate::world::{play_whole, Ask};
+    use crate::world::{play_with_options, RunOptions};
     use craneknot_rehearsal::Script;
     use craneknot_settings::Span;
 
@@ -314,7 +314,7 @@
     fn a_page_holds_a_chart_for_everything_and_nothing_from_outside() {
         let script =
             Script { length: Span::millis(6_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
-        let played = play_whole(&script, Ask::default());
+        let played = play_with_options(&script, RunOptions::default());
         let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
         let asked = Asked { least: 2, most: 2, narrow: 1.0, baselines: true, cost: true };
         let one = run(&script, &Build::Own, asked, |_| {});
--- a/crates/craneknot-model/src/timeline.rs
+++ b/crates/craneknot-model/src/timeline.rs
@@ -46,7 +46,7 @@
 const MICROS: i64 = 1_000_000; // in a second
 
 impl Timeline {
-    pub fn of(recording: &Recording) -> Self {
+    pub fn from_recording(recording: &Recording) -> Self {
         let script = &recording.head.script;
         let count = script.length.0.secs().ceil() as usize;
         let mut line = Timeline { seconds: vec![Second::default(); count], ..Timeline::default() };
@@ -104,15 +104,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::world::{play_whole, Ask};
+    use crate::world::{play_with_options, RunOptions};
     use craneknot_rehearsal::Script;
 
     #[test]
     fn the_seconds_add_up_to_the_report() {
         let script = Script::built_in().unwrap();
-        let played = play_whole(&script, Ask::default());
+        let played = play_with_options(&script, RunOptions::default());
         let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
-        let line = Timeline::of(&recording);
+        let line = Timeline::from_recording(&recording);
         let sum = |of: fn(&Second) -> u64| line.seconds.iter().map(of).sum::<u64>();
         let service = &played.report.service;
         assert_eq!(sum(|second| u64::from(second.asked)), service.asked);
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -209,7 +209,7 @@
         if self.stalled[coordinator] {
             return self.set(self.now + STILL, Event::Reported { proxy, coordinator, report });
         }
-        if self.ask.cost {
+        if self.options.cost {
             // Classes of one report tell of one span.
             let closed = report.node.as_ref().and_then(|node| node.metadata.get(CLOSED_AT)?.as_u64());
             let span =
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -12,13 +12,13 @@
         let mut settings = coordinator_settings(self.script, coordinator);
         // Datagrams go by the members' names here; their places say nothing.
         let places: Vec<SocketAddr> = (0..self.desks.len()).map(member_address).collect();
-        settings.ledger = self.ask.ledgers.then(|| LedgerSettings::at("ledger.gz"));
+        settings.ledger = self.options.ledgers.then(|| LedgerSettings::at("ledger.gz"));
         let shared = self.script.shared.as_ref();
         settings.shared = shared
             .map(|shared| shared_settings(coordinator, &places, member_address(coordinator), shared.lease));
-        let seed = settings.seed.unwrap_or(0) ^ self.ask.chance;
+        let seed = settings.seed.unwrap_or(0) ^ self.options.seed_xor;
         let own = Build::Own;
-        let (build, fault, now) = (self.ask.build.unwrap_or(&own), &self.fault, self.now);
+        let (build, fault, now) = (self.options.build.unwrap_or(&own), &self.fault, self.now);
         let mut desk = Desk::deciding(&settings, now, |decisions| build.start(decisions, seed, now, fault));
         if settings.shared.is_some() {
             let disk = &self.disks[coordinator];
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn raise_desk(&mut self, coordinator: usize) {
-        if self.desks[coordinator].is_none() && self.ask.who == Who::Ours {
+        if self.desks[coordinator].is_none() && self.options.selector == Who::Ours {
             self.start_desk(coordinator);
         }
     }
@@ -112,7 +112,7 @@
         let begun = Instant::now();
         let (flushes, steps) = (desk.flushes_at() <= self.now, desk.steps());
         let outputs = desk.turn(self.now);
-        if self.ask.cost {
+        if self.options.cost {
             if desk.steps() > steps {
                 self.cost.turns.push(begun.elapsed());
             }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -97,7 +97,7 @@
         to: usize,
     },
     NextOperation,
-    Ask(Box<Operation>),
+    ClientAttempt(Box<Operation>),
     Arrive(u64),
     Done {
         server: usize,
@@ -207,7 +207,7 @@
     roster: Option<Vec<u8>>,
     rng: Pcg32,
     log: Log,
-    ask: Ask<'a>,
+    options: RunOptions<'a>,
     /// Known arrivals that have come.
     given: usize,
     /// What was asked for, whatever became of it.
@@ -252,14 +252,14 @@
 
 /// How a script is to be played.
 #[derive(Clone, Copy, Default)]
-pub struct Ask<'a> {
+pub struct RunOptions<'a> {
     /// Who picks the servers.
-    pub who: Who,
+    pub selector: Who,
     /// Moments since the first operation could come, classes and zones of operations that are known to have come;
     /// nothing: they are drawn.
     pub arrivals: Option<&'a [(Nanos, usize, usize)]>,
     /// Draws all but the troubles anew, whose draw is by the script's seed alone.
-    pub chance: u64,
+    pub seed_xor: u64,
     /// Whose decisions are played; nothing: this program's.
     pub build: Option<&'a Build>,
     /// Whether the cost of turns and the age of what they know are kept; they are no part of the report, since clocks
@@ -271,11 +271,11 @@
 
 /// Plays a script.
 pub fn play(script: &Script) -> Report {
-    play_whole(script, Ask::default()).report
+    play_with_options(script, RunOptions::default()).report
 }
 
 /// A run and all that was seen in it.
-pub struct Played {
+pub struct RunResult {
     pub report: Report,
     pub records: Vec<Record>,
     pub asked: Vec<Asked>,
@@ -298,16 +298,16 @@
 }
 
 /// Plays a script as asked.
-pub fn play_whole(script: &Script, ask: Ask) -> Played {
+pub fn play_with_options(script: &Script, options: RunOptions) -> RunResult {
     let plan = Plan::draw(script);
     let terms = terms(script, &plan);
     let begin = START + FIRST_TABLES;
-    let Some(caller) = Caller::new(script, script.seed ^ ask.chance ^ 0xca11) else {
+    let Some(caller) = Caller::new(script, script.seed ^ options.seed_xor ^ 0xca11) else {
         let report = Report::new(script, 0.0, auditor::judge(&terms, &[]), Vec::new());
         let (records, asked, cost) = (Vec::new(), Vec::new(), Cost::default());
-        return Played { report, records, asked, begin, fault: None, cost, ledgers: Vec::new() };
+        return RunResult { report, records, asked, begin, fault: None, cost, ledgers: Vec::new() };
     };
-    let mut world = World::new(script, plan, caller, ask);
+    let mut world = World::new(script, plan, caller, options);
     let (stop, end) = (world.begin + script.length.0, world.begin + script.length.0 + SETTLE);
     world.run(stop, end);
     let status = world.desks.iter().flatten().map(|desk| serde_json::json!(desk.status(world.now))).collect();
@@ -316,12 +316,20 @@
     let report = Report::new(script, script.length.0.secs(), judgement, status);
     let ledgers =
         world.desks.iter_mut().flatten().filter_map(|desk| desk.ledger().map(Ledger::finish)).collect();
-    Played { report, records, asked: world.asked, begin, fault: world.fault.get(), cost: world.cost, ledgers }
+    RunResult {
+        report,
+        records,
+        asked: world.asked,
+        begin,
+        fault: world.fault.get(),
+        cost: world.cost,
+        ledgers,
+    }
 }
 
 impl<'a> World<'a> {
-    fn new(script: &'a Script, plan: Plan, caller: Caller, ask: Ask<'a>) -> Self {
-        let chance = script.seed ^ ask.chance;
+    fn new(script: &'a Script, plan: Plan, caller: Caller, options: RunOptions<'a>) -> Self {
+        let chance = script.seed ^ options.seed_xor;
         let classes: Vec<String> = script.classes.iter().map(|class| class.name.clone()).collect();
         let server = |(place, planned): (usize, &ServerPlan)| {
             let make = plan.make(script, place);
@@ -385,7 +393,7 @@
             roster: None,
             rng: Pcg32::seed_from_u64(chance ^ 0x30de1),
             log: Log::default(),
-            ask,
+            options,
             given: 0,
             asked: Vec::new(),
             late: Vec::new(),
@@ -398,7 +406,7 @@
             plan,
         };
         world.list();
-        if ask.who == Who::Ours {
+        if options.selector == Who::Ours {
             // Coordinators stand before the first agent dials, each since a moment of its own: else what they look at and when
             // would stand in step with troubles.
             for coordinator in 0..count {
@@ -494,7 +502,7 @@
                 }
                 self.plan_next(due, stop);
             }
-            Event::Ask(operation) => self.ask(*operation),
+            Event::ClientAttempt(operation) => self.ask(*operation),
             Event::Arrive(number) => self.arrive(number),
             Event::Done { server, life, job } => self.done(server, life, job),
             Event::Ended { number, tried } => self.ended(number, tried),
--- a/crates/craneknot-model/src/world/operations.rs
+++ b/crates/craneknot-model/src/world/operations.rs
@@ -4,7 +4,7 @@
 
 impl World<'_> {
     pub(super) fn plan_next(&mut self, now: Nanos, stop: Nanos) {
-        let (at, operation) = match self.ask.arrivals {
+        let (at, operation) = match self.options.arrivals {
             None => self.caller.next(now, self.factor),
             Some(arrivals) => {
                 let Some((at, class, zone)) = arrivals.get(self.given).copied() else { return };
@@ -53,7 +53,7 @@
         let class = operation.class;
         self.tries.insert(number, Try { operation, proxy, tried: Vec::new(), until, sent, done: true });
         let held = &mut self.proxies[proxy];
-        let admitted = match self.ask.who {
+        let admitted = match self.options.selector {
             Who::Ours => held.chooser.admit(self.now, class),
             Who::Random | Who::LeastLoaded | Who::TwoChoices => Ok(()),
         };
@@ -105,7 +105,7 @@
 
     /// A server for a try: by the proxy's files, or as a baseline has it.
     fn choose(&mut self, proxy: usize, class: usize, tried: &[usize]) -> Option<usize> {
-        if self.ask.who == Who::Ours {
+        if self.options.selector == Who::Ours {
             return self.proxies[proxy].chooser.pick(self.now, class, tried).ok();
         }
         let rules = &self.script.classes[class];
@@ -128,7 +128,7 @@
                 kept_away: self.proxies[proxy].chooser.keeps_away(self.now, server),
             });
         }
-        baseline::choose(self.ask.who, &seen, &mut self.rng)
+        baseline::choose(self.options.selector, &seen, &mut self.rng)
     }
 
     /// Operations in hand for what a server can do now.
@@ -232,7 +232,7 @@
         let Some(mut operation) = self.clients.remove(&number) else { return };
         if let Next::Again { at } = self.caller.after(self.now, &operation, answer) {
             operation.attempt += 1;
-            return self.set(at, Event::Ask(Box::new(operation)));
+            return self.set(at, Event::ClientAttempt(Box::new(operation)));
         }
         let took = self.now - operation.asked;
         let how = match answer {
--- a/crates/craneknot-model/tests/closed_form.rs
+++ b/crates/craneknot-model/tests/closed_form.rs
@@ -5,13 +5,13 @@
 use craneknot::interface::Nanos;
 use craneknot_model::baseline::Who;
 use craneknot_model::experiment::Estimate;
-use craneknot_model::world::{play_whole, Ask, Played, ROUND_TRIP};
+use craneknot_model::world::{play_with_options, RunOptions, RunResult, ROUND_TRIP};
 use craneknot_rehearsal::record::What;
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
 
 /// One server with so many cores, exponential work, and nothing that refuses or gives up.
-fn queue(cores: u16, load: f64, seed: u64) -> Played {
+fn queue(cores: u16, load: f64, seed: u64) -> RunResult {
     let mut script = Script::built_in().unwrap();
     (script.seed, script.length, script.troubles) = (seed, Span::millis(400_000), Vec::new());
     script.classes.truncate(1);
@@ -26,7 +26,7 @@
     script.clients.try_part = 1.0;
     script.clients.rate = load * f64::from(cores) / 0.020;
     script.habits.ejects = 0;
-    play_whole(&script, Ask { who: Who::Random, ..Ask::default() })
+    play_with_options(&script, RunOptions { selector: Who::Random, ..RunOptions::default() })
 }
 
 /// Mean time in the system of M/M/c by Erlang's formula, s.
@@ -38,7 +38,7 @@
     0.020 + waits * 0.020 / (c * (1.0 - load))
 }
 
-fn times(played: &Played) -> Vec<f64> {
+fn times(played: &RunResult) -> Vec<f64> {
     let took = |what: &What| match what {
         What::Tried { took, .. } => Some((*took).secs() - ROUND_TRIP.secs()),
         _ => None,
@@ -90,7 +90,7 @@
 fn each_operation_ends_once() {
     for (seed, who) in [(1, Who::Ours), (2, Who::Ours), (3, Who::Random), (4, Who::LeastLoaded)] {
         let script = Script { seed, ..Script::built_in().unwrap() };
-        let played = play_whole(&script, Ask { who, ..Ask::default() });
+        let played = play_with_options(&script, RunOptions { selector: who, ..RunOptions::default() });
         let mut open: BTreeMap<u64, u32> = BTreeMap::new();
         let mut up = vec![false; script.proxy_count()];
         for record in &played.records {
--- a/crates/craneknot-wirehost/tests/hosted.rs
+++ b/crates/craneknot-wirehost/tests/hosted.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use craneknot_model::hosted::Build;
-use craneknot_model::world::{play_whole, Ask};
+use craneknot_model::world::{play_with_options, RunOptions};
 use craneknot_rehearsal::script::{Trouble, TroubleKind};
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
@@ -37,8 +37,9 @@
     let hosted = Build::Hosted(PathBuf::from(env!("CARGO_BIN_EXE_craneknot-wirehost")));
     for seed in [1, 2] {
         let script = day(seed);
-        let play = |build| play_whole(&script, Ask { build: Some(build), ..Ask::default() });
-        let (own, other) = (play(&Build::OwnCoarse), play(&hosted));
+        let play =
+            |build| play_with_options(&script, RunOptions { build: Some(build), ..RunOptions::default() });
+        let (own, other) = (play(&Build::OwnQuantized), play(&hosted));
         assert_eq!(other.fault, None);
         assert_eq!(own.report.lines(), other.report.lines());
         assert!(own.report.service.asked > 1_000);
@@ -52,6 +53,6 @@
 #[test]
 fn a_build_that_ends_is_a_fault_of_the_run() {
     let build = Build::Hosted(PathBuf::from("/bin/true"));
-    let played = play_whole(&day(3), Ask { build: Some(&build), ..Ask::default() });
+    let played = play_with_options(&day(3), RunOptions { build: Some(&build), ..RunOptions::default() });
     assert!(played.fault.is_some());
 }
