--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -1,38 +1,38 @@
-//! Agents: they dial, ask, swap and report.
+//! Agents: connecting, requesting resources, swapping files and reporting load.
 
 use super::*;
 
 impl World<'_> {
-    pub(super) fn dial(&mut self, proxy: usize) {
-        let held = &mut self.proxies[proxy];
-        if !held.agent || held.dial.sign(self.now, Sign::Due) != Effect::Dial {
+    pub(super) fn dial_coordinator(&mut self, proxy: usize) {
+        let state = &mut self.proxies[proxy];
+        if !state.agent_up || state.dial.sign(self.now, Sign::Due) != Effect::Dial {
             return;
         }
-        let coordinator = held.order[held.dial.coordinator()];
-        if self.desks[coordinator].is_none() {
-            held.dial.sign(self.now, Sign::Lost);
-            let at = held.dial.next_at().unwrap_or(self.now);
-            return self.set(at, Event::Dial(proxy));
-        }
-        held.dial.sign(self.now, Sign::Connected);
-        self.next += 1;
-        let stream = StreamId(self.next);
-        held.stream = Some((coordinator, stream));
-        held.nonces.clear();
-        self.owners.insert(stream, proxy);
+        let coordinator = state.coordinator_order[state.dial.coordinator()];
+        if self.coordinators[coordinator].is_none() {
+            state.dial.sign(self.now, Sign::Lost);
+            let at = state.dial.next_at().unwrap_or(self.now);
+            return self.schedule(at, Event::Dial(proxy));
+        }
+        state.dial.sign(self.now, Sign::Connected);
+        self.next_id += 1;
+        let stream = StreamId(self.next_id);
+        state.stream = Some((coordinator, stream));
+        state.nonces.clear();
+        self.stream_proxies.insert(stream, proxy);
         self.log.add(self.now, What::Joined { proxy, coordinator });
-        Kind::ALL.into_iter().for_each(|kind| self.request(proxy, kind, None));
-        // After what joins the proxy: a report of one that is not known counts for nothing.
-        self.set(self.now + HOP, Event::SendReport { proxy, stream });
+        Kind::ALL.into_iter().for_each(|kind| self.send_request(proxy, kind, None));
+        // Scheduled after the requests that join the proxy: a report of an unknown proxy is ignored.
+        self.schedule(self.now + HOP, Event::SendReport { proxy, stream });
     }
 
-    pub(super) fn request(&mut self, proxy: usize, kind: Kind, refused: Option<Status>) {
+    pub(super) fn send_request(&mut self, proxy: usize, kind: Kind, refused: Option<Status>) {
         if let Some((coordinator, stream)) = self.proxies[proxy].stream {
-            self.set(self.now + HOP, Event::ToDesk { coordinator, stream, proxy, kind, refused });
+            self.schedule(self.now + HOP, Event::AgentRequest { coordinator, stream, proxy, kind, refused });
         }
     }
 
-    pub(super) fn desk_asked(
+    pub(super) fn agent_requested(
         &mut self,
         coordinator: usize,
         stream: StreamId,
@@ -44,184 +44,196 @@
             return;
         }
         if self.stalled[coordinator] {
-            return self.set(self.now + STILL, Event::ToDesk { coordinator, stream, proxy, kind, refused });
+            return self.schedule(
+                self.now + STALL_RECHECK,
+                Event::AgentRequest { coordinator, stream, proxy, kind, refused },
+            );
         }
-        let held = &self.proxies[proxy];
+        let state = &self.proxies[proxy];
         let usual = self.script.clients.rate / self.proxies.len() as f64;
         let asked = DiscoveryRequest {
-            version_info: held.holding.version(kind).text(),
-            // Once a stream, as the agent does.
-            node: (!held.nonces.contains_key(&kind)).then(|| Node {
+            version_info: state.holding.version(kind).text(),
+            // Sent once per stream, as the agent does.
+            node: (!state.nonces.contains_key(&kind)).then(|| Node {
                 id: format!("proxy-{proxy}"),
                 locality: Locality::zone(&self.plan.proxy_zones[proxy]),
                 metadata: BTreeMap::from([
                     ("usual_rate".to_owned(), usual.into()),
-                    ("bound".to_owned(), serde_json::json!(held.holding.bound())),
-                    ("prints".to_owned(), serde_json::json!(held.holding.prints())),
+                    ("bound".to_owned(), serde_json::json!(state.holding.bound())),
+                    ("prints".to_owned(), serde_json::json!(state.holding.prints())),
                 ]),
                 ..Node::default()
             }),
             type_url: kind.type_url().to_owned(),
-            response_nonce: held.nonces.get(&kind).cloned().unwrap_or_default(),
+            response_nonce: state.nonces.get(&kind).cloned().unwrap_or_default(),
             error_detail: refused,
             ..DiscoveryRequest::default()
         };
-        if let Some(desk) = &mut self.desks[coordinator] {
+        if let Some(desk) = &mut self.coordinators[coordinator] {
             let answer = desk.ask(self.now, stream, kind, asked);
-            self.wake_desk(coordinator);
+            self.wake_coordinator(coordinator);
             match answer {
                 Ok(_) => {}
-                Err(Refused::Elsewhere(to)) => self.point_to(stream, &to),
-                Err(_) => self.soon(Event::Lost { proxy, stream }),
+                Err(Refused::Elsewhere(to)) => self.redirect_agent(stream, &to),
+                Err(_) => self.schedule_after_hop(Event::StreamLost { proxy, stream }),
             }
         }
     }
 
-    pub(super) fn agent_told(
+    pub(super) fn agent_received(
         &mut self,
         proxy: usize,
         stream: StreamId,
         kind: Kind,
         response: Option<Box<DiscoveryResponse>>,
     ) {
-        let held = &mut self.proxies[proxy];
-        if held.stream.is_none_or(|(_, of)| of != stream) {
+        let state = &mut self.proxies[proxy];
+        if state.stream.is_none_or(|(_, of)| of != stream) {
             return;
         }
-        if held.stalled_until > self.now {
-            let at = held.stalled_until;
-            return self.set(at, Event::ToAgent { proxy, stream, kind, response });
+        if state.stalled_until > self.now {
+            let at = state.stalled_until;
+            return self.schedule(at, Event::AgentResponse { proxy, stream, kind, response });
         }
-        held.dial.sign(self.now, Sign::Heard);
-        let Some(response) = response else { return self.request(proxy, kind, None) };
-        held.nonces.insert(kind, response.nonce.clone());
-        match held.holding.weigh(kind, &response) {
+        state.dial.sign(self.now, Sign::Heard);
+        let Some(response) = response else { return self.send_request(proxy, kind, None) };
+        state.nonces.insert(kind, response.nonce.clone());
+        match state.holding.weigh(kind, &response) {
             Ok(Verdict::Swap(staged)) => {
                 let mut next = Some(staged);
                 while let Some(staged) = next.take() {
-                    let held = &mut self.proxies[proxy];
+                    let state = &mut self.proxies[proxy];
                     let (kind, text) = (staged.kind, staged.text.clone());
-                    next = held.holding.commit(staged);
+                    next = state.holding.commit(staged);
                     let server = |text: &str| self.addresses.server(text);
-                    match held.chooser.take_up(kind, text.as_bytes(), &server) {
+                    match state.chooser.take_up(kind, text.as_bytes(), &server) {
                         Ok(()) => {
-                            let (lines, epoch) = (held.chooser.lines(), held.chooser.epoch());
+                            let (lines, epoch) = (state.chooser.lines(), state.chooser.epoch());
                             self.log.add(self.now, What::Swapped { proxy, lines, epoch });
                         }
                         Err(fault) => self.log.add(self.now, What::Torn { proxy, cause: fault.to_string() }),
                     }
-                    self.request(proxy, kind, None);
+                    self.send_request(proxy, kind, None);
                 }
             }
             Ok(Verdict::Warming { .. }) => {}
-            Err(status) => self.request(proxy, kind, Some(status)),
+            Err(status) => self.send_request(proxy, kind, Some(status)),
         }
     }
 
     pub(super) fn end_stream(&mut self, proxy: usize) {
         let Some((coordinator, stream)) = self.proxies[proxy].stream.take() else { return };
         self.proxies[proxy].unanswered = None;
-        self.under_way[proxy] = START;
-        self.owners.remove(&stream);
+        self.last_arrival_at[proxy] = START;
+        self.stream_proxies.remove(&stream);
         self.log.add(self.now, What::Left { proxy, coordinator });
-        if let Some(desk) = &mut self.desks[coordinator] {
+        if let Some(desk) = &mut self.coordinators[coordinator] {
             desk.leave(self.now, stream);
-            self.wake_desk(coordinator);
+            self.wake_coordinator(coordinator);
         }
     }
 
-    /// Tells a stream's agent which coordinator is in charge.
-    pub(super) fn point_to(&mut self, stream: StreamId, to: &str) {
-        let Some(proxy) = self.owners.get(&stream).copied() else { return };
+    /// Redirects a stream's agent to the leading coordinator.
+    pub(super) fn redirect_agent(&mut self, stream: StreamId, to: &str) {
+        let Some(proxy) = self.stream_proxies.get(&stream).copied() else { return };
         if let Some(to) = coordinator_named(to) {
-            self.set(self.now + HOP, Event::SentOn { proxy, stream, to });
+            self.schedule(self.now + HOP, Event::AgentRedirected { proxy, stream, to });
         }
     }
 
-    pub(super) fn sent_on(&mut self, proxy: usize, stream: StreamId, to: usize) {
+    pub(super) fn agent_redirected(&mut self, proxy: usize, stream: StreamId, to: usize) {
         if self.proxies[proxy].stream.is_none_or(|(_, of)| of != stream) {
             return;
         }
         self.end_stream(proxy);
-        let held = &mut self.proxies[proxy];
-        held.waits.forget_under_way();
-        let place = held.order.iter().position(|coordinator| *coordinator == to).unwrap_or(usize::MAX);
-        held.dial.send_to(self.now, place);
-        let at = held.dial.next_at().unwrap_or(self.now);
-        self.set(at, Event::Dial(proxy));
+        let state = &mut self.proxies[proxy];
+        state.unsent_totals.forget_under_way();
+        let place =
+            state.coordinator_order.iter().position(|coordinator| *coordinator == to).unwrap_or(usize::MAX);
+        state.dial.send_to(self.now, place);
+        let at = state.dial.next_at().unwrap_or(self.now);
+        self.schedule(at, Event::Dial(proxy));
     }
 
     pub(super) fn redial(&mut self, proxy: usize) {
-        let held = &mut self.proxies[proxy];
-        let before = held.dial.coordinator();
-        if held.dial.state() != State::Resting {
-            held.dial.sign(self.now, Sign::Lost);
+        let state = &mut self.proxies[proxy];
+        let before = state.dial.coordinator();
+        if state.dial.state() != State::Resting {
+            state.dial.sign(self.now, Sign::Lost);
         }
-        if held.dial.coordinator() != before {
-            held.waits.forget_under_way();
+        if state.dial.coordinator() != before {
+            state.unsent_totals.forget_under_way();
         }
-        let at = held.dial.next_at().unwrap_or(self.now);
-        self.set(at, Event::Dial(proxy));
+        let at = state.dial.next_at().unwrap_or(self.now);
+        self.schedule(at, Event::Dial(proxy));
     }
 
-    /// The proxy tells its agent what it met since the last time.
-    pub(super) fn report(&mut self, proxy: usize) {
-        self.set(self.now + self.script.report_period.0, Event::Report(proxy));
-        let held = &mut self.proxies[proxy];
-        if !held.agent || !held.up || held.stalled_until > self.now {
+    /// The proxy reports to its agent the load since its last report.
+    pub(super) fn proxy_report(&mut self, proxy: usize) {
+        self.schedule(self.now + self.script.report_period.0, Event::ProxyReport(proxy));
+        let state = &mut self.proxies[proxy];
+        if !state.agent_up || !state.up || state.stalled_until > self.now {
             return;
         }
-        let interval = Seconds((self.now - held.sums_since).secs());
-        held.sums_since = self.now;
-        let sums = std::mem::take(&mut held.sums);
+        let interval = Seconds((self.now - state.totals_since).secs());
+        state.totals_since = self.now;
+        let totals = std::mem::take(&mut state.totals);
         let place =
-            |server: usize| (self.addresses.of(server), self.plan.servers[server].group.zone.as_str());
-        let cluster_stats = sums.report(interval, &self.script.classes, &place);
-        self.proxies[proxy].waits.add(&LoadStatsRequest { node: None, cluster_stats });
+            |server: usize| (self.addresses.address(server), self.plan.servers[server].group.zone.as_str());
+        let cluster_stats = totals.report(interval, &self.script.classes, &place);
+        self.proxies[proxy].unsent_totals.add(&LoadStatsRequest { node: None, cluster_stats });
     }
 
-    /// The agent sends what waits, or what was not answered; a coordinator that leaves a report unanswered is gone.
+    /// The agent sends the pending load report unless an earlier one is unanswered. A coordinator that leaves a report
+    /// unanswered for `SILENT` is considered lost.
     pub(super) fn send_report(&mut self, proxy: usize, stream: StreamId) {
-        let held = &mut self.proxies[proxy];
-        let Some((coordinator, _)) = held.stream.filter(|(_, of)| *of == stream) else { return };
-        match held.unanswered {
+        let state = &mut self.proxies[proxy];
+        let Some((coordinator, _)) = state.stream.filter(|(_, of)| *of == stream) else { return };
+        match state.unanswered {
             Some(since) if self.now - since >= SILENT => {
                 self.end_stream(proxy);
                 return self.redial(proxy);
             }
             Some(_) => {}
             None => {
-                let (closed, cluster_stats) = held.waits.close(self.now);
-                held.unanswered = Some(self.now);
+                let (closed, cluster_stats) = state.unsent_totals.close(self.now);
+                state.unanswered = Some(self.now);
                 let metadata = BTreeMap::from([(CLOSED_AT.to_owned(), closed.into())]);
                 let node = Some(Node { id: format!("proxy-{proxy}"), metadata, ..Node::default() });
                 let report = Box::new(LoadStatsRequest { node, cluster_stats });
-                self.soon(Event::Reported { proxy, coordinator, report });
+                self.schedule_after_hop(Event::ReportReceived { proxy, coordinator, report });
             }
         }
-        self.set(self.now + self.script.report_period.0, Event::SendReport { proxy, stream });
+        self.schedule(self.now + self.script.report_period.0, Event::SendReport { proxy, stream });
     }
 
-    pub(super) fn reported(&mut self, proxy: usize, coordinator: usize, report: Box<LoadStatsRequest>) {
+    pub(super) fn report_received(
+        &mut self,
+        proxy: usize,
+        coordinator: usize,
+        report: Box<LoadStatsRequest>,
+    ) {
         if self.proxies[proxy].stream.is_none_or(|(of, _)| of != coordinator) {
             return;
         }
         if self.stalled[coordinator] {
-            return self.set(self.now + STILL, Event::Reported { proxy, coordinator, report });
+            return self
+                .schedule(self.now + STALL_RECHECK, Event::ReportReceived { proxy, coordinator, report });
         }
         if self.options.cost {
-            // Classes of one report tell of one span.
+            // All classes of one report cover the same interval.
             let closed = report.node.as_ref().and_then(|node| node.metadata.get(CLOSED_AT)?.as_u64());
             let span =
                 report.cluster_stats.iter().map(|class| class.load_report_interval.0).fold(0.0, f64::max);
-            let middle = |closed: u64| Nanos(closed.saturating_mul(1_000_000)) - Nanos::from_secs(span / 2.0);
-            self.untaken[coordinator].extend(closed.filter(|_| span > 0.0).map(middle));
+            let midpoint =
+                |closed: u64| Nanos(closed.saturating_mul(1_000_000)) - Nanos::from_secs(span / 2.0);
+            self.pending_reports[coordinator].extend(closed.filter(|_| span > 0.0).map(midpoint));
         }
-        if let Some(desk) = &mut self.desks[coordinator] {
+        if let Some(desk) = &mut self.coordinators[coordinator] {
             let _ = desk.report(self.now, &report);
             self.proxies[proxy].unanswered = None;
-            self.proxies[proxy].waits.answered();
-            self.wake_desk(coordinator);
+            self.proxies[proxy].unsent_totals.answered();
+            self.wake_coordinator(coordinator);
         }
     }
 }
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -1,21 +1,22 @@
-//! Coordinators: their desks' turns, probes, the list, and in a shared fleet their datagrams.
+//! Coordinators: turns, probes, the list of servers, and datagrams in a shared fleet.
 
 use super::*;
 
-/// Where a coordinator's datagrams go, for its settings.
+/// A coordinator's datagram address, for its settings.
 fn member_address(coordinator: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 10_000 + coordinator as u16))
 }
 
 impl World<'_> {
-    pub(super) fn start_desk(&mut self, coordinator: usize) {
+    pub(super) fn start_coordinator(&mut self, coordinator: usize) {
         let mut settings = coordinator_settings(self.script, coordinator);
-        // Datagrams go by the members' names here; their places say nothing.
-        let places: Vec<SocketAddr> = (0..self.desks.len()).map(member_address).collect();
+        // The simulation routes datagrams by members' names; the addresses are placeholders.
+        let addresses: Vec<SocketAddr> = (0..self.coordinators.len()).map(member_address).collect();
         settings.ledger = self.options.ledgers.then(|| LedgerSettings::at("ledger.gz"));
         let shared = self.script.shared.as_ref();
-        settings.shared = shared
-            .map(|shared| shared_settings(coordinator, &places, member_address(coordinator), shared.lease));
+        settings.shared = shared.map(|shared| {
+            shared_settings(coordinator, &addresses, member_address(coordinator), shared.lease)
+        });
         let seed = settings.seed.unwrap_or(0) ^ self.options.seed_xor;
         let own = Build::Own;
         let (build, fault, now) = (self.options.build.unwrap_or(&own), &self.fault, self.now);
@@ -28,26 +29,27 @@
                 let _ = desk.remember(self.now, list);
             }
         }
-        if let Some(text) = &self.roster {
+        if let Some(text) = &self.list_text {
             let _ = desk.roster(self.now, text);
         }
-        self.desks[coordinator] = Some(desk);
+        self.coordinators[coordinator] = Some(desk);
         self.log.add(self.now, What::Coordinator { coordinator, up: true });
-        self.wake_desk(coordinator);
+        self.wake_coordinator(coordinator);
     }
 
-    /// The coordinator that says that it leads, in the latest term; the first that runs where none does.
+    /// The coordinator that claims to lead in the latest term, or the first running one if none does.
     pub(super) fn leader(&self) -> Option<usize> {
-        let runs = || self.desks.iter().enumerate().filter_map(|(place, desk)| Some((place, desk.as_ref()?)));
+        let runs =
+            || self.coordinators.iter().enumerate().filter_map(|(place, desk)| Some((place, desk.as_ref()?)));
         let leads = |(place, desk): (usize, &Desk)| Some((desk.leads()?, place));
         runs().filter_map(leads).max().map(|(_, place)| place).or(runs().next().map(|(place, _)| place))
     }
 
-    pub(super) fn kill_desk(&mut self, coordinator: usize) {
-        if self.desks[coordinator].take().is_none() {
+    pub(super) fn kill_coordinator(&mut self, coordinator: usize) {
+        if self.coordinators[coordinator].take().is_none() {
             return;
         }
-        self.unread[coordinator].clear();
+        self.held_datagrams[coordinator].clear();
         self.stalled[coordinator] = false;
         self.log.add(self.now, What::Coordinator { coordinator, up: false });
         for proxy in 0..self.proxies.len() {
@@ -58,128 +60,128 @@
         }
     }
 
-    pub(super) fn raise_desk(&mut self, coordinator: usize) {
-        if self.desks[coordinator].is_none() && self.options.selector == Who::Ours {
-            self.start_desk(coordinator);
+    pub(super) fn raise_coordinator(&mut self, coordinator: usize) {
+        if self.coordinators[coordinator].is_none() && self.options.selector == Who::Ours {
+            self.start_coordinator(coordinator);
         }
     }
 
-    pub(super) fn stall_desk(&mut self, coordinator: usize, on: bool) {
-        if self.desks[coordinator].is_none() {
+    pub(super) fn stall_coordinator(&mut self, coordinator: usize, on: bool) {
+        if self.coordinators[coordinator].is_none() {
             return;
         }
         self.stalled[coordinator] = on;
         self.log.add(self.now, What::Stalled { coordinator, on });
         if !on {
-            let texts = std::mem::take(&mut self.unread[coordinator]);
-            texts.iter().for_each(|text| self.mail(coordinator, text));
-            self.wake_desk(coordinator);
+            let texts = std::mem::take(&mut self.held_datagrams[coordinator]);
+            texts.iter().for_each(|text| self.receive_datagram(coordinator, text));
+            self.wake_coordinator(coordinator);
         }
     }
 
-    /// A datagram has come in at a coordinator.
-    pub(super) fn mail(&mut self, to: usize, text: &[u8]) {
+    /// Delivers a datagram to a coordinator, or keeps it while the coordinator is stalled.
+    pub(super) fn receive_datagram(&mut self, to: usize, text: &[u8]) {
         if self.stalled[to] {
-            return self.unread[to].push(text.to_vec());
+            return self.held_datagrams[to].push(text.to_vec());
         }
-        if let Some(desk) = &mut self.desks[to] {
+        if let Some(desk) = &mut self.coordinators[to] {
             let _ = desk.datagram(self.now, text);
-            self.wake_desk(to);
+            self.wake_coordinator(to);
         }
     }
 
-    fn post(&mut self, from: usize, to: &str, text: Vec<u8>) {
-        let Some(to) = coordinator_named(to).filter(|to| *to < self.desks.len()) else { return };
-        if !self.cuts.lose(from, to) {
-            self.soon(Event::Mail { to, text });
+    fn send_datagram(&mut self, from: usize, to: &str, text: Vec<u8>) {
+        let Some(to) = coordinator_named(to).filter(|to| *to < self.coordinators.len()) else { return };
+        if !self.network_cuts.lose(from, to) {
+            self.schedule_after_hop(Event::Datagram { to, text });
         }
     }
 
-    pub(super) fn wake_desk(&mut self, coordinator: usize) {
+    pub(super) fn wake_coordinator(&mut self, coordinator: usize) {
         let at = if self.stalled[coordinator] { Nanos(u64::MAX) } else { self.now };
-        if at < Nanos(u64::MAX) && self.desk_at[coordinator] != at {
-            self.desk_at[coordinator] = at;
-            self.set(at, Event::Desk(coordinator));
+        if at < Nanos(u64::MAX) && self.next_turn_at[coordinator] != at {
+            self.next_turn_at[coordinator] = at;
+            self.schedule(at, Event::CoordinatorTurn(coordinator));
         }
     }
 
-    pub(super) fn turn(&mut self, coordinator: usize) {
-        self.desk_at[coordinator] = Nanos(u64::MAX);
+    pub(super) fn coordinator_turn(&mut self, coordinator: usize) {
+        self.next_turn_at[coordinator] = Nanos(u64::MAX);
         if self.stalled[coordinator] {
             return;
         }
-        let Some(desk) = &mut self.desks[coordinator] else { return };
-        let begun = Instant::now();
+        let Some(desk) = &mut self.coordinators[coordinator] else { return };
+        let started = Instant::now();
         let (flushes, steps) = (desk.flushes_at() <= self.now, desk.steps());
         let outputs = desk.turn(self.now);
         if self.options.cost {
             if desk.steps() > steps {
-                self.cost.turns.push(begun.elapsed());
+                self.cost.turns.push(started.elapsed());
             }
             if flushes {
-                let middles = std::mem::take(&mut self.untaken[coordinator]);
-                self.cost.ages.extend(middles.into_iter().map(|middle| self.now - middle));
+                let midpoints = std::mem::take(&mut self.pending_reports[coordinator]);
+                self.cost.ages.extend(midpoints.into_iter().map(|midpoint| self.now - midpoint));
             }
         }
         let at = desk.next_at().max(self.now + Nanos(1_000));
-        self.desk_at[coordinator] = at;
-        self.set(at, Event::Desk(coordinator));
+        self.next_turn_at[coordinator] = at;
+        self.schedule(at, Event::CoordinatorTurn(coordinator));
         for output in outputs {
             match output {
                 Output::Answer { stream, answer, version } => {
-                    let Some(proxy) = self.owners.get(&stream).copied() else { continue };
+                    let Some(proxy) = self.stream_proxies.get(&stream).copied() else { continue };
                     let (kind, response) = match answer {
-                        Told::Unchanged { kind } => (kind, None),
-                        Told::Resources { kind, nonce, resources } => {
+                        StreamAnswer::Unchanged { kind } => (kind, None),
+                        StreamAnswer::Resources { kind, nonce, resources } => {
                             let text = body(kind, &version, nonce, resources).concat();
                             let Ok(response) = serde_json::from_slice(&text) else { continue };
                             (kind, Some(Box::new(response)))
                         }
                     };
-                    // In order on one connection: no spread.
+                    // Messages on one connection keep their order, so the delay has no random spread.
                     let slow = self.script.delays.map_or(Nanos(0), |delays| delays.draw(&mut self.rng));
-                    let at = (self.now + HOP + slow).max(self.under_way[proxy]);
-                    self.under_way[proxy] = at;
-                    self.set(at, Event::ToAgent { proxy, stream, kind, response });
+                    let at = (self.now + HOP + slow).max(self.last_arrival_at[proxy]);
+                    self.last_arrival_at[proxy] = at;
+                    self.schedule(at, Event::AgentResponse { proxy, stream, kind, response });
                 }
                 Output::Break { stream, .. } => {
-                    if let Some(proxy) = self.owners.get(&stream).copied() {
-                        self.set(self.now + NOTICE, Event::Lost { proxy, stream });
+                    if let Some(proxy) = self.stream_proxies.get(&stream).copied() {
+                        self.schedule(self.now + DISCONNECT_DELAY, Event::StreamLost { proxy, stream });
                     }
                 }
                 Output::Probe { server } => {
                     let since = self.now;
-                    self.soon(Event::Probed { coordinator, server, since });
+                    self.schedule_after_hop(Event::Probed { coordinator, server, since });
                 }
                 Output::ReadRoster => self.read_roster(coordinator),
-                Output::SendOn { stream, to } => self.point_to(stream, &to),
+                Output::SendOn { stream, to } => self.redirect_agent(stream, &to),
                 Output::Save(saved) => self.disks[coordinator].saved = saved,
                 Output::Keep(followed) => self.disks[coordinator].followed.extend(followed),
-                Output::Datagram { to, text } => self.post(coordinator, &to, text),
+                Output::Datagram { to, text } => self.send_datagram(coordinator, &to, text),
             }
         }
     }
 
-    pub(super) fn probed(&mut self, coordinator: usize, server: ServerId, since: Nanos) {
-        let Some(held) = self.addresses.server(&server.0).and_then(|place| self.servers.get(place)) else {
+    pub(super) fn probe_answered(&mut self, coordinator: usize, server: ServerId, since: Nanos) {
+        let Some(state) = self.addresses.server(&server.0).and_then(|place| self.servers.get(place)) else {
             return;
         };
-        let mute = held.silent || held.hangs;
-        if mute && self.now - since < self.script.probe_time_out.0 {
+        let unresponsive = state.silent || state.hangs;
+        if unresponsive && self.now - since < self.script.probe_time_out.0 {
             let at = since + self.script.probe_time_out.0;
-            return self.set(at, Event::Probed { coordinator, server, since });
+            return self.schedule(at, Event::Probed { coordinator, server, since });
         }
-        let outcome = if held.up && !mute { ProbeOutcome::Answered } else { ProbeOutcome::Failed };
-        let report = LoadReport { busy: Some(held.machine.busy(self.now)), ..LoadReport::default() };
-        if let Some(desk) = &mut self.desks[coordinator] {
+        let outcome = if state.up && !unresponsive { ProbeOutcome::Answered } else { ProbeOutcome::Failed };
+        let report = LoadReport { busy: Some(state.machine.busy(self.now)), ..LoadReport::default() };
+        if let Some(desk) = &mut self.coordinators[coordinator] {
             desk.probed(server, outcome, self.now - since, report);
-            self.wake_desk(coordinator);
+            self.wake_coordinator(coordinator);
         }
     }
 
     pub(super) fn read_roster(&mut self, coordinator: usize) {
-        let Some(desk) = &mut self.desks[coordinator] else { return };
-        match &self.roster {
+        let Some(desk) = &mut self.coordinators[coordinator] else { return };
+        match &self.list_text {
             Some(text) => {
                 if desk.roster(self.now, text).is_ok_and(|(changed, _)| changed > 0) {
                     self.disks[coordinator].list = Some(text.clone());
@@ -187,17 +189,17 @@
             }
             None => desk.roster_failed(self.now),
         }
-        self.wake_desk(coordinator);
+        self.wake_coordinator(coordinator);
     }
 
-    pub(super) fn list(&mut self) {
-        self.version += 1;
+    pub(super) fn publish_list(&mut self) {
+        self.list_version += 1;
         let (roster, listed) = {
-            let address = |server| self.addresses.of(server);
-            self.plan.roster(self.version, self.begin, &self.shows, &address)
+            let address = |server| self.addresses.address(server);
+            self.plan.roster(self.list_version, self.begin, &self.listed_states, &address)
         };
-        self.roster = serde_json::to_vec(&roster).ok();
+        self.list_text = serde_json::to_vec(&roster).ok();
         self.log.add(self.now, What::Rostered { servers: listed });
-        (0..self.desks.len()).for_each(|coordinator| self.read_roster(coordinator));
+        (0..self.coordinators.len()).for_each(|coordinator| self.read_roster(coordinator));
     }
 }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The engine: events in the order of time, one seed one run.
+//! The simulation engine: a queue of events in the order of simulated time. A seed determines a run completely.
 
 mod agents;
 mod coordinators;
@@ -14,8 +14,8 @@
 use craneknot_agent::dial::{Dial, Effect, Sign, State};
 use craneknot_agent::hold::{Holding, Verdict};
 use craneknot_coordinator::desk::{body, Desk, Output, Refused, StreamId};
-use craneknot_coordinator::ledger::{Ledger, Told as LedgerTold};
-use craneknot_coordinator::session::Answer as Told;
+use craneknot_coordinator::ledger::{Ledger, Told as LedgerContents};
+use craneknot_coordinator::session::Answer as StreamAnswer;
 use craneknot_fleet::raft::Saved;
 use craneknot_rehearsal::auditor;
 use craneknot_rehearsal::caller::{Answer, Caller, Next, Operation};
@@ -41,41 +41,41 @@
 use crate::bound::Asked;
 use crate::hosted::{Build, Fault};
 
-const START: Nanos = Nanos::from_millis(1_000_000_000); // ms; the date at which a run begins
-const HOP: Nanos = Nanos(70_000); // ns; at least, one way between any two on one machine; half as much more on average: 0.11 ms measured on sockets
-/// What a try takes on its way there and back, on average.
+const START: Nanos = Nanos::from_millis(1_000_000_000); // the start of a run, in simulated time
+const HOP: Nanos = Nanos(70_000); // minimum one-way delay between two processes on one machine; the mean is 1.5 times as much, as sockets take 0.11 ms
+/// Mean network time of a try, both ways.
 pub const ROUND_TRIP: Nanos = Nanos(3 * HOP.0);
-const STILL: Nanos = Nanos::from_millis(20); // ms; what comes to a coordinator that stands still is looked at again after it
-const NOTICE: Nanos = Nanos::from_millis(1); // ms; until the end of a process shows at the other end
+const STALL_RECHECK: Nanos = Nanos::from_millis(20); // retry interval of input to a stalled coordinator
+const DISCONNECT_DELAY: Nanos = Nanos::from_millis(1); // delay after which a closed stream is noticed at the other end
 
 enum Event {
-    Desk(usize),
-    ToDesk {
+    CoordinatorTurn(usize),
+    AgentRequest {
         coordinator: usize,
         stream: StreamId,
         proxy: usize,
         kind: Kind,
         refused: Option<Status>,
     },
-    ToAgent {
+    AgentResponse {
         proxy: usize,
         stream: StreamId,
         kind: Kind,
         response: Option<Box<DiscoveryResponse>>,
     },
     Dial(usize),
-    Lost {
+    StreamLost {
         proxy: usize,
         stream: StreamId,
     },
-    /// From the proxy to its agent.
-    Report(usize),
-    /// From the agent to its coordinator.
+    /// A proxy sends a load report to its agent.
+    ProxyReport(usize),
+    /// An agent sends a load report to its coordinator.
     SendReport {
         proxy: usize,
         stream: StreamId,
     },
-    Reported {
+    ReportReceived {
         proxy: usize,
         coordinator: usize,
         report: Box<LoadStatsRequest>,
@@ -85,45 +85,45 @@
         server: ServerId,
         since: Nanos,
     },
-    /// A datagram of one coordinator comes in at another.
-    Mail {
+    /// A coordinator receives a datagram of another one.
+    Datagram {
         to: usize,
         text: Vec<u8>,
     },
-    /// The proxy's agent is sent on to the coordinator in charge.
-    SentOn {
+    /// The proxy's agent is redirected to the leading coordinator.
+    AgentRedirected {
         proxy: usize,
         stream: StreamId,
         to: usize,
     },
     NextOperation,
     ClientAttempt(Box<Operation>),
-    Arrive(u64),
-    Done {
+    TryArrived(u64),
+    JobDone {
         server: usize,
         life: u64,
         job: u64,
     },
-    Ended {
+    TryEnded {
         number: u64,
         tried: Tried,
     },
-    TryOver(u64),
-    ClientOver(u64),
-    Answered {
+    TryTimeout(u64),
+    ClientTimeout(u64),
+    ClientAnswered {
         number: u64,
         answer: Answer,
     },
     /// A coordinator's process starts.
-    Raise(usize),
+    StartCoordinator(usize),
     ServerAct(usize),
     ProxyAct(usize),
     FleetAct(usize),
-    Rate(usize),
-    Queue,
-    LookAtQueues,
-    /// The front layer notices that a proxy is gone.
-    Noticed,
+    RateChange(usize),
+    LogQueues,
+    SampleQueues,
+    /// The front layer notices that a proxy is down.
+    FrontsChanged,
 }
 
 struct Server {
@@ -131,9 +131,10 @@
     machine: Machine,
     up: bool,
     life: u64,
-    errors: f64,
+    error_share: f64,
     hangs: bool,
-    loses: f64,
+    /// Share of answers that are lost.
+    answer_loss: f64,
     silent: bool,
 }
 
@@ -145,16 +146,17 @@
     holding: Holding,
     nonces: BTreeMap<Kind, String>,
     dial: Dial,
-    order: Vec<usize>,
+    coordinator_order: Vec<usize>,
     stream: Option<(usize, StreamId)>,
-    agent: bool,
-    sums: Sums,
-    sums_since: Nanos,
-    /// What the agent has still to send.
-    waits: craneknot_agent::sums::Sums,
-    /// Since when a report has had no answer.
+    agent_up: bool,
+    totals: Sums,
+    totals_since: Nanos,
+    /// Load reports that the agent has not sent yet.
+    unsent_totals: craneknot_agent::sums::Sums,
+    /// When the report was sent that has no answer yet.
     unanswered: Option<Nanos>,
-    paths: BTreeMap<usize, f64>,
+    /// Share of tries lost on the way, by server.
+    path_loss: BTreeMap<usize, f64>,
     stalled_until: Nanos,
 }
 
@@ -164,7 +166,7 @@
     tried: Vec<usize>,
     until: Nanos,
     sent: Nanos,
-    done: bool,
+    ended: bool,
 }
 
 /// A coordinator's store.
@@ -182,50 +184,51 @@
     begin: Nanos,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: BTreeMap<u64, Event>,
-    next: u64,
-    desks: Vec<Option<Desk>>,
-    desk_at: Vec<Nanos>,
+    next_id: u64,
+    coordinators: Vec<Option<Desk>>,
+    next_turn_at: Vec<Nanos>,
     stalled: Vec<bool>,
-    /// What each coordinator has on its disk.
+    /// The store of each coordinator.
     disks: Vec<Disk>,
-    /// What each coordinator hears while it stands still.
-    unread: Vec<Vec<Vec<u8>>>,
-    cuts: Cuts,
-    struck: Struck,
+    /// Datagrams received by each coordinator while it is stalled.
+    held_datagrams: Vec<Vec<Vec<u8>>>,
+    network_cuts: Cuts,
+    leader_strikes: Struck,
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
-    owners: BTreeMap<StreamId, usize>,
+    stream_proxies: BTreeMap<StreamId, usize>,
     tries: BTreeMap<u64, Try>,
     clients: BTreeMap<u64, Operation>,
     caller: Caller,
     upcoming: Option<Operation>,
-    factor: f64,
-    /// Proxies that the front layer sends to, by zone and of all; nothing: to be looked up anew.
+    rate_factor: f64,
+    /// Proxies to which the front layer sends: by zone, then of all zones; none if they must be determined again.
     fronts: Option<Vec<Vec<usize>>>,
-    shows: Vec<Shows>,
-    version: u64,
-    roster: Option<Vec<u8>>,
+    listed_states: Vec<Shows>,
+    list_version: u64,
+    list_text: Option<Vec<u8>>,
     rng: Pcg32,
     log: Log,
     options: RunOptions<'a>,
-    /// Known arrivals that have come.
-    given: usize,
-    /// What was asked for, whatever became of it.
+    /// Number of given arrivals used so far.
+    arrivals_used: usize,
+    /// All operations requested, regardless of their outcome.
     asked: Vec<Asked>,
-    /// What all proxies know of servers' queues, where the choice is by late knowledge.
-    late: Vec<f64>,
+    /// The last samples of servers' queues, for selection by outdated queue lengths.
+    queue_samples: Vec<f64>,
     addresses: Addresses,
     fault: Fault,
     cost: Cost,
-    /// Middles of spans that reports at each coordinator tell of, until its next flush.
-    untaken: Vec<Vec<Nanos>>,
-    /// When what was sent last to each proxy arrives, where channels are slow: messages keep their order.
-    under_way: Vec<Nanos>,
+    /// Midpoints of the intervals of the reports received by each coordinator since its last flush.
+    pending_reports: Vec<Vec<Nanos>>,
+    /// Arrival time of the last message to each proxy: on slow channels, messages keep their order.
+    last_arrival_at: Vec<Nanos>,
 }
 
-const FIRST_PORT: u16 = 1_024; // ports below it are the system's
+const FIRST_PORT: u16 = 1_024; // lower ports are reserved by the system
 
-/// Servers' addresses. A system gives ports in no order, and the decisions deal servers by their names: so they are drawn.
+/// Servers' addresses. Ports are drawn at random, because an operating system assigns them in no order and the
+/// controller partitions servers by their names.
 struct Addresses {
     ports: Vec<u16>,
     servers: BTreeMap<u16, usize>,
@@ -240,7 +243,7 @@
         Addresses { ports, servers }
     }
 
-    fn of(&self, server: usize) -> SocketAddr {
+    fn address(&self, server: usize) -> SocketAddr {
         let port = self.ports.get(server).copied().unwrap_or_default();
         SocketAddr::from((Ipv4Addr::LOCALHOST, port))
     }
@@ -250,54 +253,53 @@
     }
 }
 
-/// How a script is to be played.
+/// Options of a simulation run.
 #[derive(Clone, Copy, Default)]
 pub struct RunOptions<'a> {
-    /// Who picks the servers.
+    /// The method that selects servers.
     pub selector: Who,
-    /// Moments since the first operation could come, classes and zones of operations that are known to have come;
-    /// nothing: they are drawn.
+    /// Recorded arrivals: time since the earliest possible operation, class and zone; none: arrivals are drawn.
     pub arrivals: Option<&'a [(Nanos, usize, usize)]>,
-    /// Draws all but the troubles anew, whose draw is by the script's seed alone.
+    /// XORed with the script's seed for all random draws except the faults, which depend on the script's seed alone.
     pub seed_xor: u64,
-    /// Whose decisions are played; nothing: this program's.
+    /// The build whose controller runs; none: this program's.
     pub build: Option<&'a Build>,
-    /// Whether the cost of turns and the age of what they know are kept; they are no part of the report, since clocks
-    /// differ from run to run.
+    /// Whether to measure the cost of turns and the age of their input. These are not part of the report, since wall
+    /// clocks differ from run to run.
     pub cost: bool,
-    /// Whether coordinators keep ledgers.
+    /// Whether coordinators write ledgers.
     pub ledgers: bool,
 }
 
-/// Plays a script.
+/// Simulates a script with the default options.
 pub fn play(script: &Script) -> Report {
     play_with_options(script, RunOptions::default()).report
 }
 
-/// A run and all that was seen in it.
+/// The report of a run and everything observed in it.
 pub struct RunResult {
     pub report: Report,
     pub records: Vec<Record>,
     pub asked: Vec<Asked>,
-    /// When the first operation may come.
+    /// The time of the earliest possible operation.
     pub begin: Nanos,
-    /// What decisions of another process failed by: the run is worth nothing.
+    /// Why a hosted controller failed; if present, the run is invalid.
     pub fault: Option<String>,
     pub cost: Cost,
-    /// Of each coordinator that kept one until the end.
-    pub ledgers: Vec<LedgerTold>,
+    /// The ledgers of the coordinators that ran until the end.
+    pub ledgers: Vec<LedgerContents>,
 }
 
-/// What turns cost, and how old their knowledge was.
+/// The cost of turns and the age of their input.
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
-    /// Wall time of each turn in which a coordinator's decisions were asked, answers to its streams included.
+    /// Wall time of each turn that ran a coordinator's controller, including the answers to its streams.
     pub turns: Vec<Duration>,
-    /// Of each report that a turn took in: from the middle of the span that it tells of to that turn.
+    /// Age of each report processed by a turn: from the midpoint of the report's interval to the turn.
     pub ages: Vec<Nanos>,
 }
 
-/// Plays a script as asked.
+/// Simulates a script with the given options.
 pub fn play_with_options(script: &Script, options: RunOptions) -> RunResult {
     let plan = Plan::draw(script);
     let terms = terms(script, &plan);
@@ -310,12 +312,17 @@
     let mut world = World::new(script, plan, caller, options);
     let (stop, end) = (world.begin + script.length.0, world.begin + script.length.0 + SETTLE);
     world.run(stop, end);
-    let status = world.desks.iter().flatten().map(|desk| serde_json::json!(desk.status(world.now))).collect();
+    let status =
+        world.coordinators.iter().flatten().map(|desk| serde_json::json!(desk.status(world.now))).collect();
     let records = merge(vec![world.log]);
     let judgement = auditor::judge(&terms, &records);
     let report = Report::new(script, script.length.0.secs(), judgement, status);
-    let ledgers =
-        world.desks.iter_mut().flatten().filter_map(|desk| desk.ledger().map(Ledger::finish)).collect();
+    let ledgers = world
+        .coordinators
+        .iter_mut()
+        .flatten()
+        .filter_map(|desk| desk.ledger().map(Ledger::finish))
+        .collect();
     RunResult {
         report,
         records,
@@ -329,19 +336,28 @@
 
 impl<'a> World<'a> {
     fn new(script: &'a Script, plan: Plan, caller: Caller, options: RunOptions<'a>) -> Self {
-        let chance = script.seed ^ options.seed_xor;
+        let run_seed = script.seed ^ options.seed_xor;
         let classes: Vec<String> = script.classes.iter().map(|class| class.name.clone()).collect();
         let server = |(place, planned): (usize, &ServerPlan)| {
             let make = plan.make(script, place);
             let machine = Machine::new(make, None);
             let up = planned.from_start;
-            Server { make, machine, up, life: 0, errors: 0.0, hangs: false, loses: 0.0, silent: false }
+            Server {
+                make,
+                machine,
+                up,
+                life: 0,
+                error_share: 0.0,
+                hangs: false,
+                answer_loss: 0.0,
+                silent: false,
+            }
         };
         let count = script.coordinators as usize;
         let proxy = |(place, zone): (usize, &String)| {
-            let seed = chance.wrapping_mul(31).wrapping_add(place as u64);
-            let mut order: Vec<usize> = (0..count).map(|k| (k + place) % count).collect();
-            order.sort_by_key(|coordinator| plan.coordinator_zones[*coordinator] != *zone);
+            let seed = run_seed.wrapping_mul(31).wrapping_add(place as u64);
+            let mut coordinator_order: Vec<usize> = (0..count).map(|k| (k + place) % count).collect();
+            coordinator_order.sort_by_key(|coordinator| plan.coordinator_zones[*coordinator] != *zone);
             let (least, most) = REDIAL;
             Proxy {
                 zone: script.zones.iter().position(|other| other == zone).unwrap_or(0),
@@ -351,14 +367,14 @@
                 holding: Holding::default(),
                 nonces: BTreeMap::new(),
                 dial: Dial::new(count, least, most, seed ^ 0xd1a1, START),
-                order,
+                coordinator_order,
                 stream: None,
-                agent: true,
-                sums: Sums::default(),
-                sums_since: START,
-                waits: craneknot_agent::sums::Sums::default(),
+                agent_up: true,
+                totals: Sums::default(),
+                totals_since: START,
+                unsent_totals: craneknot_agent::sums::Sums::default(),
                 unanswered: None,
-                paths: BTreeMap::new(),
+                path_loss: BTreeMap::new(),
                 stalled_until: Nanos(0),
             }
         };
@@ -367,92 +383,92 @@
             begin: START + FIRST_TABLES,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            next: 0,
-            desks: (0..count).map(|_| None).collect(),
-            desk_at: vec![Nanos(u64::MAX); count],
+            next_id: 0,
+            coordinators: (0..count).map(|_| None).collect(),
+            next_turn_at: vec![Nanos(u64::MAX); count],
             stalled: vec![false; count],
             disks: (0..count).map(|_| Disk::default()).collect(),
-            unread: vec![Vec::new(); count],
-            cuts: Cuts::default(),
-            struck: Struck::default(),
+            held_datagrams: vec![Vec::new(); count],
+            network_cuts: Cuts::default(),
+            leader_strikes: Struck::default(),
             servers: plan.servers.iter().enumerate().map(server).collect(),
             proxies: plan.proxy_zones.iter().enumerate().map(proxy).collect(),
-            owners: BTreeMap::new(),
+            stream_proxies: BTreeMap::new(),
             tries: BTreeMap::new(),
             clients: BTreeMap::new(),
             caller,
             upcoming: None,
-            factor: 1.0,
+            rate_factor: 1.0,
             fronts: None,
-            shows: plan
+            listed_states: plan
                 .servers
                 .iter()
                 .map(|s| if s.from_start { Shows::Up(None) } else { Shows::Nothing })
                 .collect(),
-            version: 0,
-            roster: None,
-            rng: Pcg32::seed_from_u64(chance ^ 0x30de1),
+            list_version: 0,
+            list_text: None,
+            rng: Pcg32::seed_from_u64(run_seed ^ 0x30de1),
             log: Log::default(),
             options,
-            given: 0,
+            arrivals_used: 0,
             asked: Vec::new(),
-            late: Vec::new(),
-            addresses: Addresses::draw(plan.servers.len(), chance ^ 0xadd2),
+            queue_samples: Vec::new(),
+            addresses: Addresses::draw(plan.servers.len(), run_seed ^ 0xadd2),
             fault: Fault::default(),
             cost: Cost::default(),
-            untaken: vec![Vec::new(); count],
-            under_way: vec![START; plan.proxy_zones.len()],
+            pending_reports: vec![Vec::new(); count],
+            last_arrival_at: vec![START; plan.proxy_zones.len()],
             script,
             plan,
         };
-        world.list();
+        world.publish_list();
         if options.selector == Who::Ours {
-            // Coordinators stand before the first agent dials, each since a moment of its own: else what they look at and when
-            // would stand in step with troubles.
+            // Coordinators start before the first agent connects, each at its own random time: otherwise their periodic work
+            // would be in phase with the faults.
             for coordinator in 0..count {
                 let spread = Nanos(world.rng.random_range(0..script.report_period.0 .0.max(1)));
-                world.set(world.now + spread, Event::Raise(coordinator));
+                world.schedule(world.now + spread, Event::StartCoordinator(coordinator));
             }
         } else {
-            world.set(world.now, Event::LookAtQueues);
+            world.schedule(world.now, Event::SampleQueues);
         }
         for proxy in 0..world.proxies.len() {
             world.log.add(world.now, What::Proxy { proxy, up: true });
             let at = world.proxies[proxy].dial.next_at().unwrap_or(world.now);
-            world.set(at, Event::Dial(proxy));
+            world.schedule(at, Event::Dial(proxy));
             let spread = Nanos(world.rng.random_range(0..script.report_period.0 .0.max(1)));
-            world.set(START + spread, Event::Report(proxy));
+            world.schedule(START + spread, Event::ProxyReport(proxy));
         }
         let begin = world.begin;
         for place in 0..world.plan.server_acts.len() {
-            world.set(begin + world.plan.server_acts[place].0, Event::ServerAct(place));
+            world.schedule(begin + world.plan.server_acts[place].0, Event::ServerAct(place));
         }
         for place in 0..world.plan.proxy_acts.len() {
-            world.set(begin + world.plan.proxy_acts[place].0, Event::ProxyAct(place));
+            world.schedule(begin + world.plan.proxy_acts[place].0, Event::ProxyAct(place));
         }
         for place in 0..world.plan.fleet_acts.len() {
-            world.set(begin + world.plan.fleet_acts[place].0, Event::FleetAct(place));
+            world.schedule(begin + world.plan.fleet_acts[place].0, Event::FleetAct(place));
         }
         for place in 0..world.plan.rates.len() {
-            world.set(begin + world.plan.rates[place].0, Event::Rate(place));
+            world.schedule(begin + world.plan.rates[place].0, Event::RateChange(place));
         }
-        world.set(START, Event::Queue);
+        world.schedule(START, Event::LogQueues);
         world
     }
 
-    fn set(&mut self, at: Nanos, event: Event) {
-        self.next += 1;
-        self.queue.push(Reverse((at.max(self.now), self.next)));
-        self.events.insert(self.next, event);
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.next_id += 1;
+        self.queue.push(Reverse((at.max(self.now), self.next_id)));
+        self.events.insert(self.next_id, event);
     }
 
-    fn soon(&mut self, event: Event) {
+    fn schedule_after_hop(&mut self, event: Event) {
         let spread = Nanos(self.rng.random_range(0..HOP.0));
-        self.set(self.now + HOP + spread, event);
+        self.schedule(self.now + HOP + spread, event);
     }
 
     fn run(&mut self, stop: Nanos, end: Nanos) {
-        self.plan_next(self.begin, stop);
+        self.schedule_next_operation(self.begin, stop);
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at >= end {
                 self.now = end;
@@ -460,37 +476,39 @@
             }
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.happen(event, stop);
+                self.handle(event, stop);
             }
         }
     }
 
-    fn happen(&mut self, event: Event, stop: Nanos) {
+    fn handle(&mut self, event: Event, stop: Nanos) {
         match event {
-            Event::Desk(coordinator) => {
-                if self.desk_at[coordinator] <= self.now {
-                    self.turn(coordinator);
+            Event::CoordinatorTurn(coordinator) => {
+                if self.next_turn_at[coordinator] <= self.now {
+                    self.coordinator_turn(coordinator);
                 }
             }
-            Event::ToDesk { coordinator, stream, proxy, kind, refused } => {
-                self.desk_asked(coordinator, stream, proxy, kind, refused);
+            Event::AgentRequest { coordinator, stream, proxy, kind, refused } => {
+                self.agent_requested(coordinator, stream, proxy, kind, refused);
             }
-            Event::ToAgent { proxy, stream, kind, response } => {
-                self.agent_told(proxy, stream, kind, response)
+            Event::AgentResponse { proxy, stream, kind, response } => {
+                self.agent_received(proxy, stream, kind, response)
             }
-            Event::Dial(proxy) => self.dial(proxy),
-            Event::Lost { proxy, stream } => {
+            Event::Dial(proxy) => self.dial_coordinator(proxy),
+            Event::StreamLost { proxy, stream } => {
                 if self.proxies[proxy].stream.is_some_and(|(_, of)| of == stream) {
                     self.end_stream(proxy);
                     self.redial(proxy);
                 }
             }
-            Event::Report(proxy) => self.report(proxy),
+            Event::ProxyReport(proxy) => self.proxy_report(proxy),
             Event::SendReport { proxy, stream } => self.send_report(proxy, stream),
-            Event::Reported { proxy, coordinator, report } => self.reported(proxy, coordinator, report),
-            Event::Probed { coordinator, server, since } => self.probed(coordinator, server, since),
-            Event::Mail { to, text } => self.mail(to, &text),
-            Event::SentOn { proxy, stream, to } => self.sent_on(proxy, stream, to),
+            Event::ReportReceived { proxy, coordinator, report } => {
+                self.report_received(proxy, coordinator, report)
+            }
+            Event::Probed { coordinator, server, since } => self.probe_answered(coordinator, server, since),
+            Event::Datagram { to, text } => self.receive_datagram(to, &text),
+            Event::AgentRedirected { proxy, stream, to } => self.agent_redirected(proxy, stream, to),
             Event::NextOperation => {
                 let mut due = self.now;
                 if let Some(operation) = self.upcoming.take() {
@@ -498,35 +516,36 @@
                     let (op, class, zone) = (operation.id, operation.class, operation.zone);
                     self.log.add(self.now, What::Asked { op, class, zone });
                     self.asked.push(Asked { at: self.now, class, work: operation.work });
-                    self.ask(operation);
+                    self.start_attempt(operation);
                 }
-                self.plan_next(due, stop);
+                self.schedule_next_operation(due, stop);
             }
-            Event::ClientAttempt(operation) => self.ask(*operation),
-            Event::Arrive(number) => self.arrive(number),
-            Event::Done { server, life, job } => self.done(server, life, job),
-            Event::Ended { number, tried } => self.ended(number, tried),
-            Event::TryOver(number) => self.ended(number, Tried::Failed),
-            Event::ClientOver(number) => self.answered(number, Answer::Silent),
-            Event::Answered { number, answer } => self.answered(number, answer),
-            Event::Raise(coordinator) => self.raise_desk(coordinator),
+            Event::ClientAttempt(operation) => self.start_attempt(*operation),
+            Event::TryArrived(number) => self.try_arrived(number),
+            Event::JobDone { server, life, job } => self.job_done(server, life, job),
+            Event::TryEnded { number, tried } => self.try_ended(number, tried),
+            Event::TryTimeout(number) => self.try_ended(number, Tried::Failed),
+            Event::ClientTimeout(number) => self.client_answered(number, Answer::Silent),
+            Event::ClientAnswered { number, answer } => self.client_answered(number, answer),
+            Event::StartCoordinator(coordinator) => self.raise_coordinator(coordinator),
             Event::ServerAct(place) => self.server_act(place),
             Event::ProxyAct(place) => self.proxy_act(place),
             Event::FleetAct(place) => self.fleet_act(self.plan.fleet_acts[place].1.clone()),
-            Event::Rate(place) => self.factor = self.plan.rates[place].1,
-            Event::Noticed => self.fronts = None,
-            Event::LookAtQueues => {
-                self.late = (0..self.servers.len()).map(|server| self.queue_of(server)).collect();
-                self.set(self.now + self.script.report_period.0, Event::LookAtQueues);
+            Event::RateChange(place) => self.rate_factor = self.plan.rates[place].1,
+            Event::FrontsChanged => self.fronts = None,
+            Event::SampleQueues => {
+                self.queue_samples =
+                    (0..self.servers.len()).map(|server| self.relative_queue(server)).collect();
+                self.schedule(self.now + self.script.report_period.0, Event::SampleQueues);
             }
-            Event::Queue => {
-                for (coordinator, desk) in self.desks.iter().enumerate() {
+            Event::LogQueues => {
+                for (coordinator, desk) in self.coordinators.iter().enumerate() {
                     let Some(desk) = desk else { continue };
                     let status = desk.status(self.now);
                     let (lines, most) = (status.channel_lines, status.channel_most);
                     self.log.add(self.now, What::Queue { coordinator, lines, most });
                 }
-                self.set(self.now + STATUS_EVERY, Event::Queue);
+                self.schedule(self.now + STATUS_EVERY, Event::LogQueues);
             }
         }
     }
@@ -537,12 +556,12 @@
     use super::*;
 
     #[test]
-    fn one_seed_is_one_run() {
+    fn a_seed_determines_the_run() {
         let script = Script::built_in().unwrap();
-        let (one, two) = (play(&script), play(&script));
-        assert_eq!(one.lines(), two.lines());
-        assert!(one.passed() && one.service.asked > 3_000, "{}", one.lines());
+        let (first, second) = (play(&script), play(&script));
+        assert_eq!(first.lines(), second.lines());
+        assert!(first.passed() && first.service.asked > 3_000, "{}", first.lines());
         let other = play(&Script { seed: 2, ..script });
-        assert_ne!(one.lines(), other.lines());
+        assert_ne!(first.lines(), other.lines());
     }
 }
--- a/crates/craneknot-model/src/world/operations.rs
+++ b/crates/craneknot-model/src/world/operations.rs
@@ -1,26 +1,27 @@
-//! Operations: from a client by a front and a proxy to servers and back.
+//! Operations: from a client through the front layer and a proxy to servers and back.
 
 use super::*;
 
 impl World<'_> {
-    pub(super) fn plan_next(&mut self, now: Nanos, stop: Nanos) {
+    pub(super) fn schedule_next_operation(&mut self, now: Nanos, stop: Nanos) {
         let (at, operation) = match self.options.arrivals {
-            None => self.caller.next(now, self.factor),
+            None => self.caller.next(now, self.rate_factor),
             Some(arrivals) => {
-                let Some((at, class, zone)) = arrivals.get(self.given).copied() else { return };
-                self.given += 1;
+                let Some((at, class, zone)) = arrivals.get(self.arrivals_used).copied() else { return };
+                self.arrivals_used += 1;
                 let at = self.begin + at;
                 (at, self.caller.given(at, class, zone))
             }
         };
         if at < stop {
             self.upcoming = Some(operation);
-            self.set(at, Event::NextOperation);
+            self.schedule(at, Event::NextOperation);
         }
     }
 
-    /// The proxy to which the front layer sends an operation of a zone: any there that it holds to stand, else any at all.
-    pub(super) fn front(&mut self, zone: usize) -> Option<usize> {
+    /// The proxy to which the front layer sends an operation of a zone: one that it considers up in the zone, or in any
+    /// zone if there is none.
+    pub(super) fn pick_front(&mut self, zone: usize) -> Option<usize> {
         let (now, lag) = (self.now, self.script.clients.front_lag.0);
         if self.fronts.is_none() {
             let alive = |proxy: &Proxy| proxy.down_since.is_none_or(|since| now - since < lag);
@@ -32,85 +33,85 @@
             self.fronts = Some(fronts);
         }
         let fronts = self.fronts.as_ref()?;
-        let near = &fronts[zone];
-        let open = if near.is_empty() { &fronts[self.script.zones.len()] } else { near };
-        open.choose(&mut self.rng).copied()
+        let in_zone = &fronts[zone];
+        let candidates = if in_zone.is_empty() { &fronts[self.script.zones.len()] } else { in_zone };
+        candidates.choose(&mut self.rng).copied()
     }
 
-    pub(super) fn ask(&mut self, operation: Operation) {
+    pub(super) fn start_attempt(&mut self, operation: Operation) {
         let class = &self.script.classes[operation.class];
         let within = Nanos((class.hard_stop.0 .0 as f64 * self.script.clients.try_part) as u64);
         let until = (self.now + within).min(operation.asked + class.hard_stop.0);
-        self.next += 1;
-        let number = self.next;
+        self.next_id += 1;
+        let number = self.next_id;
         self.clients.insert(number, operation.clone());
-        self.set(until, Event::ClientOver(number));
-        let proxy = self.front(operation.zone);
+        self.schedule(until, Event::ClientTimeout(number));
+        let proxy = self.pick_front(operation.zone);
         let Some(proxy) = proxy.filter(|proxy| self.proxies[*proxy].up) else {
-            return self.soon(Event::Answered { number, answer: Answer::Failed });
+            return self.schedule_after_hop(Event::ClientAnswered { number, answer: Answer::Failed });
         };
         let sent = self.now;
         let class = operation.class;
-        self.tries.insert(number, Try { operation, proxy, tried: Vec::new(), until, sent, done: true });
-        let held = &mut self.proxies[proxy];
+        self.tries.insert(number, Try { operation, proxy, tried: Vec::new(), until, sent, ended: true });
+        let state = &mut self.proxies[proxy];
         let admitted = match self.options.selector {
-            Who::Ours => held.chooser.admit(self.now, class),
+            Who::Ours => state.chooser.admit(self.now, class),
             Who::Random | Who::LeastLoaded | Who::TwoChoices => Ok(()),
         };
-        held.sums.came(class, admitted.is_ok());
+        state.totals.came(class, admitted.is_ok());
         match admitted {
-            Ok(()) => self.attempt(number, None),
+            Ok(()) => self.send_try(number, None),
             Err(refusal) => {
                 let again = match refusal {
                     craneknot_rehearsal::chooser::Refusal::Level { again } => again,
                     craneknot_rehearsal::chooser::Refusal::NoLine => Nanos(0),
                 };
-                self.refuse(number, again);
+                self.reject(number, again);
             }
         }
     }
 
-    pub(super) fn refuse(&mut self, number: u64, again: Nanos) {
+    pub(super) fn reject(&mut self, number: u64, again: Nanos) {
         let again = Nanos::from_secs(again.secs().ceil().max(1.0));
         self.tries.remove(&number);
-        self.soon(Event::Answered { number, answer: Answer::Refused { again } });
+        self.schedule_after_hop(Event::ClientAnswered { number, answer: Answer::Refused { again } });
     }
 
-    pub(super) fn attempt(&mut self, number: u64, last: Option<Tried>) {
-        let Some(mut one) = self.tries.remove(&number) else { return };
-        let (proxy, class) = (one.proxy, one.operation.class);
-        let Some(server) = self.choose(proxy, class, &one.tried) else {
-            self.tries.insert(number, one);
+    pub(super) fn send_try(&mut self, number: u64, last: Option<Tried>) {
+        let Some(mut pending) = self.tries.remove(&number) else { return };
+        let (proxy, class) = (pending.proxy, pending.operation.class);
+        let Some(server) = self.choose(proxy, class, &pending.tried) else {
+            self.tries.insert(number, pending);
             return match last {
-                None | Some(Tried::Unrun) => self.refuse(number, Nanos(0)),
+                None | Some(Tried::Unrun) => self.reject(number, Nanos(0)),
                 Some(Tried::Failed | Tried::Good) => {
                     self.tries.remove(&number);
-                    self.soon(Event::Answered { number, answer: Answer::Failed });
+                    self.schedule_after_hop(Event::ClientAnswered { number, answer: Answer::Failed });
                 }
             };
         };
-        one.tried.push(server);
-        (one.sent, one.done) = (self.now, false);
-        let (op, attempt, until) = (one.operation.id, one.operation.attempt, one.until);
-        self.tries.insert(number, one);
+        pending.tried.push(server);
+        (pending.sent, pending.ended) = (self.now, false);
+        let (op, attempt, until) = (pending.operation.id, pending.operation.attempt, pending.until);
+        self.tries.insert(number, pending);
         self.log.add(self.now, What::Sent { proxy, server, op, attempt, class });
-        self.proxies[proxy].sums.sent(class, server);
-        self.set(until, Event::TryOver(number));
-        let cut = self.proxies[proxy].paths.get(&server).copied().unwrap_or(0.0);
+        self.proxies[proxy].totals.sent(class, server);
+        self.schedule(until, Event::TryTimeout(number));
+        let cut = self.proxies[proxy].path_loss.get(&server).copied().unwrap_or(0.0);
         if cut > 0.0 && self.rng.random::<f64>() < cut {
             return;
         }
-        self.soon(Event::Arrive(number));
+        self.schedule_after_hop(Event::TryArrived(number));
     }
 
-    /// A server for a try: by the proxy's files, or as a baseline has it.
+    /// Selects a server for a try, by the proxy's files or by a baseline method.
     fn choose(&mut self, proxy: usize, class: usize, tried: &[usize]) -> Option<usize> {
         if self.options.selector == Who::Ours {
             return self.proxies[proxy].chooser.pick(self.now, class, tried).ok();
         }
         let rules = &self.script.classes[class];
         let mut seen = Vec::new();
-        for (server, shows) in self.shows.iter().enumerate() {
+        for (server, shows) in self.listed_states.iter().enumerate() {
             let group = &self.plan.servers[server].group;
             if !rules.allows(&group.zone, &group.kind)
                 || tried.contains(&server)
@@ -118,52 +119,52 @@
             {
                 continue;
             }
-            let held = &self.servers[server];
+            let state = &self.servers[server];
             seen.push(Seen {
                 server,
                 capacity: f64::from(group.cores) * group.speed,
-                answers: held.up && !held.silent && !held.hangs,
-                queue: self.queue_of(server),
-                late: self.late.get(server).copied().unwrap_or(0.0),
+                answers: state.up && !state.silent && !state.hangs,
+                queue: self.relative_queue(server),
+                late: self.queue_samples.get(server).copied().unwrap_or(0.0),
                 kept_away: self.proxies[proxy].chooser.keeps_away(self.now, server),
             });
         }
         baseline::choose(self.options.selector, &seen, &mut self.rng)
     }
 
-    /// Operations in hand for what a server can do now.
-    pub(super) fn queue_of(&self, server: usize) -> f64 {
-        let held = &self.servers[server];
-        (held.machine.held() as f64 + 1.0) / held.machine.capacity(self.now).max(1e-9)
+    /// Operations in flight at a server, plus one, relative to its current capacity.
+    pub(super) fn relative_queue(&self, server: usize) -> f64 {
+        let state = &self.servers[server];
+        (state.machine.held() as f64 + 1.0) / state.machine.capacity(self.now).max(1e-9)
     }
 
-    pub(super) fn arrive(&mut self, number: u64) {
-        let Some(one) = self.tries.get(&number).filter(|one| !one.done) else { return };
-        let Some(server) = one.tried.last().copied() else { return };
-        let (op, attempt, class) = (one.operation.id, one.operation.attempt, one.operation.class);
-        let (proxy, work) = (one.proxy, one.operation.work);
-        let held = &mut self.servers[server];
-        if held.silent {
+    pub(super) fn try_arrived(&mut self, number: u64) {
+        let Some(pending) = self.tries.get(&number).filter(|pending| !pending.ended) else { return };
+        let Some(server) = pending.tried.last().copied() else { return };
+        let (op, attempt, class) = (pending.operation.id, pending.operation.attempt, pending.operation.class);
+        let (proxy, work) = (pending.proxy, pending.operation.work);
+        let state = &mut self.servers[server];
+        if state.silent {
             return;
         }
-        if !held.up {
-            return self.soon(Event::Ended { number, tried: Tried::Unrun });
+        if !state.up {
+            return self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Unrun });
         }
         self.log.add(self.now, What::Arrived { server, proxy, op, attempt, class, work });
-        if held.hangs {
+        if state.hangs {
             return;
         }
-        if held.errors > 0.0 && self.rng.random::<f64>() < held.errors {
-            return self.soon(Event::Ended { number, tried: Tried::Failed });
+        if state.error_share > 0.0 && self.rng.random::<f64>() < state.error_share {
+            return self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Failed });
         }
-        match held.machine.arrive(self.now, Job { number, work }) {
+        match state.machine.arrive(self.now, Job { number, work }) {
             Arrival::Runs { until } => {
-                let life = held.life;
+                let life = state.life;
                 self.log.add(self.now, What::Ran { server, op, attempt, class });
-                self.set(until, Event::Done { server, life, job: number });
+                self.schedule(until, Event::JobDone { server, life, job: number });
             }
             Arrival::Waits => {}
-            Arrival::Full => self.soon(Event::Ended { number, tried: Tried::Unrun }),
+            Arrival::Full => self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Unrun }),
             Arrival::Falls => {
                 self.log.add(self.now, What::Fell { server });
                 self.stop_server(server);
@@ -171,32 +172,34 @@
         }
     }
 
-    pub(super) fn done(&mut self, server: usize, life: u64, job: u64) {
-        let held = &mut self.servers[server];
-        if held.life != life {
+    pub(super) fn job_done(&mut self, server: usize, life: u64, job: u64) {
+        let state = &mut self.servers[server];
+        if state.life != life {
             return;
         }
-        if let Some((next, until)) = held.machine.done(self.now) {
-            if let Some(one) = self.tries.get(&next.number) {
-                let (op, attempt, class) = (one.operation.id, one.operation.attempt, one.operation.class);
+        if let Some((next, until)) = state.machine.done(self.now) {
+            if let Some(pending) = self.tries.get(&next.number) {
+                let (op, attempt, class) =
+                    (pending.operation.id, pending.operation.attempt, pending.operation.class);
                 self.log.add(self.now, What::Ran { server, op, attempt, class });
             }
-            self.set(until, Event::Done { server, life, job: next.number });
+            self.schedule(until, Event::JobDone { server, life, job: next.number });
         }
-        let held = &self.servers[server];
-        let lost = held.silent || held.loses > 0.0 && self.rng.random::<f64>() < held.loses;
+        let state = &self.servers[server];
+        let lost = state.silent || state.answer_loss > 0.0 && self.rng.random::<f64>() < state.answer_loss;
         if !lost {
-            self.soon(Event::Ended { number: job, tried: Tried::Good });
+            self.schedule_after_hop(Event::TryEnded { number: job, tried: Tried::Good });
         }
     }
 
-    pub(super) fn ended(&mut self, number: u64, tried: Tried) {
-        let Some(one) = self.tries.get_mut(&number).filter(|one| !one.done) else { return };
-        one.done = true;
-        let (proxy, class, until, tries) = (one.proxy, one.operation.class, one.until, one.tried.len());
-        let took = self.now - one.sent;
-        let Some(server) = one.tried.last().copied() else { return };
-        // One that waits is given up with its connection.
+    pub(super) fn try_ended(&mut self, number: u64, tried: Tried) {
+        let Some(pending) = self.tries.get_mut(&number).filter(|pending| !pending.ended) else { return };
+        pending.ended = true;
+        let (proxy, class, until, tries) =
+            (pending.proxy, pending.operation.class, pending.until, pending.tried.len());
+        let took = self.now - pending.sent;
+        let Some(server) = pending.tried.last().copied() else { return };
+        // A queued operation is dropped when its connection closes.
         if tried == Tried::Failed {
             self.servers[server].machine.give_up(number);
         }
@@ -207,32 +210,32 @@
                 ("service_ms".to_owned(), self.servers[server].machine.service() * 1e3),
             ]),
         };
-        let held = &mut self.proxies[proxy];
+        let state = &mut self.proxies[proxy];
         if tried == Tried::Good {
-            held.sums.load(class, server, &report);
+            state.totals.load(class, server, &report);
         }
-        held.sums.ended(class, server, tried == Tried::Good, took);
+        state.totals.ended(class, server, tried == Tried::Good, took);
         self.log.add(self.now, What::Tried { proxy, server, class, how: tried, took });
-        let held = &mut self.proxies[proxy];
-        held.chooser.note(self.now, server, tried);
-        if self.now < until && held.up && held.chooser.may_try_again(class, tried, tries) {
-            return self.attempt(number, Some(tried));
+        let state = &mut self.proxies[proxy];
+        state.chooser.note(self.now, server, tried);
+        if self.now < until && state.up && state.chooser.may_try_again(class, tried, tries) {
+            return self.send_try(number, Some(tried));
         }
         match tried {
-            Tried::Unrun => self.refuse(number, Nanos(0)),
+            Tried::Unrun => self.reject(number, Nanos(0)),
             Tried::Good | Tried::Failed => {
                 self.tries.remove(&number);
                 let answer = if tried == Tried::Good { Answer::Good } else { Answer::Failed };
-                self.soon(Event::Answered { number, answer });
+                self.schedule_after_hop(Event::ClientAnswered { number, answer });
             }
         }
     }
 
-    pub(super) fn answered(&mut self, number: u64, answer: Answer) {
+    pub(super) fn client_answered(&mut self, number: u64, answer: Answer) {
         let Some(mut operation) = self.clients.remove(&number) else { return };
         if let Next::Again { at } = self.caller.after(self.now, &operation, answer) {
             operation.attempt += 1;
-            return self.set(at, Event::ClientAttempt(Box::new(operation)));
+            return self.schedule(at, Event::ClientAttempt(Box::new(operation)));
         }
         let took = self.now - operation.asked;
         let how = match answer {
--- a/crates/craneknot-model/src/world/troubles.rs
+++ b/crates/craneknot-model/src/world/troubles.rs
@@ -1,14 +1,16 @@
-//! Troubles: the plan's acts.
+//! Faults: the acts of the plan.
 
 use super::*;
 
 impl World<'_> {
     pub(super) fn stop_server(&mut self, server: usize) {
-        let held = &mut self.servers[server];
-        (held.up, held.life) = (false, held.life + 1);
-        let at = |one: &Try| !one.done && one.tried.last() == Some(&server);
-        let cut: Vec<u64> = self.tries.iter().filter(|(_, one)| at(one)).map(|(number, _)| *number).collect();
-        cut.into_iter().for_each(|number| self.soon(Event::Ended { number, tried: Tried::Failed }));
+        let state = &mut self.servers[server];
+        (state.up, state.life) = (false, state.life + 1);
+        let at = |pending: &Try| !pending.ended && pending.tried.last() == Some(&server);
+        let cut: Vec<u64> =
+            self.tries.iter().filter(|(_, pending)| at(pending)).map(|(number, _)| *number).collect();
+        cut.into_iter()
+            .for_each(|number| self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Failed }));
         self.log.add(self.now, What::Stopped { server });
     }
 
@@ -17,47 +19,48 @@
         match act {
             ServerAct::Start => {
                 self.stop_server(server);
-                let held = &mut self.servers[server];
-                held.machine = Machine::new(held.make, Some(self.now));
-                (held.up, held.errors, held.hangs, held.loses, held.silent) = (true, 0.0, false, 0.0, false);
+                let state = &mut self.servers[server];
+                state.machine = Machine::new(state.make, Some(self.now));
+                (state.up, state.error_share, state.hangs, state.answer_loss, state.silent) =
+                    (true, 0.0, false, 0.0, false);
                 self.log.add(self.now, What::Started { server });
             }
             ServerAct::Die => self.stop_server(server),
             ServerAct::Silence => self.servers[server].silent = true,
-            ServerAct::Errors(share) => self.servers[server].errors = share,
+            ServerAct::Errors(share) => self.servers[server].error_share = share,
             ServerAct::Hang(on) => self.servers[server].hangs = on,
             ServerAct::Slow(factor) => {
                 self.servers[server].machine.slow = factor;
                 self.log.add(self.now, What::Slowed { server, factor });
             }
-            ServerAct::LoseAnswers(share) => self.servers[server].loses = share,
+            ServerAct::LoseAnswers(share) => self.servers[server].answer_loss = share,
         }
     }
 
     pub(super) fn proxy_act(&mut self, place: usize) {
         let (_, proxy, act) = self.plan.proxy_acts[place].clone();
-        let held = &mut self.proxies[proxy];
+        let state = &mut self.proxies[proxy];
         match act {
             ProxyAct::Die => {
-                (held.up, held.down_since) = (false, Some(self.now));
+                (state.up, state.down_since) = (false, Some(self.now));
                 let mine: Vec<u64> =
                     self.tries.iter().filter(|(_, t)| t.proxy == proxy).map(|(n, _)| *n).collect();
                 for number in mine {
                     self.tries.remove(&number);
-                    self.soon(Event::Answered { number, answer: Answer::Failed });
+                    self.schedule_after_hop(Event::ClientAnswered { number, answer: Answer::Failed });
                 }
-                self.set(self.now + self.script.clients.front_lag.0, Event::Noticed);
+                self.schedule(self.now + self.script.clients.front_lag.0, Event::FrontsChanged);
                 self.log.add(self.now, What::Proxy { proxy, up: false });
             }
             ProxyAct::Start => {
-                (held.up, held.down_since, held.sums) = (true, None, Sums::default());
-                held.sums_since = self.now;
+                (state.up, state.down_since, state.totals) = (true, None, Sums::default());
+                state.totals_since = self.now;
                 self.fronts = None;
                 self.log.add(self.now, What::Proxy { proxy, up: true });
             }
-            ProxyAct::Stall(span) => held.stalled_until = self.now + span,
+            ProxyAct::Stall(span) => state.stalled_until = self.now + span,
             ProxyAct::Path { servers, share } => servers.into_iter().for_each(|server| {
-                held.paths.insert(server, share);
+                state.path_loss.insert(server, share);
             }),
         }
     }
@@ -65,17 +68,17 @@
     pub(super) fn fleet_act(&mut self, act: FleetAct) {
         match act {
             FleetAct::List { server, shows } => {
-                self.shows[server] = shows;
-                if self.roster.is_some() {
-                    self.list();
+                self.listed_states[server] = shows;
+                if self.list_text.is_some() {
+                    self.publish_list();
                 }
             }
             FleetAct::RosterOut(true) => {
-                self.roster = None;
+                self.list_text = None;
                 self.log.add(self.now, What::RosterGone);
-                (0..self.desks.len()).for_each(|coordinator| self.read_roster(coordinator));
+                (0..self.coordinators.len()).for_each(|coordinator| self.read_roster(coordinator));
             }
-            FleetAct::RosterOut(false) => self.list(),
+            FleetAct::RosterOut(false) => self.publish_list(),
             FleetAct::BreakStreams(proxies) => proxies.into_iter().for_each(|proxy| {
                 self.end_stream(proxy);
                 self.redial(proxy);
@@ -83,34 +86,34 @@
             FleetAct::Unreach { proxies, on, .. } => {
                 for proxy in proxies {
                     self.end_stream(proxy);
-                    self.proxies[proxy].agent = !on;
+                    self.proxies[proxy].agent_up = !on;
                     self.redial(proxy);
                 }
             }
-            FleetAct::KillCoordinator(coordinator) => self.kill_desk(coordinator),
-            FleetAct::StartCoordinator(coordinator) => self.raise_desk(coordinator),
-            FleetAct::StallCoordinator(coordinator, on) => self.stall_desk(coordinator, on),
+            FleetAct::KillCoordinator(coordinator) => self.kill_coordinator(coordinator),
+            FleetAct::StartCoordinator(coordinator) => self.raise_coordinator(coordinator),
+            FleetAct::StallCoordinator(coordinator, on) => self.stall_coordinator(coordinator, on),
             FleetAct::UpgradeCoordinator(coordinator) => {
-                self.kill_desk(coordinator);
-                self.raise_desk(coordinator);
+                self.kill_coordinator(coordinator);
+                self.raise_coordinator(coordinator);
             }
             FleetAct::UpgradeAgent(proxy) => {
                 self.end_stream(proxy);
                 self.redial(proxy);
             }
             FleetAct::Leader { slot, strike } => {
-                if let Some(act) = self.struck.resolve(slot, strike, self.leader()) {
+                if let Some(act) = self.leader_strikes.resolve(slot, strike, self.leader()) {
                     self.fleet_act(act);
                 }
             }
-            FleetAct::Cut { coordinator, sends, gets } => self.cuts.set(coordinator, sends, gets),
+            FleetAct::Cut { coordinator, sends, gets } => self.network_cuts.set(coordinator, sends, gets),
             FleetAct::KillAgent(proxy) => {
                 self.end_stream(proxy);
-                self.proxies[proxy].agent = false;
+                self.proxies[proxy].agent_up = false;
                 self.redial(proxy);
             }
             FleetAct::StartAgent(proxy) => {
-                self.proxies[proxy].agent = true;
+                self.proxies[proxy].agent_up = true;
                 self.redial(proxy);
             }
         }
