--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -1,9 +1,9 @@
-//! Decisions of another build, hosted in a process of their own: a `craneknot-wirehost` of any commit, spoken to in its JSON
-//! lines as the simulator of the users does. So two builds of the decisions meet the same days.
+//! Runs the controller of another build in a separate process: a `craneknot-wirehost` of any commit, driven by the JSON
+//! lines that the users' simulator sends. This allows two builds of the controller to be compared on the same days.
 //!
-//! The lines carry moments in microseconds and no names of ours: zones, kinds and classes go by their places. What comes from
-//! this program's own decisions in [`Quantized`] is rounded alike, so that the same build in either form plays the same day to the
-//! last digit.
+//! The lines carry times in microseconds, and zones, kinds and classes by their indices instead of their names.
+//! [`Quantized`] rounds the input and output of this program's own controller in the same way, so that the same build
+//! yields the same day to the last digit in either form.
 
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -16,23 +16,23 @@
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
 
-const INSTANCE: &str = "coordinator-0"; // each process hosts one
-const PLACES: u16 = 256; // zones and kinds that can be told apart by their places
-const DIGITS: i32 = 12; // significant digits of a figure that is no moment: any reader of decimals gets back the same one
+const INSTANCE: &str = "coordinator-0"; // each process hosts one instance
+const MAX_INDICES: u16 = 256; // number of zones, and of kinds, that the settings on the wire list
+const SIGNIFICANT_DIGITS: i32 = 12; // of numbers other than times; few enough that every decimal parser reads back the same value
 
-/// Whose decisions are played.
+/// The build whose controller runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Build {
     /// This program's.
     #[default]
     Own,
-    /// This program's, told moments and figures as coarsely as a hosted build is.
+    /// This program's, with times and numbers rounded as for a hosted build.
     OwnQuantized,
-    /// Those of a wirehost, the path of its program.
+    /// That of a wirehost; the path of its program.
     Hosted(PathBuf),
 }
 
-/// The first thing that went wrong with any hosted process of a run.
+/// The first failure of any hosted process of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Fault(Arc<Mutex<Option<String>>>);
 
@@ -49,7 +49,7 @@
 }
 
 impl Build {
-    /// Starts its decisions.
+    /// Starts a controller of this build.
     pub fn start(&self, settings: &Settings, seed: u64, now: Nanos, fault: &Fault) -> Box<dyn Decide> {
         match self {
             Build::Own => Box::new(Controller::new(settings.clone(), seed, now)),
@@ -58,28 +58,28 @@
                 Ok(hosted) => Box::new(hosted),
                 Err(cause) => {
                     fault.set(format!("{}: {cause}", program.display()));
-                    Box::new(Nothing)
+                    Box::new(FailedController)
                 }
             },
         }
     }
 }
 
-/// Decides nothing: the run has failed.
-struct Nothing;
+/// Returns no orders; stands in for a controller that failed to start.
+struct FailedController;
 
-impl Decide for Nothing {
+impl Decide for FailedController {
     fn step(&mut self, _: Nanos, _: &[Event]) -> Vec<Order> {
         Vec::new()
     }
 }
 
-/// This program's decisions, told as coarsely as the lines of JSON tell.
+/// This program's controller, with input and output rounded as in the JSON lines.
 pub struct Quantized(Controller);
 
 impl Decide for Quantized {
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order> {
-        let events: Vec<Event> = events.iter().filter_map(coarse).collect();
+        let events: Vec<Event> = events.iter().filter_map(quantize_event).collect();
         let orders = self.0.step(micros(now), &events).into_iter();
         let order = |order| match order {
             Order::Wake { after } => Order::Wake { after: micros(after) },
@@ -94,20 +94,20 @@
     }
 }
 
-/// In whole microseconds.
+/// Rounds to whole microseconds.
 fn micros(span: Nanos) -> Nanos {
     Nanos::from_secs(span.secs())
 }
 
-/// To some significant digits.
+/// Rounds to `SIGNIFICANT_DIGITS` digits.
 fn rounded(value: f64) -> f64 {
     if value == 0.0 || !value.is_finite() {
         return value;
     }
-    format!("{value:.*e}", DIGITS as usize - 1).parse().unwrap_or(value)
+    format!("{value:.*e}", SIGNIFICANT_DIGITS as usize - 1).parse().unwrap_or(value)
 }
 
-fn coarse_report(report: &LoadReport) -> LoadReport {
+fn quantize_report(report: &LoadReport) -> LoadReport {
     LoadReport {
         busy: report.busy.map(rounded),
         in_flight: report.in_flight.map(rounded),
@@ -115,8 +115,8 @@
     }
 }
 
-/// An event as the lines can carry it; nothing where they cannot.
-fn coarse(event: &Event) -> Option<Event> {
+/// An event with the precision of the JSON lines; none if the lines cannot carry it.
+fn quantize_event(event: &Event) -> Option<Event> {
     let mut event = event.clone();
     match &mut event {
         Event::List { entries, .. } => {
@@ -129,14 +129,15 @@
         }
         Event::ProxyJoined { usual_rate, .. } => *usual_rate = rounded(*usual_rate),
         Event::TriesReported { span, latency, report, .. } => {
-            (*span, *latency, *report) = (micros(*span), micros(*latency), coarse_report(report));
+            (*span, *latency, *report) = (micros(*span), micros(*latency), quantize_report(report));
         }
         Event::Demand { span, .. } => *span = micros(*span),
         Event::Probed { latency: took, report, .. } => {
-            (*took, *report) = (micros(*took), coarse_report(report))
+            (*took, *report) = (micros(*took), quantize_report(report))
         }
         Event::ProxyLeft { .. } | Event::Applied { .. } | Event::Woken => {}
-        // A shared fleet's, and key ranges': the lines have no words for the first, the coordinator no use for the others.
+        // Events of a shared fleet, which the lines cannot carry, and events of key ranges, which the coordinator does not
+        // use.
         Event::ExistingBinding { .. }
         | Event::OrderRefused { .. }
         | Event::PeerMessage { .. }
@@ -147,7 +148,7 @@
     Some(event)
 }
 
-/// The decisions of another process.
+/// A controller in another process.
 pub struct Hosted {
     child: Child,
     input: BufWriter<ChildStdin>,
@@ -176,16 +177,16 @@
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
         let mut child = command.spawn()?;
         let pipes = child.stdin.take().zip(child.stdout.take());
-        let (input, output) = pipes.ok_or(io::Error::other("has no pipes"))?;
+        let (input, output) = pipes.ok_or(io::Error::other("the process has no pipes"))?;
         let (input, output) = (BufWriter::new(input), BufReader::new(output));
         let mut hosted = Hosted { child, input, output, batch: 0, failed: false, fault };
-        let spawn = json!(["SPAWN", INSTANCE, seed, config(settings)]);
-        hosted.talk(micros(now), &[spawn])?;
+        let spawn = json!(["SPAWN", INSTANCE, seed, wire_settings(settings)]);
+        hosted.exchange(micros(now), &[spawn])?;
         Ok(hosted)
     }
 
-    /// One batch there and back.
-    fn talk(&mut self, now: Nanos, lines: &[Value]) -> io::Result<Vec<Order>> {
+    /// Sends one batch of events and reads the orders in reply.
+    fn exchange(&mut self, now: Nanos, lines: &[Value]) -> io::Result<Vec<Order>> {
         self.batch += 1;
         writeln!(self.input, "{}", json!(["TICK", now.secs(), self.batch]))?;
         lines.iter().try_for_each(|line| writeln!(self.input, "{line}"))?;
@@ -195,12 +196,12 @@
         loop {
             text.clear();
             if self.output.read_line(&mut text)? == 0 {
-                return Err(io::Error::other("has ended in the middle of a turn"));
+                return Err(io::Error::other("the process ended in the middle of a turn"));
             }
-            match reply(&text).map_err(io::Error::other)? {
+            match parse_reply(&text).map_err(io::Error::other)? {
                 Reply::Done => return Ok(orders),
                 Reply::Order(order) => orders.push(order),
-                Reply::Said => {}
+                Reply::Log => {}
             }
         }
     }
@@ -212,10 +213,10 @@
             return Vec::new();
         }
         let mut lines = Vec::new();
-        events.iter().filter_map(coarse).for_each(|event| say(&event, &mut lines));
-        self.talk(micros(now), &lines).unwrap_or_else(|cause| {
+        events.iter().filter_map(quantize_event).for_each(|event| encode_event(&event, &mut lines));
+        self.exchange(micros(now), &lines).unwrap_or_else(|cause| {
             self.failed = true;
-            self.fault.set(format!("the hosted decisions failed at {} s: {cause}", now.secs()));
+            self.fault.set(format!("the hosted controller failed at {} s: {cause}", now.secs()));
             Vec::new()
         })
     }
@@ -233,8 +234,8 @@
     format!("class-{class}")
 }
 
-/// The settings in the words of the lines.
-fn config(settings: &Settings) -> Value {
+/// Encodes the settings for the JSON lines.
+fn wire_settings(settings: &Settings) -> Value {
     let profile = |(place, class): (usize, &ClassSettings)| {
         let semantics = match class.repeats {
             Repeats::Safe => "free",
@@ -267,8 +268,8 @@
         rules["ask-within"] = settings.list_known_within.secs().into();
     }
     json!({
-        "localities": (0..PLACES).map(|place| zone_name(ZoneId(place))).collect::<Vec<String>>(),
-        "kinds": (0..PLACES).map(|place| kind_name(KindId(place))).collect::<Vec<String>>(),
+        "localities": (0..MAX_INDICES).map(|place| zone_name(ZoneId(place))).collect::<Vec<String>>(),
+        "kinds": (0..MAX_INDICES).map(|place| kind_name(KindId(place))).collect::<Vec<String>>(),
         "reporting": {"names": ["busy", "rif", "lat_ms"]},
         "profiles": settings.classes.iter().enumerate().map(profile).collect::<Vec<Value>>(),
         "balancers": settings.controllers,
@@ -291,12 +292,12 @@
     })
 }
 
-fn report(report: &LoadReport) -> Value {
+fn wire_report(report: &LoadReport) -> Value {
     json!([report.busy, report.in_flight, report.service_time.map(|span| span.secs() * 1e3)])
 }
 
-/// An event in the words of the lines.
-fn say(event: &Event, lines: &mut Vec<Value>) {
+/// Encodes an event as JSON lines.
+fn encode_event(event: &Event, lines: &mut Vec<Value>) {
     match event {
         Event::List { scope, entries } => {
             let row = |entry: &Listing| {
@@ -340,7 +341,7 @@
                 span,
                 latency,
                 zone,
-                report(load)
+                wire_report(load)
             ]));
         }
         Event::Demand { proxy, class, arrived, unanswered, span } => {
@@ -353,11 +354,11 @@
                 ProbeOutcome::TurnedAway => 254,
                 ProbeOutcome::Failed => 255,
             };
-            lines.push(json!(["SAMPLED", INSTANCE, &*server.0, how, took.secs(), report(load)]));
+            lines.push(json!(["SAMPLED", INSTANCE, &*server.0, how, took.secs(), wire_report(load)]));
         }
         Event::Applied { proxy, mark } => lines.push(json!(["RECEIPT", INSTANCE, proxy.0, mark])),
         Event::Woken => lines.push(json!(["TIMEOUT_FIRED", INSTANCE, "turn"])),
-        // Left out by `coarse`.
+        // Dropped by `quantize_event`.
         Event::ExistingBinding { .. }
         | Event::OrderRefused { .. }
         | Event::PeerMessage { .. }
@@ -369,28 +370,28 @@
 
 enum Reply {
     Order(Order),
-    /// A word for the log.
-    Said,
+    /// A log message.
+    Log,
     Done,
 }
 
-/// One line that came back. Figures are read by the standard library, whose reading is exact.
-fn reply(text: &str) -> Result<Reply, String> {
-    let strange = || format!("said what is not understood: {}", text.trim_end());
-    let values: Vec<&RawValue> = serde_json::from_str(text).map_err(|_| strange())?;
-    let at = |place: usize| values.get(place).map(|value| value.get()).ok_or_else(strange);
-    let number = |place: usize| at(place)?.parse::<f64>().map_err(|_| strange());
-    let whole = |place: usize| at(place)?.parse::<u32>().map_err(|_| strange());
-    let small = |place: usize| at(place)?.parse::<u16>().map_err(|_| strange());
-    let word = |place: usize| serde_json::from_str::<String>(at(place)?).map_err(|_| strange());
-    let server = |place: usize| Ok::<ServerId, String>(ServerId(word(place)?.into()));
-    Ok(Reply::Order(match word(0)?.as_str() {
+/// Parses one line of output. Numbers are parsed by the standard library, whose parsing is exact.
+fn parse_reply(text: &str) -> Result<Reply, String> {
+    let malformed = || format!("malformed reply: {}", text.trim_end());
+    let values: Vec<&RawValue> = serde_json::from_str(text).map_err(|_| malformed())?;
+    let at = |place: usize| values.get(place).map(|value| value.get()).ok_or_else(malformed);
+    let number = |place: usize| at(place)?.parse::<f64>().map_err(|_| malformed());
+    let whole = |place: usize| at(place)?.parse::<u32>().map_err(|_| malformed());
+    let short = |place: usize| at(place)?.parse::<u16>().map_err(|_| malformed());
+    let string = |place: usize| serde_json::from_str::<String>(at(place)?).map_err(|_| malformed());
+    let server = |place: usize| Ok::<ServerId, String>(ServerId(string(place)?.into()));
+    Ok(Reply::Order(match string(0)?.as_str() {
         "OK" => return Ok(Reply::Done),
-        "SAY_LOG" => return Ok(Reply::Said),
-        "INTERNAL_ERROR" => return Err(format!("its decisions failed: {}", word(2)?)),
-        "WEIGH" => Order::Line { weight: number(2)?, table: TableId(small(3)?), server: server(4)? },
+        "SAY_LOG" => return Ok(Reply::Log),
+        "INTERNAL_ERROR" => return Err(format!("the hosted controller reported an error: {}", string(2)?)),
+        "WEIGH" => Order::Line { weight: number(2)?, table: TableId(short(3)?), server: server(4)? },
         "HAND_TABLE" => {
-            Order::Bind { classes: ClassSet(whole(2)?), proxy: ProxyId(small(3)?), table: TableId(small(4)?) }
+            Order::Bind { classes: ClassSet(whole(2)?), proxy: ProxyId(short(3)?), table: TableId(short(4)?) }
         }
         "ALLOW" => Order::Level {
             classes: ClassSet(whole(2)?),
@@ -400,15 +401,15 @@
                 1 => Retries::IfNotExecuted,
                 2 => Retries::Once,
                 3 => Retries::Twice,
-                _ => return Err(strange()),
+                _ => return Err(malformed()),
             },
-            table: TableId(small(5)?),
+            table: TableId(short(5)?),
         },
         "INSPECT" => Order::Probe { server: server(2)? },
-        "STAMP" => Order::Mark { mark: small(2)? },
+        "STAMP" => Order::Mark { mark: short(2)? },
         "SUBSCRIBE" => Order::WatchList,
         "SLEEP" => Order::Wake { after: Nanos::from_secs(number(2)?) },
-        _ => return Err(strange()),
+        _ => return Err(malformed()),
     }))
 }
 
@@ -417,20 +418,20 @@
     use super::*;
 
     #[test]
-    fn figures_are_rounded_so_that_any_reader_gets_the_same() {
+    fn rounded_numbers_survive_a_round_trip_as_text() {
         for value in [0.1 + 0.2, 1.0 / 3.0, 123_456.789_012_345_67, 1e-9, 0.0, -2.0 / 7.0] {
-            let once = rounded(value);
-            assert!((once - value).abs() <= value.abs() * 1e-11);
-            assert_eq!(rounded(once), once);
-            let text = serde_json::to_string(&once).unwrap();
-            assert_eq!(serde_json::from_str::<f64>(&text).unwrap(), once);
+            let rounded_once = rounded(value);
+            assert!((rounded_once - value).abs() <= value.abs() * 1e-11);
+            assert_eq!(rounded(rounded_once), rounded_once);
+            let text = serde_json::to_string(&rounded_once).unwrap();
+            assert_eq!(serde_json::from_str::<f64>(&text).unwrap(), rounded_once);
         }
     }
 
     #[test]
-    fn strange_replies_are_named_and_never_half_taken() {
-        assert!(matches!(reply("[\"OK\",3]"), Ok(Reply::Done)));
-        let line = reply("[\"WEIGH\",\"c\",0.30000000000000004,117,\"a:1\"]");
+    fn malformed_replies_are_rejected_with_an_error() {
+        assert!(matches!(parse_reply("[\"OK\",3]"), Ok(Reply::Done)));
+        let line = parse_reply("[\"WEIGH\",\"c\",0.30000000000000004,117,\"a:1\"]");
         let Ok(Reply::Order(Order::Line { weight, table, .. })) = line else { panic!() };
         assert_eq!((weight, table), (0.1 + 0.2, TableId(117)));
         for text in [
@@ -443,20 +444,20 @@
             "[\"HAND_TABLE\",\"c\",1,70000,1]",
             "[\"WIPE\",\"c\",1]",
         ] {
-            assert!(reply(text).is_err(), "{text}");
+            assert!(parse_reply(text).is_err(), "{text}");
         }
-        let failed = reply("[\"INTERNAL_ERROR\",\"c\",\"index out of range\"]");
+        let failed = parse_reply("[\"INTERNAL_ERROR\",\"c\",\"index out of range\"]");
         assert!(failed.is_err_and(|cause| cause.contains("index out of range")));
     }
 
     #[test]
-    fn a_program_that_is_not_there_fails_the_run_and_says_so() {
+    fn a_missing_program_fails_the_run_with_its_path() {
         let fault = Fault::default();
         let build = Build::Hosted(PathBuf::from("/nowhere/at/all"));
         let script = craneknot_rehearsal::Script::built_in().unwrap();
         let settings = craneknot_rehearsal::conduct::coordinator_settings(&script, 0).controller_settings().1;
-        let mut decider = build.start(&settings, 1, Nanos(0), &fault);
-        assert!(decider.step(Nanos(1), &[Event::Woken]).is_empty());
+        let mut controller = build.start(&settings, 1, Nanos(0), &fault);
+        assert!(controller.step(Nanos(1), &[Event::Woken]).is_empty());
         assert!(fault.get().unwrap().contains("/nowhere/at/all"));
     }
 }
--- a/crates/craneknot-model/src/timeline.rs
+++ b/crates/craneknot-model/src/timeline.rs
@@ -1,30 +1,30 @@
-//! A recorded run second by second.
+//! Statistics of a recorded run, per second.
 
 use std::collections::BTreeMap;
 
 use craneknot_rehearsal::recording::{End, How, Line, Recording};
 use serde::Serialize;
 
-/// One second, by when operations were asked for.
+/// The statistics of one second; operations count in the second in which they were requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
     pub asked: u32,
-    /// Importance asked for, and that answered within the goal.
+    /// Total importance requested, and the part of it answered within the latency goal.
     pub importance: f64,
     pub in_goal: f64,
     pub refused: u32,
     pub failed: u32,
-    /// Tries that proxies sent for each operation asked for count here, by when they ended.
+    /// Tries of operations, counted in the second in which they ended.
     pub tries: u32,
     pub swaps: u32,
-    /// Servers by class that proxies' tables gained or lost.
+    /// Number of servers that proxies' tables gained or lost, counted per class.
     pub moved: u32,
-    /// The most lines in any coordinator's channel.
+    /// The largest number of lines queued in any coordinator's channel.
     pub queue: f64,
 }
 
 impl Second {
-    /// Importance answered within the goal over importance asked for; 1 where nothing was.
+    /// Importance answered within the latency goal over importance requested; 1 if none was requested.
     pub fn service(&self) -> f64 {
         if self.importance > 0.0 {
             self.in_goal / self.importance
@@ -37,30 +37,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Timeline {
     pub seconds: Vec<Second>,
-    /// Good answers in each second, by server.
+    /// Successful answers per second, by server.
     pub servers: BTreeMap<u32, Vec<u32>>,
-    /// What the script's troubles are called, and from when to when they last, s.
+    /// Name, start and end of each fault of the script, in seconds.
     pub troubles: Vec<(String, f64, f64)>,
 }
 
-const MICROS: i64 = 1_000_000; // in a second
+const MICROS_PER_SECOND: i64 = 1_000_000;
 
 impl Timeline {
     pub fn from_recording(recording: &Recording) -> Self {
         let script = &recording.head.script;
         let count = script.length.0.secs().ceil() as usize;
-        let mut line = Timeline { seconds: vec![Second::default(); count], ..Timeline::default() };
-        let place = |at: i64| usize::try_from(at.div_euclid(MICROS)).ok().filter(|place| *place < count);
+        let mut stats = Timeline { seconds: vec![Second::default(); count], ..Timeline::default() };
+        let place =
+            |at: i64| usize::try_from(at.div_euclid(MICROS_PER_SECOND)).ok().filter(|place| *place < count);
         for one in &recording.lines {
             match one {
                 Line::Asked(at, class, _) => {
-                    let Some(second) = place(*at).map(|place| &mut line.seconds[place]) else { continue };
+                    let Some(second) = place(*at).map(|place| &mut stats.seconds[place]) else { continue };
                     second.asked += 1;
                     second.importance += script.classes[usize::from(*class)].importance;
                 }
                 Line::Ended(at, class, how, took) => {
-                    let asked = at - *took as i64;
-                    let Some(second) = place(asked).map(|place| &mut line.seconds[place]) else { continue };
+                    let from = at - *took as i64;
+                    let Some(second) = place(from).map(|place| &mut stats.seconds[place]) else { continue };
                     match how {
                         End::InGoal => second.in_goal += script.classes[usize::from(*class)].importance,
                         End::Refused => second.refused += 1,
@@ -70,24 +71,24 @@
                 }
                 Line::Tried(at, _, server, _, how, _) => {
                     let Some(place) = place(*at) else { continue };
-                    line.seconds[place].tries += 1;
+                    stats.seconds[place].tries += 1;
                     if *how == How::Good {
-                        line.servers.entry(*server).or_insert_with(|| vec![0; count])[place] += 1;
+                        stats.servers.entry(*server).or_insert_with(|| vec![0; count])[place] += 1;
                     }
                 }
                 Line::Swapped(at, _, moved, _) => {
-                    let Some(second) = place(*at).map(|place| &mut line.seconds[place]) else { continue };
+                    let Some(second) = place(*at).map(|place| &mut stats.seconds[place]) else { continue };
                     second.swaps += 1;
                     second.moved += moved;
                 }
                 Line::Queue(at, _, lines) => {
-                    let Some(second) = place(*at).map(|place| &mut line.seconds[place]) else { continue };
+                    let Some(second) = place(*at).map(|place| &mut stats.seconds[place]) else { continue };
                     second.queue = second.queue.max(*lines);
                 }
                 Line::Server(..) | Line::Coordinator(..) => {}
             }
         }
-        line.troubles = script
+        stats.troubles = script
             .troubles
             .iter()
             .map(|trouble| {
@@ -97,7 +98,7 @@
                 (name, at, at + length)
             })
             .collect();
-        line
+        stats
     }
 }
 
@@ -112,18 +113,18 @@
         let script = Script::built_in().unwrap();
         let played = play_with_options(&script, RunOptions::default());
         let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
-        let line = Timeline::from_recording(&recording);
-        let sum = |of: fn(&Second) -> u64| line.seconds.iter().map(of).sum::<u64>();
+        let stats = Timeline::from_recording(&recording);
+        let sum = |of: fn(&Second) -> u64| stats.seconds.iter().map(of).sum::<u64>();
         let service = &played.report.service;
         assert_eq!(sum(|second| u64::from(second.asked)), service.asked);
         assert_eq!(sum(|second| u64::from(second.refused)), service.refused);
         assert_eq!(sum(|second| u64::from(second.failed)), service.failed + service.given_up);
-        let importance: f64 = line.seconds.iter().map(|second| second.importance).sum();
-        let in_goal: f64 = line.seconds.iter().map(|second| second.in_goal).sum();
+        let importance: f64 = stats.seconds.iter().map(|second| second.importance).sum();
+        let in_goal: f64 = stats.seconds.iter().map(|second| second.in_goal).sum();
         assert!((in_goal / importance - service.service).abs() < 1e-9);
-        let answers: u32 = line.servers.values().flatten().sum();
-        // Answers after the last second are not in it.
+        let answers: u32 = stats.servers.values().flatten().sum();
+        // The timeline leaves out answers after the last second.
         assert!(f64::from(answers) > 0.97 * service.in_goal as f64, "{answers}");
-        assert_eq!(line.troubles.len(), script.troubles.len());
+        assert_eq!(stats.troubles.len(), script.troubles.len());
     }
 }
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -201,24 +201,18 @@
                 let metadata = BTreeMap::from([(CLOSED_AT.to_owned(), closed.into())]);
                 let node = Some(Node { id: format!("proxy-{proxy}"), metadata, ..Node::default() });
                 let report = Box::new(LoadStatsRequest { node, cluster_stats });
-                self.schedule_after_hop(Event::ReportReceived { proxy, coordinator, report });
+                self.schedule_after_hop(Event::Reported { proxy, coordinator, report });
             }
         }
         self.schedule(self.now + self.script.report_period.0, Event::SendReport { proxy, stream });
     }
 
-    pub(super) fn report_received(
-        &mut self,
-        proxy: usize,
-        coordinator: usize,
-        report: Box<LoadStatsRequest>,
-    ) {
+    pub(super) fn handle_report(&mut self, proxy: usize, coordinator: usize, report: Box<LoadStatsRequest>) {
         if self.proxies[proxy].stream.is_none_or(|(of, _)| of != coordinator) {
             return;
         }
         if self.stalled[coordinator] {
-            return self
-                .schedule(self.now + STALL_RECHECK, Event::ReportReceived { proxy, coordinator, report });
+            return self.schedule(self.now + STALL_RECHECK, Event::Reported { proxy, coordinator, report });
         }
         if self.options.cost {
             // All classes of one report cover the same interval.
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -11,12 +11,11 @@
     pub(super) fn start_coordinator(&mut self, coordinator: usize) {
         let mut settings = coordinator_settings(self.script, coordinator);
         // The simulation routes datagrams by members' names; the addresses are placeholders.
-        let addresses: Vec<SocketAddr> = (0..self.coordinators.len()).map(member_address).collect();
+        let peers: Vec<SocketAddr> = (0..self.coordinators.len()).map(member_address).collect();
         settings.ledger = self.options.ledgers.then(|| LedgerSettings::at("ledger.gz"));
         let shared = self.script.shared.as_ref();
-        settings.shared = shared.map(|shared| {
-            shared_settings(coordinator, &addresses, member_address(coordinator), shared.lease)
-        });
+        settings.shared = shared
+            .map(|shared| shared_settings(coordinator, &peers, member_address(coordinator), shared.lease));
         let seed = settings.seed.unwrap_or(0) ^ self.options.seed_xor;
         let own = Build::Own;
         let (build, fault, now) = (self.options.build.unwrap_or(&own), &self.fault, self.now);
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -75,7 +75,7 @@
         proxy: usize,
         stream: StreamId,
     },
-    ReportReceived {
+    Reported {
         proxy: usize,
         coordinator: usize,
         report: Box<LoadStatsRequest>,
@@ -503,9 +503,7 @@
             }
             Event::ProxyReport(proxy) => self.proxy_report(proxy),
             Event::SendReport { proxy, stream } => self.send_report(proxy, stream),
-            Event::ReportReceived { proxy, coordinator, report } => {
-                self.report_received(proxy, coordinator, report)
-            }
+            Event::Reported { proxy, coordinator, report } => self.handle_report(proxy, coordinator, report),
             Event::Probed { coordinator, server, since } => self.probe_answered(coordinator, server, since),
             Event::Datagram { to, text } => self.receive_datagram(to, &text),
             Event::AgentRedirected { proxy, stream, to } => self.agent_redirected(proxy, stream, to),
