--- a/crates/craneknot-settings/src/agent.rs
+++ b/crates/craneknot-settings/src/agent.rs
@@ -40,12 +40,14 @@
 }
 
 impl CoordinatorAddress {
+    /// The address to connect to.
     pub fn address(&self) -> SocketAddr {
         match self {
             CoordinatorAddress::Plain(address) | CoordinatorAddress::Named { address, .. } => *address,
         }
     }
 
+    /// The name, if the settings give one.
     pub fn name(&self) -> Option<&str> {
         match self {
             CoordinatorAddress::Plain(_) => None,
--- a/crates/craneknot-settings/src/coordinator.rs
+++ b/crates/craneknot-settings/src/coordinator.rs
@@ -418,6 +418,7 @@
         ZoneId(index_of(&mut self.zones, name))
     }
 
+    /// The id of a kind; an unknown name is added with the next id.
     pub fn kind(&mut self, name: &str) -> KindId {
         KindId(index_of(&mut self.kinds, name))
     }
@@ -434,6 +435,7 @@
         self.kinds.get(usize::from(kind.0)).map_or("", String::as_str)
     }
 
+    /// The index of a class.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|known| known == name)
     }
--- a/crates/craneknot-settings/src/instance.rs
+++ b/crates/craneknot-settings/src/instance.rs
@@ -14,14 +14,17 @@
 }
 
 impl InstanceNames {
+    /// The id of a zone; an unknown name is added with the next id.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         self.names.zone(name)
     }
 
+    /// The id of a kind; an unknown name is added with the next id.
     pub fn kind(&mut self, name: &str) -> KindId {
         self.names.kind(name)
     }
 
+    /// The id of a class; none for an unknown name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.names.class(name).and_then(|index| u8::try_from(index).ok()).map(ClassId)
     }
--- a/crates/craneknot-xds/src/discovery.rs
+++ b/crates/craneknot-xds/src/discovery.rs
@@ -20,8 +20,10 @@
 }
 
 impl Kind {
+    /// All kinds, in the order in which they must be applied.
     pub const ALL: [Kind; 3] = [Kind::Endpoints, Kind::Routes, Kind::Clusters];
 
+    /// The type URL of the published resource.
     pub fn type_url(self) -> &'static str {
         match self {
             Kind::Endpoints => "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
@@ -48,10 +50,12 @@
         }
     }
 
+    /// The kind with that REST-JSON path.
     pub fn from_path(path: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.path() == path)
     }
 
+    /// The kind with that type URL.
     pub fn from_type_url(type_url: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.type_url() == type_url)
     }
@@ -69,6 +73,7 @@
 }
 
 impl Locality {
+    /// A locality that has only a zone.
     pub fn zone(zone: &str) -> Self {
         Locality { zone: zone.to_owned(), ..Locality::default() }
     }
--- a/crates/craneknot-xds/src/load.rs
+++ b/crates/craneknot-xds/src/load.rs
@@ -56,6 +56,7 @@
 pub struct Seconds(pub f64);
 
 impl Seconds {
+    /// Formats the seconds with the suffix `s`, with nine decimals unless they are whole.
     pub fn text(self) -> String {
         let nanos = (self.0.clamp(0.0, 1e9) * 1e9).round() as u64;
         let (whole, rest) = (nanos / 1_000_000_000, nanos % 1_000_000_000);
@@ -66,6 +67,7 @@
         }
     }
 
+    /// Parses a number with the suffix `s`; none if it is negative or not finite.
     pub fn parse(text: &str) -> Option<Self> {
         let seconds: f64 = text.strip_suffix('s')?.parse().ok()?;
         (seconds.is_finite() && seconds >= 0.0).then_some(Seconds(seconds))
@@ -86,6 +88,7 @@
     }
 }
 
+/// `envoy.config.endpoint.v3.EndpointLoadMetricStats`: the total of one metric.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MetricStats {
@@ -107,6 +110,7 @@
     }
 }
 
+/// `envoy.config.endpoint.v3.UpstreamEndpointStats`: the load of one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EndpointStats {
@@ -124,11 +128,13 @@
 }
 
 impl EndpointStats {
+    /// The metric of that name.
     pub fn metric(&self, name: &str) -> Option<&MetricStats> {
         self.load_metric_stats.iter().find(|metric| metric.metric_name == name)
     }
 }
 
+/// `envoy.config.endpoint.v3.UpstreamLocalityStats`: the load of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LocalityStats {
@@ -145,6 +151,7 @@
     pub upstream_endpoint_stats: Vec<EndpointStats>,
 }
 
+/// `envoy.config.endpoint.v3.ClusterStats`: the load of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClusterStats {
--- a/crates/craneknot-xds/src/orca.rs
+++ b/crates/craneknot-xds/src/orca.rs
@@ -5,8 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The name of the header.
 pub const HEADER: &str = "endpoint-load-metrics";
 
+/// The load report of one answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
@@ -18,6 +20,7 @@
 }
 
 impl LoadReport {
+    /// Formats the report as a header value in the `JSON` form.
     pub fn header(&self) -> String {
         format!("JSON {}", serde_json::to_string(self).unwrap_or_default())
     }
--- a/crates/craneknot-xds/src/resources.rs
+++ b/crates/craneknot-xds/src/resources.rs
@@ -31,12 +31,14 @@
     }
 }
 
+/// `envoy.config.core.v3.Address`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
     #[serde(alias = "socketAddress")]
     pub socket_address: SocketAddress,
 }
 
+/// `envoy.config.endpoint.v3.Endpoint`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     pub address: Address,
@@ -55,6 +57,7 @@
     Degraded,
 }
 
+/// `envoy.config.endpoint.v3.LbEndpoint`: a line of a table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LbEndpoint {
     pub endpoint: Endpoint,
@@ -65,6 +68,7 @@
     pub load_balancing_weight: u32,
 }
 
+/// `envoy.config.endpoint.v3.LocalityLbEndpoints`: the lines of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocalityLbEndpoints {
     #[serde(default)]
@@ -93,11 +97,13 @@
     pub resource_api_version: String,
 }
 
+/// `envoy.config.core.v3.PathConfigSource`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PathConfigSource {
     pub path: String,
 }
 
+/// `envoy.config.cluster.v3.Cluster.EdsClusterConfig`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdsClusterConfig {
     #[serde(alias = "edsConfig")]
@@ -120,6 +126,7 @@
     pub lb_policy: String,
 }
 
+/// `envoy.config.route.v3.RouteMatch`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteMatch {
     pub prefix: String,
@@ -138,11 +145,13 @@
     pub retry_host_predicate: Vec<Named>,
 }
 
+/// An extension, identified by its name alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Named {
     pub name: String,
 }
 
+/// `envoy.config.route.v3.RouteAction`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteAction {
     pub cluster: String,
@@ -168,6 +177,7 @@
     HttpFault { abort: FaultAbort },
 }
 
+/// `envoy.type.v3.HttpStatus`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpStatus {
     /// The code's name in the published enumeration.
@@ -183,6 +193,7 @@
     pub fill_interval: String,
 }
 
+/// `envoy.extensions.filters.http.fault.v3.FaultAbort`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultAbort {
     pub http_status: u32,
@@ -197,6 +208,7 @@
     pub denominator: String,
 }
 
+/// `envoy.config.route.v3.Route`: the route of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     #[serde(rename = "match")]
@@ -206,6 +218,7 @@
     pub typed_per_filter_config: BTreeMap<String, FilterConfig>,
 }
 
+/// `envoy.config.route.v3.VirtualHost`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VirtualHost {
     pub name: String,
