--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// The first failure, if there is one.
     pub fn get(&self) -> Option<String> {
         self.0.lock().ok()?.clone()
     }
@@ -166,6 +167,7 @@
 }
 
 impl Hosted {
+    /// Starts the process and sends the settings.
     pub fn start(
         program: &Path,
         settings: &Settings,
--- a/crates/craneknot-model/src/timeline.rs
+++ b/crates/craneknot-model/src/timeline.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// The statistics of a recorded run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Timeline {
     pub seconds: Vec<Second>,
@@ -46,6 +47,7 @@
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
 impl Timeline {
+    /// Computes the statistics of a recording.
     pub fn from_recording(recording: &Recording) -> Self {
         let script = &recording.head.script;
         let count = script.length.0.secs().ceil() as usize;
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -2,8 +2,8 @@
 
 mod agents;
 mod coordinators;
+mod faults;
 mod operations;
-mod troubles;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
