--- a/crates/craneknot-agent/src/proxy_resources.rs
+++ b/crates/craneknot-agent/src/proxy_resources.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
+use craneknot_xds::convert;
 use craneknot_xds::discovery::{self, DiscoveryResponse, FileVersion, Kind, Status};
-use craneknot_xds::meaning;
 use craneknot_xds::resources::{Cluster, ClusterLoadAssignment, RouteConfiguration};
 
 const MAX_TABLES: usize = 4_096; // a proxy has a few classes and one table for each
@@ -108,7 +108,7 @@
     pub fn fingerprints(&self) -> BTreeMap<String, (String, String)> {
         let fingerprint = |kind: Kind, table: &String| {
             let resource = self.contents.get(&kind).and_then(|contents| contents.get(table));
-            resource.map_or(String::new(), |resource| discovery::print_of(resource.text.as_bytes()))
+            resource.map_or(String::new(), |resource| discovery::fingerprint(resource.text.as_bytes()))
         };
         let tables = self.bound_tables().into_values();
         tables
@@ -237,7 +237,7 @@
     pub fn lines(&self, class: &str) -> Option<Vec<(String, f64)>> {
         let table = &self.contents.get(&Kind::Clusters)?.get(class)?.table;
         let text = &self.contents.get(&Kind::Endpoints)?.get(table)?.text;
-        serde_json::from_str(text).ok().map(|table| meaning::lines(&table))
+        serde_json::from_str(text).ok().map(|table| convert::lines(&table))
     }
 }
 
@@ -270,7 +270,7 @@
 fn routes_name(text: &str) -> Result<String, String> {
     let routes: RouteConfiguration = serde_json::from_str(text).map_err(|cause| cause.to_string())?;
     for route in routes.virtual_hosts.iter().flat_map(|host| &host.routes) {
-        meaning::admission(route)?;
+        convert::admission(route)?;
     }
     if routes.name.is_empty() {
         Err("routes without a name".into())
@@ -306,12 +306,12 @@
     fn table(name: &str, port: u16) -> String {
         let server = format!("127.0.0.1:{port}");
         let line =
-            meaning::Line { server: &server, zone: "north", weight: 1.0, health: HealthStatus::Healthy };
-        serde_json::to_string(&meaning::table(name, &[line])).unwrap()
+            convert::Line { server: &server, zone: "north", weight: 1.0, health: HealthStatus::Healthy };
+        serde_json::to_string(&convert::table(name, &[line])).unwrap()
     }
 
     fn cluster(class: &str, table: &str) -> String {
-        serde_json::to_string(&meaning::cluster(class, table, "RANDOM")).unwrap()
+        serde_json::to_string(&convert::cluster(class, table, "RANDOM")).unwrap()
     }
 
     fn apply(resources: &mut ProxyResources, kind: Kind, number: u64, added: Vec<String>) -> Vec<Kind> {
--- a/crates/craneknot-cli/src/model.rs
+++ b/crates/craneknot-cli/src/model.rs
@@ -8,7 +8,7 @@
 use craneknot_model::experiment::{self, Asked, Axis, Outcome, Single};
 use craneknot_model::hosted::Build;
 use craneknot_model::plot::{self, Input};
-use craneknot_model::world::{play_whole, Ask, ROUND_TRIP};
+use craneknot_model::world::{play_with_options, RunOptions, ROUND_TRIP};
 use craneknot_model::{feed, fit, hunt};
 use craneknot_rehearsal::recording::Recording;
 use craneknot_rehearsal::Script;
@@ -249,14 +249,15 @@
             };
             if let Some(folder) = ledgers {
                 fs::create_dir_all(&folder).map_err(system_failure)?;
-                let played = play_whole(&script, Ask { ledgers: true, ..Ask::default() });
+                let played =
+                    play_with_options(&script, RunOptions { ledgers: true, ..RunOptions::default() });
                 for ledger in &played.ledgers {
                     let file = folder.join(format!("{}.ledger.gz", ledger.head.coordinator));
                     ledger::write(&file, ledger).map_err(system_failure)?;
                 }
             }
             if let Some(path) = record {
-                let played = play_whole(&script, Ask::default());
+                let played = play_with_options(&script, RunOptions::default());
                 let recording =
                     Recording::of("model", &script, played.begin, &played.records, &played.report);
                 recording.write(&path).map_err(system_failure)?;
--- a/crates/craneknot-cli/src/solve.rs
+++ b/crates/craneknot-cli/src/solve.rs
@@ -64,7 +64,7 @@
         names.zone(zone);
     });
     names.classes = head.classes.iter().map(|class| class.name.clone()).collect();
-    let classes = head.classes.iter().map(|class| class.decided(&mut names)).collect();
+    let classes = head.classes.iter().map(|class| class.to_interface(&mut names)).collect();
     let joined_proxies = |line: &Line| match line {
         Line::Joined(_, zones) => Some(zones.iter().sum::<u32>()),
         _ => None,
@@ -169,7 +169,7 @@
             };
             let problems = solver.check("", &ledger.head.zones);
             if let Some(problem) = problems.first() {
-                error_line!("--crossing-of: {} ({})", problem.what, problem.mend);
+                error_line!("--crossing-of: {} ({})", problem.message, problem.remedy);
                 return Err(Failure::Settings);
             }
             replay(&ledger, &solver, options.at.map(Nanos::from_secs))
--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -16,7 +16,7 @@
 use craneknot_settings::{CoordinatorSettings, Names};
 use craneknot_solver::explain::{explain, Explanation};
 use craneknot_solver::tuner::{Change, WeightTuner};
-use craneknot_xds::discovery::{epoch_of, print_of, source_in, DiscoveryRequest, Kind, Node};
+use craneknot_xds::discovery::{epoch_of, fingerprint, source_with_epoch, DiscoveryRequest, Kind, Node};
 use craneknot_xds::load::LoadStatsRequest;
 use serde::Serialize;
 
@@ -253,7 +253,7 @@
         now: Nanos,
         decider: impl FnOnce(&Settings) -> Box<dyn Decider>,
     ) -> Self {
-        let (names, decisions) = settings.decisions();
+        let (names, decisions) = settings.controller_settings();
         let steer = settings
             .solver
             .as_ref()
@@ -466,7 +466,7 @@
         if request.resource_names.len() > MAX_RESOURCE_NAMES {
             return Err(RequestError::TooManyNames(request.resource_names.len()));
         }
-        if !request.type_url.is_empty() && Kind::of_type(&request.type_url) != Some(kind) {
+        if !request.type_url.is_empty() && Kind::from_type_url(&request.type_url) != Some(kind) {
             return Err(RequestError::OtherKind(request.type_url));
         }
         if let Some(fleet) = &mut self.fleet {
@@ -662,7 +662,7 @@
         let ResourceUpdate { endpoints, routes, clusters: _ } = &mut message.parts;
         for (kind, texts) in [(Kind::Endpoints, endpoints), (Kind::Routes, routes)] {
             texts.retain(|table, text| {
-                let held = stream.already_holds(&self.resources.name_of(*table), kind, || print_of(text));
+                let held = stream.already_holds(&self.resources.name_of(*table), kind, || fingerprint(text));
                 if held {
                     lines += self.resources.line_count(kind, *table);
                     bytes += text.len() as u64;
@@ -696,7 +696,7 @@
             if stream.session.next_at().is_some() {
                 self.ready_streams.insert(id);
             }
-            let version = format!("{}/{}", source_in(epoch, &self.source), self.step_count);
+            let version = format!("{}/{}", source_with_epoch(epoch, &self.source), self.step_count);
             for response in responses {
                 if let Response::Resources { resources, .. } = &response {
                     self.bytes_sent += resources.iter().map(|text| text.len() as u64).sum::<u64>();
--- a/crates/craneknot-coordinator/src/probes.rs
+++ b/crates/craneknot-coordinator/src/probes.rs
@@ -60,7 +60,7 @@
 
 /// Converts a server's load report header into the decisions' form.
 pub fn load_report(header: Option<&str>) -> LoadReport {
-    let Some(report) = header.and_then(orca::LoadReport::read) else { return LoadReport::default() };
+    let Some(report) = header.and_then(orca::LoadReport::parse) else { return LoadReport::default() };
     let named = |name: &str| report.named_metrics.get(name).copied();
     LoadReport {
         busy: report.cpu_utilization,
--- a/crates/craneknot-coordinator/src/resource_cache.rs
+++ b/crates/craneknot-coordinator/src/resource_cache.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use craneknot::interface::*;
+use craneknot_xds::convert::{self, Admission};
 use craneknot_xds::discovery::Kind;
-use craneknot_xds::meaning::{self, Admission};
 use craneknot_xds::resources::HealthStatus;
 
 #[derive(Default)]
@@ -273,14 +273,14 @@
             return text.clone();
         }
         self.texts_encoded += 1;
-        let line = |(server, weight): (&'_ ServerId, &f64)| meaning::Line {
+        let line = |(server, weight): (&'_ ServerId, &f64)| convert::Line {
             server: self.zones.get_key_value(server).map_or("", |(server, _)| &server.0),
             zone: self.zones.get(server).map_or("", String::as_str),
             weight: *weight,
             health: HealthStatus::Healthy,
         };
         let lines: Vec<_> = state.lines.iter().map(line).collect();
-        let resource = text(&meaning::table(&table_name(&self.source, table), &lines));
+        let resource = text(&convert::table(&table_name(&self.source, table), &lines));
         self.bytes += resource.len() as u64;
         state.endpoints = Some(resource.clone());
         resource
@@ -294,10 +294,10 @@
         }
         self.texts_encoded += 1;
         let admission = |(class, (level, tries)): (&usize, &(f64, Retries))| {
-            (classes[*class].as_str(), Admission { level: Some(*level), unit: level_unit, tries: *tries })
+            (classes[*class].as_str(), Admission { level: Some(*level), unit: level_unit, retries: *tries })
         };
         let resource =
-            text(&meaning::routes(&table_name(&self.source, table), state.levels.iter().map(admission)));
+            text(&convert::routes(&table_name(&self.source, table), state.levels.iter().map(admission)));
         self.bytes += resource.len() as u64;
         state.routes = Some(resource.clone());
         resource
@@ -310,7 +310,7 @@
         let mut resources = Vec::new();
         for (class, table) in bound_tables {
             let (classes, policy, source) = (&self.classes, &self.lb_policy, &self.source);
-            let encode = || text(&meaning::cluster(&classes[class], &table_name(source, table), policy));
+            let encode = || text(&convert::cluster(&classes[class], &table_name(source, table), policy));
             resources.push(self.clusters.entry((class, table)).or_insert_with(encode).clone());
         }
         resources
--- a/crates/craneknot-coordinator/src/weights.rs
+++ b/crates/craneknot-coordinator/src/weights.rs
@@ -28,7 +28,7 @@
         proxies,
         margin: solver.margin.unwrap_or(tuner::DEFAULT_MARGIN),
         churn: solver.churn.unwrap_or(tuner::DEFAULT_CHURN),
-        crossing: solver.costs(zones, tuner::DEFAULT_CROSSING_COST),
+        crossing: solver.crossing_costs(zones, tuner::DEFAULT_CROSSING_COST),
     }
 }
 
--- a/crates/craneknot-wirehost/src/main.rs
+++ b/crates/craneknot-wirehost/src/main.rs
@@ -12,7 +12,7 @@
 use craneknot::Controller;
 use serde_json::{json, Value};
 
-use craneknot_settings::given::{self, GivenNames as Names};
+use craneknot_settings::instance::{self, InstanceNames as Names};
 use wire::{Fields, InputError, ServerLists};
 
 /// One hosted controller, with the names of zones, kinds and classes that its messages have used.
@@ -107,7 +107,8 @@
 fn spawn(fields: &Fields, now: Nanos) -> Result<Instance, String> {
     let seed = fields.seed(2)?;
     let mut names = Names::default();
-    let settings = given::settings(fields.raw(3)?, &mut names).map_err(|error| format!("SPAWN: {error}"))?;
+    let settings =
+        instance::parse_settings(fields.raw(3)?, &mut names).map_err(|error| format!("SPAWN: {error}"))?;
     Ok(Instance { controller: Controller::new(settings, seed, now), names })
 }
 
--- a/crates/craneknot-wirehost/tests/hosted.rs
+++ b/crates/craneknot-wirehost/tests/hosted.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use craneknot_model::hosted::Build;
-use craneknot_model::world::{play_whole, Ask};
+use craneknot_model::world::{play_with_options, RunOptions};
 use craneknot_rehearsal::script::{Trouble, TroubleKind};
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
@@ -39,8 +39,9 @@
     let hosted = Build::Hosted(PathBuf::from(env!("CARGO_BIN_EXE_craneknot-wirehost")));
     for seed in [1, 2] {
         let script = script(seed);
-        let run = |build| play_whole(&script, Ask { build: Some(build), ..Ask::default() });
-        let (local, remote) = (run(&Build::OwnCoarse), run(&hosted));
+        let run =
+            |build| play_with_options(&script, RunOptions { build: Some(build), ..RunOptions::default() });
+        let (local, remote) = (run(&Build::OwnQuantized), run(&hosted));
         assert_eq!(remote.fault, None);
         assert_eq!(local.report.lines(), remote.report.lines());
         assert!(local.report.service.asked > 1_000);
@@ -57,6 +58,6 @@
 #[test]
 fn a_build_that_exits_is_reported_as_a_fault() {
     let build = Build::Hosted(PathBuf::from("/bin/true"));
-    let played = play_whole(&script(3), Ask { build: Some(&build), ..Ask::default() });
+    let played = play_with_options(&script(3), RunOptions { build: Some(&build), ..RunOptions::default() });
     assert!(played.fault.is_some());
 }
--- a/crates/craneknot-xds/src/load.rs
+++ b/crates/craneknot-xds/src/load.rs
@@ -1,32 +1,32 @@
-//! `envoy.service.load_stats.v3`: what proxies met, as they report it.
+//! `envoy.service.load_stats.v3`: load reports of proxies.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::discovery::{Locality, Node};
 use crate::resources::Address;
 
-/// The path of the published service's one method.
+/// The path of the only method of the published service.
 pub const PATH: &str = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats";
 
-/// The key in a node's metadata that tells when a report was closed, in ms of the agent's clock: a report that comes again
-/// counts once.
+/// The key in a node's metadata of the time at which a report was closed, in ms of the agent's clock. By it a report
+/// that is received twice is counted once.
 pub const CLOSED_AT: &str = "report_closed_ms";
 
-/// Names of load metrics, beside those that servers name themselves.
+/// Names of load metrics, in addition to the ones that servers define.
 pub mod metric {
-    /// Answering time of good answers, ms.
+    /// Latency of successful answers, in ms.
     pub const LATENCY_MS: &str = "latency_ms";
-    /// Operations that came, each counted once however often it was tried.
+    /// Operations received, each counted once regardless of the number of tries.
     pub const OPERATIONS: &str = "operations";
-    /// Busy share of the server's cores, as its answers tell (ORCA `cpu_utilization`).
+    /// Busy share of the server's cores, from its answers (ORCA `cpu_utilization`).
     pub const CPU: &str = "cpu_utilization";
-    /// Operations the server holds (ORCA named metric).
+    /// Operations in flight at the server (ORCA named metric).
     pub const INFLIGHT: &str = "named_metrics.inflight";
-    /// The server's recent service time, ms (ORCA named metric).
+    /// The server's recent service time, in ms (ORCA named metric).
     pub const SERVICE_MS: &str = "named_metrics.service_ms";
 }
 
-/// A 64-bit count: proto3's JSON writes it as text, and readers take numbers as well.
+/// A 64-bit count. Proto3's JSON mapping writes it as a string; numbers are accepted on input.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Count(pub u64);
 
@@ -51,11 +51,12 @@
     }
 }
 
-/// `google.protobuf.Duration` in JSON: seconds with an `s`.
+/// `google.protobuf.Duration` in JSON: seconds with the suffix `s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Seconds(pub f64);
 
 impl Seconds {
+    /// Formats the seconds with the suffix `s`, with nine decimals unless they are whole.
     pub fn text(self) -> String {
         let nanos = (self.0.clamp(0.0, 1e9) * 1e9).round() as u64;
         let (whole, rest) = (nanos / 1_000_000_000, nanos % 1_000_000_000);
@@ -66,7 +67,8 @@
         }
     }
 
-    pub fn read(text: &str) -> Option<Self> {
+    /// Parses a number with the suffix `s`; none if it is negative or not finite.
+    pub fn parse(text: &str) -> Option<Self> {
         let seconds: f64 = text.strip_suffix('s')?.parse().ok()?;
         (seconds.is_finite() && seconds >= 0.0).then_some(Seconds(seconds))
     }
@@ -81,11 +83,12 @@
 impl<'de> Deserialize<'de> for Seconds {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        Seconds::read(&text)
+        Seconds::parse(&text)
             .ok_or_else(|| serde::de::Error::custom(format!("{text:?} is not a duration such as 1.5s")))
     }
 }
 
+/// `envoy.config.endpoint.v3.EndpointLoadMetricStats`: the total of one metric.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MetricStats {
@@ -107,6 +110,7 @@
     }
 }
 
+/// `envoy.config.endpoint.v3.UpstreamEndpointStats`: the load of one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EndpointStats {
@@ -124,11 +128,13 @@
 }
 
 impl EndpointStats {
+    /// The metric of that name.
     pub fn metric(&self, name: &str) -> Option<&MetricStats> {
         self.load_metric_stats.iter().find(|metric| metric.metric_name == name)
     }
 }
 
+/// `envoy.config.endpoint.v3.UpstreamLocalityStats`: the load of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LocalityStats {
@@ -145,6 +151,7 @@
     pub upstream_endpoint_stats: Vec<EndpointStats>,
 }
 
+/// `envoy.config.endpoint.v3.ClusterStats`: the load of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClusterStats {
@@ -153,14 +160,14 @@
     pub cluster_name: String,
     #[serde(alias = "upstreamLocalityStats")]
     pub upstream_locality_stats: Vec<LocalityStats>,
-    /// Operations refused by the proxy itself.
+    /// Operations rejected by the proxy itself.
     #[serde(alias = "totalDroppedRequests")]
     pub total_dropped_requests: Count,
     #[serde(alias = "loadReportInterval")]
     pub load_report_interval: Seconds,
 }
 
-/// What one proxy met in one span.
+/// The load report of one proxy for one interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadStatsRequest {
@@ -170,7 +177,7 @@
     pub cluster_stats: Vec<ClusterStats>,
 }
 
-/// What the receiver wants to hear, and how often.
+/// What the receiver wants to have reported, and how often.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadStatsResponse {
@@ -197,9 +204,12 @@
         assert_eq!(cluster.upstream_locality_stats[0].total_issued_requests, Count(12));
         assert_eq!(Seconds(0.25).text(), "0.250000000s");
         assert!(
-            Seconds::read("-1s").is_none() && Seconds::read("NaNs").is_none() && Seconds::read("4").is_none()
+            Seconds::parse("-1s").is_none()
+                && Seconds::parse("NaNs").is_none()
+                && Seconds::parse("4").is_none()
         );
-        let back: LoadStatsRequest = serde_json::from_str(&serde_json::to_string(&stats).unwrap()).unwrap();
-        assert_eq!(back, stats);
+        let decoded: LoadStatsRequest =
+            serde_json::from_str(&serde_json::to_string(&stats).unwrap()).unwrap();
+        assert_eq!(decoded, stats);
     }
 }
--- a/crates/craneknot-xds/src/orca.rs
+++ b/crates/craneknot-xds/src/orca.rs
@@ -1,16 +1,18 @@
-//! Open Request Cost Aggregation (`xds.data.orca.v3.OrcaLoadReport`): a server's word on its load, in a header of
-//! its answers, as `TEXT key=value, ...` or `JSON {...}`.
+//! Open Request Cost Aggregation (`xds.data.orca.v3.OrcaLoadReport`): a server's load report in a header of its
+//! answers, as `TEXT key=value, ...` or `JSON {...}`.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
+/// The name of the header.
 pub const HEADER: &str = "endpoint-load-metrics";
 
+/// The load report of one answer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Busy share of its cores.
+    /// Busy share of the server's cores.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cpu_utilization: Option<f64>,
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
@@ -18,12 +20,13 @@
 }
 
 impl LoadReport {
+    /// Formats the report as a header value in the `JSON` form.
     pub fn header(&self) -> String {
         format!("JSON {}", serde_json::to_string(self).unwrap_or_default())
     }
 
-    /// Nothing where the header is not one of both forms; values that are no finite numbers are left out.
-    pub fn read(header: &str) -> Option<Self> {
+    /// Parses a header; none if it has neither of the two forms. Values that are negative or not finite are dropped.
+    pub fn parse(header: &str) -> Option<Self> {
         let header = header.trim();
         let mut report = match header.split_once(' ') {
             Some(("JSON", text)) => serde_json::from_str(text).ok()?,
@@ -55,16 +58,16 @@
     use super::*;
 
     #[test]
-    fn both_forms_are_read_and_nonsense_is_nothing() {
+    fn both_forms_are_parsed_and_malformed_headers_are_rejected() {
         let report = LoadReport {
             cpu_utilization: Some(0.5),
             named_metrics: BTreeMap::from([("inflight".to_owned(), 7.0)]),
         };
-        assert_eq!(LoadReport::read(&report.header()), Some(report.clone()));
-        assert_eq!(LoadReport::read("TEXT cpu_utilization=0.5, named_metrics.inflight=7"), Some(report));
-        assert_eq!(LoadReport::read("TEXT cpu_utilization=NaN").unwrap().cpu_utilization, None);
-        for nonsense in ["", "JSON", "JSON {", "TEXT a", "BIN aGk=", "TEXT a=b"] {
-            assert_eq!(LoadReport::read(nonsense), None, "{nonsense}");
+        assert_eq!(LoadReport::parse(&report.header()), Some(report.clone()));
+        assert_eq!(LoadReport::parse("TEXT cpu_utilization=0.5, named_metrics.inflight=7"), Some(report));
+        assert_eq!(LoadReport::parse("TEXT cpu_utilization=NaN").unwrap().cpu_utilization, None);
+        for malformed in ["", "JSON", "JSON {", "TEXT a", "BIN aGk=", "TEXT a=b"] {
+            assert_eq!(LoadReport::parse(malformed), None, "{malformed}");
         }
     }
 }
--- a/crates/craneknot-xds/src/resources.rs
+++ b/crates/craneknot-xds/src/resources.rs
@@ -1,4 +1,4 @@
-//! The resources themselves, with the fields that are used here; others are let pass on input.
+//! The resources, with the fields that are used here; unknown fields in input are ignored.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 }
 
 impl SocketAddress {
-    /// Of `address:port`.
-    pub fn read(text: &str) -> Option<Self> {
+    /// Parses `address:port`.
+    pub fn parse(text: &str) -> Option<Self> {
         let (address, port) = text.rsplit_once(':')?;
         let address = address.trim_start_matches('[').trim_end_matches(']');
         Some(SocketAddress { address: address.to_owned(), port_value: port.parse().ok()? })
     }
 
-    /// As `address:port`, the name by which the decisions know a server.
+    /// Formats as `address:port`, the name by which the controller knows a server.
     pub fn text(&self) -> String {
         match self.address.contains(':') {
             true => format!("[{}]:{}", self.address, self.port_value),
@@ -31,18 +31,20 @@
     }
 }
 
+/// `envoy.config.core.v3.Address`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
     #[serde(alias = "socketAddress")]
     pub socket_address: SocketAddress,
 }
 
+/// `envoy.config.endpoint.v3.Endpoint`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     pub address: Address,
 }
 
-/// `envoy.config.core.v3.HealthStatus`, as far as it is used.
+/// `envoy.config.core.v3.HealthStatus`, limited to the values in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum HealthStatus {
@@ -55,16 +57,18 @@
     Degraded,
 }
 
+/// `envoy.config.endpoint.v3.LbEndpoint`: a line of a table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LbEndpoint {
     pub endpoint: Endpoint,
     #[serde(alias = "healthStatus", default)]
     pub health_status: HealthStatus,
-    /// From 1 on; in a table the sum stays within 32 bits.
+    /// At least 1; the sum over a table must fit in 32 bits.
     #[serde(alias = "loadBalancingWeight")]
     pub load_balancing_weight: u32,
 }
 
+/// `envoy.config.endpoint.v3.LocalityLbEndpoints`: the lines of one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocalityLbEndpoints {
     #[serde(default)]
@@ -84,7 +88,7 @@
     pub endpoints: Vec<LocalityLbEndpoints>,
 }
 
-/// `envoy.config.core.v3.ConfigSource`: where a cluster's endpoints are read from.
+/// `envoy.config.core.v3.ConfigSource`: the source of a cluster's endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigSource {
     #[serde(alias = "pathConfigSource")]
@@ -93,11 +97,13 @@
     pub resource_api_version: String,
 }
 
+/// `envoy.config.core.v3.PathConfigSource`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PathConfigSource {
     pub path: String,
 }
 
+/// `envoy.config.cluster.v3.Cluster.EdsClusterConfig`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EdsClusterConfig {
     #[serde(alias = "edsConfig")]
@@ -120,6 +126,7 @@
     pub lb_policy: String,
 }
 
+/// `envoy.config.route.v3.RouteMatch`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteMatch {
     pub prefix: String,
@@ -128,21 +135,23 @@
 /// `envoy.config.route.v3.RetryPolicy`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryPolicy {
-    /// Conditions, parted by commas.
+    /// Conditions, separated by commas.
     #[serde(alias = "retryOn")]
     pub retry_on: String,
     #[serde(alias = "numRetries")]
     pub num_retries: u32,
-    /// Another try never goes where one went already.
+    /// Keeps a retry away from servers that were already tried.
     #[serde(alias = "retryHostPredicate", default, skip_serializing_if = "Vec::is_empty")]
     pub retry_host_predicate: Vec<Named>,
 }
 
+/// An extension, identified by its name alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Named {
     pub name: String,
 }
 
+/// `envoy.config.route.v3.RouteAction`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteAction {
     pub cluster: String,
@@ -150,27 +159,28 @@
     pub retry_policy: Option<RetryPolicy>,
 }
 
-/// A filter's part of a route, by its type.
+/// The configuration of one filter for a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "@type")]
 pub enum FilterConfig {
-    /// A level in operations a second.
+    /// A level in operations per second.
     #[serde(rename = "type.googleapis.com/envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit")]
     LocalRateLimit {
         stat_prefix: String,
         token_bucket: TokenBucket,
-        /// What is refused; an empty value means the published default, 429.
+        /// Status of rejected operations; an empty value means the published default, 429.
         #[serde(default)]
         status: HttpStatus,
     },
-    /// A level as a share: the rest is answered at once with this status.
+    /// A level as a share: the remaining operations are answered immediately with the status of `abort`.
     #[serde(rename = "type.googleapis.com/envoy.extensions.filters.http.fault.v3.HTTPFault")]
     HttpFault { abort: FaultAbort },
 }
 
+/// `envoy.type.v3.HttpStatus`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpStatus {
-    /// The name of the code, as the published enumeration has it.
+    /// The code's name in the published enumeration.
     pub code: String,
 }
 
@@ -179,10 +189,11 @@
 pub struct TokenBucket {
     pub max_tokens: u32,
     pub tokens_per_fill: u32,
-    /// A number of seconds with up to nine decimals and an `s`, as proto3's JSON writes durations.
+    /// Seconds with up to nine decimals and the suffix `s`, as in proto3's JSON mapping of durations.
     pub fill_interval: String,
 }
 
+/// `envoy.extensions.filters.http.fault.v3.FaultAbort`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultAbort {
     pub http_status: u32,
@@ -193,10 +204,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FractionalPercent {
     pub numerator: u32,
-    /// `MILLION`.
+    /// `MILLION` when encoded here.
     pub denominator: String,
 }
 
+/// `envoy.config.route.v3.Route`: the route of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     #[serde(rename = "match")]
@@ -206,6 +218,7 @@
     pub typed_per_filter_config: BTreeMap<String, FilterConfig>,
 }
 
+/// `envoy.config.route.v3.VirtualHost`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VirtualHost {
     pub name: String,
@@ -214,7 +227,7 @@
     pub routes: Vec<Route>,
 }
 
-/// `envoy.config.route.v3.RouteConfiguration`: the levels and further tries of a table's classes.
+/// `envoy.config.route.v3.RouteConfiguration`: the levels and retries of a table's classes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteConfiguration {
     #[serde(rename = "@type", default)]
