--- a/crates/craneknot-agent/src/proxy_resources.rs
+++ b/crates/craneknot-agent/src/proxy_resources.rs
@@ -123,11 +123,11 @@
     /// Parses every resource of a response; the first invalid one rejects the whole response.
     fn parse(&self, kind: Kind, response: &DiscoveryResponse) -> Result<Contents, Status> {
         if response.type_url != kind.type_url() {
-            return Err(Status::invalid(format!("{} instead of {}", response.type_url, kind.type_url())));
+            return Err(Status::invalid(format!("{} in place of {}", response.type_url, kind.type_url())));
         }
         if response.resources.len() > MAX_TABLES {
             return Err(Status::invalid(format!(
-                "{} resources; the limit is {MAX_TABLES}",
+                "{} resources; {MAX_TABLES} at most",
                 response.resources.len()
             )));
         }
@@ -146,7 +146,7 @@
             let name = name.map_err(invalid)?;
             let resource = Resource { text: text.to_owned(), swaps_before: self.swaps, table };
             if contents.insert(name.clone(), resource).is_some() {
-                return Err(invalid(format!("duplicate name {name:?}")));
+                return Err(invalid(format!("{name:?} comes twice")));
             }
         }
         Ok(contents)
@@ -155,13 +155,13 @@
     /// Decides whether a response can be applied now; an error rejects it. Changes no applied resource.
     pub fn evaluate(&mut self, kind: Kind, response: &DiscoveryResponse) -> Result<Verdict, Status> {
         let version = Version::parse(&response.version_info).ok_or_else(|| {
-            Status::invalid(format!("version {:?} is not of the form source/number", response.version_info))
+            Status::invalid(format!("version {:?} is not source/number", response.version_info))
         })?;
         // A late order of a former coordinator must not be applied after one of a later epoch.
         let (epoch, applied) = (discovery::epoch_of(&version.source), self.epoch());
         if epoch < applied {
             return Err(Status::outdated(format!(
-                "epoch {epoch} is older than epoch {applied}, which was already applied"
+                "epoch {epoch} is older than {applied}, which was followed"
             )));
         }
         let received = self.parse(kind, response)?;
@@ -175,7 +175,7 @@
             Kind::Clusters => received,
         };
         if contents.len() > MAX_TABLES {
-            return Err(Status::invalid(format!("{} tables; the limit is {MAX_TABLES}", contents.len())));
+            return Err(Status::invalid(format!("{} tables held; {MAX_TABLES} at most", contents.len())));
         }
         let staged = self.stage(kind, version, contents);
         match self.missing(&staged) {
@@ -230,7 +230,7 @@
     pub fn cancel_warming(&mut self) -> Option<Status> {
         let staged = self.warming.take()?;
         let missing = self.missing(&staged).unwrap_or_default();
-        Some(Status::invalid(format!("table {missing:?} was not received in time")))
+        Some(Status::invalid(format!("table {missing:?} never came")))
     }
 
     /// The lines of the table that a class is bound to.
@@ -254,10 +254,10 @@
     for endpoint in endpoints() {
         let address = &endpoint.endpoint.address.socket_address;
         if address.address.parse::<std::net::IpAddr>().is_err() || address.port_value == 0 {
-            return Err(format!("{:?} is not a valid address and port", address.text()));
+            return Err(format!("{:?} is no address that can be dialled", address.text()));
         }
         if endpoint.load_balancing_weight == 0 {
-            return Err(format!("{} has weight 0; the minimum is 1", address.text()));
+            return Err(format!("{} has weight 0; weights begin with 1", address.text()));
         }
         weights += u64::from(endpoint.load_balancing_weight);
     }
--- a/crates/craneknot-agent/src/shell.rs
+++ b/crates/craneknot-agent/src/shell.rs
@@ -565,7 +565,7 @@
         };
         let name = report.node.as_ref().map_or("", |node| node.id.as_str());
         let Some(index) = self.by_name.get(name) else {
-            return (StatusCode::BAD_REQUEST, format!("{name:?} is not a proxy of this agent").into_bytes());
+            return (StatusCode::BAD_REQUEST, format!("{name:?} is no proxy of this agent").into_bytes());
         };
         self.followers[*index].totals.add(&report);
         let settings = LoadStatsResponse {
--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -105,14 +105,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             RequestError::NoNode => write!(f, "the first request of a stream must name its node"),
-            RequestError::UnknownZone(zone) => write!(f, "zone {zone:?} is not in the fleet's settings"),
+            RequestError::UnknownZone(zone) => write!(f, "zone {zone:?} is not one of the fleet's"),
             RequestError::TooManyNames(count) => {
-                write!(f, "{count} resource names exceed the limit of {MAX_RESOURCE_NAMES}")
+                write!(f, "{count} resource names; {MAX_RESOURCE_NAMES} at most")
             }
-            RequestError::NoProxyIdLeft => write!(f, "all proxy ids are in use"),
-            RequestError::Elsewhere(to) => write!(f, "coordinator {to} is responsible for this proxy"),
+            RequestError::NoProxyIdLeft => write!(f, "no more proxies can be told apart"),
+            RequestError::Elsewhere(to) => write!(f, "{to} is in charge of this proxy"),
             RequestError::NoKnownOwner => {
-                write!(f, "no coordinator is currently known to be responsible for this proxy")
+                write!(f, "no coordinator is known to be in charge of this proxy now")
             }
             RequestError::OtherKind(kind) => write!(f, "type {kind:?} does not belong to this path"),
         }
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -571,7 +571,7 @@
             return self.reject(
                 conn,
                 StatusCode::BAD_REQUEST,
-                "a stream's connection accepts only discovery requests",
+                "a stream's connection is for discovery alone",
             );
         }
         if self.reactor.send(conn, [response(status, &[JSON], body)]).is_err() {
@@ -587,11 +587,7 @@
             Err(cause) => return self.reject(conn, StatusCode::BAD_REQUEST, &cause.to_string()),
         };
         if peer.requests.len() >= MAX_PIPELINED_REQUESTS || peer.requests.contains(&kind) {
-            return self.reject(
-                conn,
-                StatusCode::TOO_MANY_REQUESTS,
-                "a request for this kind is already open",
-            );
+            return self.reject(conn, StatusCode::TOO_MANY_REQUESTS, "that kind is asked for already");
         }
         let (stream, first) = (peer.stream, !peer.joined);
         peer.requests.push_back(kind);
@@ -705,7 +701,7 @@
             .map(|(c, _)| *c)
             .collect();
         for conn in slow {
-            self.reject(conn, StatusCode::REQUEST_TIMEOUT, "the request was not complete in time");
+            self.reject(conn, StatusCode::REQUEST_TIMEOUT, "the request did not come whole in time");
         }
         let stalled: Vec<ConnId> = self
             .peers
--- a/crates/craneknot-solver/src/explain.rs
+++ b/crates/craneknot-solver/src/explain.rs
@@ -92,8 +92,8 @@
             warmth: tuner.settings().warm_up.warmth(now, listing.started),
             planned: planned.get(id).copied().unwrap_or(0.0),
             doubt: doubt.map(|doubt| match doubt {
-                Doubt::IdleAndLate => "it reports that it is idle, but answers late".to_owned(),
-                Doubt::ZeroLoad => "it reports no load, but answers late".to_owned(),
+                Doubt::IdleAndLate => "it says that it is idle, and answers late".to_owned(),
+                Doubt::ZeroLoad => "it says that it does nothing, and answers".to_owned(),
             }),
         })
     };
