--- a/crates/craneknot-rehearsal/src/trial/fleet.rs
+++ b/crates/craneknot-rehearsal/src/trial/fleet.rs
@@ -268,8 +268,8 @@
         for told in news {
             let id = server_id(told.server);
             let _ = match told.is_ready {
-                true => self.workload.told_ready(told.coordinator, &id),
-                false => self.workload.told_lost(told.coordinator, &id),
+                true => self.workload.notify_server_ready(told.coordinator, &id),
+                false => self.workload.notify_server_lost(told.coordinator, &id),
             };
         }
     }
@@ -278,7 +278,7 @@
     pub fn hold_off_limits(&mut self, coordinator: usize, span: Duration) {
         let now = self.now();
         self.workload.advance(now);
-        let _ = self.workload.hold_off_limits(coordinator, span);
+        let _ = self.workload.suspend_limits(coordinator, span);
     }
 
     /// Calls of a coordinator go wrong for so long.
--- a/crates/craneknot-rehearsal/src/trial/report.rs
+++ b/crates/craneknot-rehearsal/src/trial/report.rs
@@ -158,14 +158,14 @@
 fn judge_lines(summary: &Summary, judge: &Judge) -> Lines {
     let mut lines = Lines {
         drain_breaches: summary.drain_breaches.len(),
-        cold_falls: summary.falls.len(),
-        cold_falls_beyond: summary.falls.iter().filter(|fall| fall.breaks_rule).count(),
+        cold_falls: summary.overload_crashes.len(),
+        cold_falls_beyond: summary.overload_crashes.iter().filter(|fall| fall.breaks_rule).count(),
         queue_breaches: summary.queue_breaches.len(),
         longest_queue_lines: summary.longest_queue.iter().copied().fold(0.0, f64::max),
         unsafe_repeats: summary.unsafe_repeats,
         ..Lines::default()
     };
-    for lack in &summary.lacks {
+    for lack in &summary.no_line_periods {
         lines.longest_lack_ms = lines.longest_lack_ms.max(millis(lack.length));
         if lack.breaks_rule {
             lines.lacks_beyond += 1;
@@ -191,9 +191,11 @@
         );
         judge.was_broken(Reading::Lines, Some(breach.coordinator), span, what);
     }
-    for fall in summary.falls.iter().filter(|fall| fall.breaks_rule) {
-        let what =
-            format!("cold server {} fell, {:.2} of its work sent knowingly", fall.server, fall.knowing_share);
+    for fall in summary.overload_crashes.iter().filter(|fall| fall.breaks_rule) {
+        let what = format!(
+            "cold server {} fell, {:.2} of its work sent knowingly",
+            fall.server, fall.informed_share
+        );
         judge.was_broken(Reading::Lines, None, (begun + fall.at, begun + fall.at), what);
     }
     for breach in &summary.queue_breaches {
--- a/crates/craneknot-rehearsal/src/workload/delivery.rs
+++ b/crates/craneknot-rehearsal/src/workload/delivery.rs
@@ -8,7 +8,7 @@
 use super::channel::{Channel, Level, Levels, Message, TableContent, Update};
 use super::engine::Workload;
 use super::events::Event;
-use super::orders::{Acknowledgement, Order, Refusal};
+use super::orders::{Acknowledgement, Order, WorkloadError};
 use super::proxy::Stream;
 use super::summary::QueueBreach;
 
@@ -110,7 +110,7 @@
 impl Workload {
     /// Takes an order. Orders to one coordinator between two calls of [`Workload::advance`] or
     /// [`Workload::end_batch`] are one batch and make one message for each proxy concerned.
-    pub fn apply(&mut self, coordinator: usize, order: &Order) -> Result<(), Refusal> {
+    pub fn apply(&mut self, coordinator: usize, order: &Order) -> Result<(), WorkloadError> {
         self.check_coordinator(coordinator)?;
         match order {
             Order::SetLine { table, server, weight } => self.set_line(coordinator, *table, server, *weight),
@@ -129,7 +129,13 @@
         }
     }
 
-    fn set_line(&mut self, coordinator: usize, table: u16, server: &str, weight: f64) -> Result<(), Refusal> {
+    fn set_line(
+        &mut self,
+        coordinator: usize,
+        table: u16,
+        server: &str,
+        weight: f64,
+    ) -> Result<(), WorkloadError> {
         check_table(table)?;
         check_figure(weight)?;
         let server = self.listed_server(server)?;
@@ -137,7 +143,7 @@
         Ok(())
     }
 
-    fn clear_table(&mut self, coordinator: usize, table: u16) -> Result<(), Refusal> {
+    fn clear_table(&mut self, coordinator: usize, table: u16) -> Result<(), WorkloadError> {
         check_table(table)?;
         let ordering = &mut self.coordinators[coordinator];
         ordering.tables.entry(table).or_default().clear();
@@ -145,11 +151,17 @@
         Ok(())
     }
 
-    fn bind(&mut self, coordinator: usize, proxy: u16, table: u16, classes: &[usize]) -> Result<(), Refusal> {
+    fn bind(
+        &mut self,
+        coordinator: usize,
+        proxy: u16,
+        table: u16,
+        classes: &[usize],
+    ) -> Result<(), WorkloadError> {
         check_table(table)?;
         let classes = self.named_classes(classes)?;
         if !self.coordinators[coordinator].ever_joined.contains(&proxy) {
-            return Err(Refusal::UnknownProxy(proxy));
+            return Err(WorkloadError::UnknownProxy(proxy));
         }
         if self.is_joined(proxy, coordinator) {
             self.coordinators[coordinator].bind(proxy, table, classes);
@@ -157,7 +169,7 @@
         Ok(())
     }
 
-    fn withdraw(&mut self, coordinator: usize, server: &str, withdrawn: bool) -> Result<(), Refusal> {
+    fn withdraw(&mut self, coordinator: usize, server: &str, withdrawn: bool) -> Result<(), WorkloadError> {
         let server = self.listed_server(server)?;
         let ordering = &mut self.coordinators[coordinator];
         if withdrawn {
@@ -181,10 +193,10 @@
         table: Option<u16>,
         classes: &[usize],
         level: Level,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), WorkloadError> {
         check_figure(level.level)?;
         if level.retry > MOST_RETRY {
-            return Err(Refusal::BadFigure);
+            return Err(WorkloadError::OutOfRange);
         }
         let classes = self.named_classes(classes)?;
         let joined = self.joined_proxies(coordinator);
@@ -234,7 +246,7 @@
         let stream = self.proxies[usize::from(proxy)].stream;
         let Some(stream) = stream.filter(|stream| stream.coordinator == coordinator) else { return };
         self.messages += 1;
-        let lines = self.settings.envelope + updates.iter().map(Update::lines).sum::<f64>();
+        let lines = self.settings.lines_per_message + updates.iter().map(Update::lines).sum::<f64>();
         let (number, ordered) = (self.messages, self.now);
         let message = Message { number, coordinator, proxy, stream: stream.id, ordered, lines, updates };
         message.marks().for_each(|mark| self.rules.marks.ordered(ordered, number, mark));
@@ -248,7 +260,7 @@
     fn check_queue(&mut self, coordinator: usize) {
         let longest = self.coordinators[coordinator].longest_queue();
         let told = self.rules.queue_breaches.iter().any(|breach| breach.coordinator == coordinator);
-        if longest > self.settings.queue_cap && !told {
+        if longest > self.settings.queue_limit && !told {
             self.rules.queue_breaches.push(QueueBreach { coordinator, at: self.now });
         }
     }
@@ -283,7 +295,7 @@
         if proxy.stream.is_none_or(|stream| stream.id != message.stream) {
             return self.message_lost(&message);
         }
-        let lines = message.lines - self.settings.envelope;
+        let lines = message.lines - self.settings.lines_per_message;
         let applying = self.settings.apply_per_line.mul_f64(lines.max(0.0));
         proxy.applying_until = proxy.applying_until.max(self.now) + applying;
         self.events.schedule(proxy.applying_until, Event::MessageApplied(message));
@@ -366,33 +378,33 @@
     }
 
     /// A server that the list has shown at some time.
-    fn listed_server(&self, id: &str) -> Result<usize, Refusal> {
+    fn listed_server(&self, id: &str) -> Result<usize, WorkloadError> {
         let server = self.server(id)?;
         if self.servers[server].run == 0 {
-            return Err(Refusal::UnknownServer(id.to_owned()));
+            return Err(WorkloadError::UnknownServer(id.to_owned()));
         }
         Ok(server)
     }
 
-    fn named_classes(&self, classes: &[usize]) -> Result<Vec<usize>, Refusal> {
+    fn named_classes(&self, classes: &[usize]) -> Result<Vec<usize>, WorkloadError> {
         let known = self.settings.classes.len();
         if let Some(unknown) = classes.iter().find(|class| **class >= known) {
-            return Err(Refusal::UnknownClass(*unknown));
+            return Err(WorkloadError::UnknownClass(*unknown));
         }
         Ok(if classes.is_empty() { (0..known).collect() } else { classes.to_vec() })
     }
 }
 
-fn check_table(table: u16) -> Result<(), Refusal> {
+fn check_table(table: u16) -> Result<(), WorkloadError> {
     if table == ALL_TABLES {
-        return Err(Refusal::BadFigure);
+        return Err(WorkloadError::OutOfRange);
     }
     Ok(())
 }
 
-fn check_figure(figure: f64) -> Result<(), Refusal> {
+fn check_figure(figure: f64) -> Result<(), WorkloadError> {
     if !figure.is_finite() || figure < 0.0 {
-        return Err(Refusal::BadFigure);
+        return Err(WorkloadError::OutOfRange);
     }
     Ok(())
 }
--- a/crates/craneknot-rehearsal/src/workload/dispatch.rs
+++ b/crates/craneknot-rehearsal/src/workload/dispatch.rs
@@ -10,7 +10,7 @@
 use super::operation::{Answer, Operation, TryFailure};
 use super::server::{Held, Job};
 use super::settings::Semantics;
-use super::summary::{Fall, Reason};
+use super::summary::{OverloadCrash, Reason};
 
 /// Share of the work from knowing senders from which on a fall breaks the rule.
 const KNOWING_SHARE_OF_BREACH: f64 = 2.0 / 3.0;
@@ -26,7 +26,7 @@
         if !holder.admits(class, settings.admission, now, &mut self.chance.picks) {
             return self.end(number, Answer::Refused, Reason::Level);
         }
-        let retry = holder.retry(class).unwrap_or(settings.usual_retry);
+        let retry = holder.retry(class).unwrap_or(settings.default_retry);
         let picked = holder.pick(settings.pick, class, None, now, &mut self.chance.picks);
         let operation = &mut self.operations[number];
         operation.retry = retry;
@@ -118,8 +118,8 @@
         if operation.retry < 2 || operation.tries_left == 0 {
             return;
         }
-        let aim = self.settings.classes[operation.class].aim;
-        let expiry = self.now + aim.mul_f64(self.settings.try_factor);
+        let latency_goal = self.settings.classes[operation.class].latency_goal;
+        let expiry = self.now + latency_goal.mul_f64(self.settings.try_factor);
         self.events.schedule(expiry, Event::TryExpired { operation: number, attempt: operation.attempt });
     }
 
@@ -162,11 +162,11 @@
         let knows =
             |coordinator| self.rules.knows_start(coordinator, server, started, last_ordered, self.now);
         let knowing = coordinator.is_some_and(knows);
-        let Some(knowing_share) = self.servers[server].count_received(work, knowing, self.now) else {
+        let Some(informed_share) = self.servers[server].count_received(work, knowing, self.now) else {
             return;
         };
-        let breaks_rule = knowing_share >= KNOWING_SHARE_OF_BREACH;
-        self.rules.falls.push(Fall { server, at: self.now, knowing_share, breaks_rule });
+        let breaks_rule = informed_share >= KNOWING_SHARE_OF_BREACH;
+        self.rules.overload_crashes.push(OverloadCrash { server, at: self.now, informed_share, breaks_rule });
         self.end_process(server);
     }
 
--- a/crates/craneknot-rehearsal/src/workload/engine.rs
+++ b/crates/craneknot-rehearsal/src/workload/engine.rs
@@ -10,7 +10,7 @@
 use super::events::{Event, EventQueue};
 use super::late_sight::{LateSight, LOOK_INTERVAL};
 use super::operation::Operation;
-use super::orders::{Acknowledgement, ClientReport, Refusal, UpstreamReport};
+use super::orders::{Acknowledgement, ClientReport, UpstreamReport, WorkloadError};
 use super::proxy::{Proxy, Stream};
 use super::reports::Sums;
 use super::rules::Rules;
@@ -132,7 +132,7 @@
     }
 
     /// Starts a server's process: warm at time zero, cold later. One that runs is restarted.
-    pub fn start_server(&mut self, id: &str) -> Result<(), Refusal> {
+    pub fn start_server(&mut self, id: &str) -> Result<(), WorkloadError> {
         let server = self.server(id)?;
         self.reset_connections(server);
         self.servers[server].start(self.now);
@@ -140,21 +140,21 @@
     }
 
     /// Lets a server drain: it finishes what it has, and still takes what is sent.
-    pub fn drain_server(&mut self, id: &str) -> Result<(), Refusal> {
+    pub fn drain_server(&mut self, id: &str) -> Result<(), WorkloadError> {
         let server = self.server(id)?;
         self.servers[server].draining = self.servers[server].running;
         Ok(())
     }
 
     /// Ends a server's process: its connections are reset and new ones refused.
-    pub fn stop_server(&mut self, id: &str) -> Result<(), Refusal> {
+    pub fn stop_server(&mut self, id: &str) -> Result<(), WorkloadError> {
         let server = self.server(id)?;
         self.end_process(server);
         Ok(())
     }
 
     /// Makes a server silent, or ends that: it then works on with what it has.
-    pub fn silence_server(&mut self, id: &str, silent: bool) -> Result<(), Refusal> {
+    pub fn silence_server(&mut self, id: &str, silent: bool) -> Result<(), WorkloadError> {
         let server = self.server(id)?;
         self.servers[server].set_silent(silent, self.now);
         self.schedule_step(server);
@@ -162,10 +162,10 @@
     }
 
     /// Makes a server slower than usual by a factor of at least 1, until it starts again.
-    pub fn slow_server(&mut self, id: &str, factor: f64) -> Result<(), Refusal> {
+    pub fn slow_server(&mut self, id: &str, factor: f64) -> Result<(), WorkloadError> {
         let server = self.server(id)?;
         if !factor.is_finite() || factor < 1.0 {
-            return Err(Refusal::BadFigure);
+            return Err(WorkloadError::OutOfRange);
         }
         self.servers[server].set_slowness(factor, self.now);
         self.schedule_step(server);
@@ -173,27 +173,27 @@
     }
 
     /// Makes a server answer a share of tries with an error at once, until it starts again.
-    pub fn set_server_errors(&mut self, id: &str, share: f64) -> Result<(), Refusal> {
+    pub fn set_server_errors(&mut self, id: &str, share: f64) -> Result<(), WorkloadError> {
         let server = self.server(id)?;
         if !(0.0..=1.0).contains(&share) {
-            return Err(Refusal::BadFigure);
+            return Err(WorkloadError::OutOfRange);
         }
         self.servers[server].error_share = share;
         Ok(())
     }
 
     /// Makes a coordinator's channel run at a share of its usual pace, from the next message on.
-    pub fn set_channel_pace(&mut self, coordinator: usize, share: f64) -> Result<(), Refusal> {
+    pub fn set_channel_rate_factor(&mut self, coordinator: usize, share: f64) -> Result<(), WorkloadError> {
         self.check_coordinator(coordinator)?;
         if !share.is_finite() || share <= 0.0 {
-            return Err(Refusal::BadFigure);
+            return Err(WorkloadError::OutOfRange);
         }
         self.coordinators[coordinator].pace = share;
         Ok(())
     }
 
     /// A stream from a proxy to a coordinator stands from now on. An earlier one has ended.
-    pub fn join(&mut self, proxy: u16, coordinator: usize) -> Result<(), Refusal> {
+    pub fn join(&mut self, proxy: u16, coordinator: usize) -> Result<(), WorkloadError> {
         self.check_proxy(proxy)?;
         self.check_coordinator(coordinator)?;
         self.end_stream(proxy, true);
@@ -210,7 +210,7 @@
     }
 
     /// The stream of a proxy has ended; it keeps what it holds.
-    pub fn leave(&mut self, proxy: u16) -> Result<(), Refusal> {
+    pub fn leave(&mut self, proxy: u16) -> Result<(), WorkloadError> {
         self.check_proxy(proxy)?;
         self.end_stream(proxy, true);
         self.proxies[usize::from(proxy)].accountable = None;
@@ -220,14 +220,14 @@
 
     /// The stream of a proxy has ended by the coordinator's doing: its time limits run on until it joins again,
     /// and what waits in the channel stays counted.
-    pub fn leave_by_coordinator(&mut self, proxy: u16) -> Result<(), Refusal> {
+    pub fn stream_ended_by_coordinator(&mut self, proxy: u16) -> Result<(), WorkloadError> {
         self.check_proxy(proxy)?;
         self.end_stream(proxy, false);
         Ok(())
     }
 
     /// A proxy's process ends: what it has in hand fails, and operations come elsewhere until it starts again.
-    pub fn stop_proxy(&mut self, proxy: u16) -> Result<(), Refusal> {
+    pub fn stop_proxy(&mut self, proxy: u16) -> Result<(), WorkloadError> {
         self.leave(proxy)?;
         self.fail_operations_of(proxy);
         let place = usize::from(proxy);
@@ -238,7 +238,7 @@
     }
 
     /// A proxy's process starts anew: it holds a standing table, drawn anew, and nothing else.
-    pub fn restart_proxy(&mut self, proxy: u16) -> Result<(), Refusal> {
+    pub fn restart_proxy(&mut self, proxy: u16) -> Result<(), WorkloadError> {
         self.stop_proxy(proxy)?;
         let zone = self.settings.proxy_zone(proxy);
         self.proxies[usize::from(proxy)] = Proxy::new(zone, self.settings.classes.len());
@@ -247,7 +247,7 @@
     }
 
     /// A coordinator has ended: its tables, queue and withdrawals are lost, and its streams with them.
-    pub fn coordinator_ended(&mut self, coordinator: usize) -> Result<(), Refusal> {
+    pub fn coordinator_ended(&mut self, coordinator: usize) -> Result<(), WorkloadError> {
         self.check_coordinator(coordinator)?;
         for proxy in 0..self.settings.proxies {
             let accountable = self.proxies[usize::from(proxy)].accountable;
@@ -261,7 +261,7 @@
     }
 
     /// The list has told a coordinator that a server drains or is gone.
-    pub fn told_lost(&mut self, coordinator: usize, id: &str) -> Result<(), Refusal> {
+    pub fn notify_server_lost(&mut self, coordinator: usize, id: &str) -> Result<(), WorkloadError> {
         self.check_coordinator(coordinator)?;
         let server = self.server(id)?;
         self.rules.lists[coordinator].tell_lost(server, self.now);
@@ -270,7 +270,7 @@
     }
 
     /// The list has told a coordinator that a server is ready, with its latest start.
-    pub fn told_ready(&mut self, coordinator: usize, id: &str) -> Result<(), Refusal> {
+    pub fn notify_server_ready(&mut self, coordinator: usize, id: &str) -> Result<(), WorkloadError> {
         self.check_coordinator(coordinator)?;
         let server = self.server(id)?;
         let started = self.servers[server].started;
@@ -284,7 +284,7 @@
     }
 
     /// Holds off a coordinator's time limits for so long from now on.
-    pub fn hold_off_limits(&mut self, coordinator: usize, length: Duration) -> Result<(), Refusal> {
+    pub fn suspend_limits(&mut self, coordinator: usize, length: Duration) -> Result<(), WorkloadError> {
         self.check_coordinator(coordinator)?;
         self.rules.lists[coordinator].hold_off(self.now, self.now + length);
         Ok(())
@@ -338,9 +338,9 @@
     pub fn summary(&self) -> Summary {
         let mut summary = Summary {
             by_class: vec![Tally::default(); self.settings.classes.len()],
-            lacks: self.rules.lacks(self.now),
+            no_line_periods: self.rules.no_line_periods(self.now),
             drain_breaches: self.rules.drain_breaches(),
-            falls: self.rules.falls.clone(),
+            overload_crashes: self.rules.overload_crashes.clone(),
             longest_queue: self.coordinators.iter().map(Coordinator::longest_queue).collect(),
             queue_breaches: self.rules.queue_breaches.clone(),
             unsafe_repeats: self.rules.unsafe_repeats,
@@ -361,7 +361,7 @@
         let class = &self.settings.classes[operation.class];
         let reason = self.reason(operation);
         let outcome = operation.outcome(class.deadline, self.now);
-        let within_aim = operation.within_aim(class.aim);
+        let within_aim = operation.within_aim(class.latency_goal);
         let place = (operation.arrived.as_nanos() / WINDOW.as_nanos()) as usize;
         while summary.windows.len() <= place {
             let start = WINDOW * summary.windows.len() as u32;
@@ -387,7 +387,7 @@
         seed: u64,
         script: &[ServerChange],
         end: Duration,
-    ) -> Result<Summary, Refusal> {
+    ) -> Result<Summary, WorkloadError> {
         let mut workload = Workload::new(settings.clone(), seed);
         workload.late_sight = Some(LateSight::default());
         workload.events.schedule(Duration::ZERO, Event::Look);
@@ -404,7 +404,7 @@
     }
 
     /// Lets a scripted change happen now.
-    pub fn change_server(&mut self, id: &str, action: ServerAction) -> Result<(), Refusal> {
+    pub fn change_server(&mut self, id: &str, action: ServerAction) -> Result<(), WorkloadError> {
         match action {
             ServerAction::Start => self.start_server(id),
             ServerAction::Drain => self.drain_server(id),
@@ -432,21 +432,21 @@
         self.events.schedule(self.now + IDLE_SWEEP_INTERVAL, Event::IdleSweep);
     }
 
-    pub(super) fn server(&self, id: &str) -> Result<usize, Refusal> {
+    pub(super) fn server(&self, id: &str) -> Result<usize, WorkloadError> {
         let found = self.settings.servers.iter().position(|server| server.id == id);
-        found.ok_or_else(|| Refusal::UnknownServer(id.to_owned()))
+        found.ok_or_else(|| WorkloadError::UnknownServer(id.to_owned()))
     }
 
-    fn check_proxy(&self, proxy: u16) -> Result<(), Refusal> {
+    fn check_proxy(&self, proxy: u16) -> Result<(), WorkloadError> {
         if proxy >= self.settings.proxies {
-            return Err(Refusal::UnknownProxy(proxy));
+            return Err(WorkloadError::UnknownProxy(proxy));
         }
         Ok(())
     }
 
-    pub(super) fn check_coordinator(&self, coordinator: usize) -> Result<(), Refusal> {
+    pub(super) fn check_coordinator(&self, coordinator: usize) -> Result<(), WorkloadError> {
         if coordinator >= self.settings.coordinators {
-            return Err(Refusal::UnknownCoordinator(coordinator));
+            return Err(WorkloadError::UnknownCoordinator(coordinator));
         }
         Ok(())
     }
--- a/crates/craneknot-rehearsal/src/workload/mod.rs
+++ b/crates/craneknot-rehearsal/src/workload/mod.rs
@@ -23,9 +23,9 @@
 mod summary;
 
 pub use engine::Workload;
-pub use orders::{Acknowledgement, ClientReport, LoadReport, Order, Refusal, UpstreamReport};
+pub use orders::{Acknowledgement, ClientReport, LoadReport, Order, UpstreamReport, WorkloadError};
 pub use settings::{Admission, ClassSpec, Pick, Semantics, ServerSpec, WorkDistribution, WorkloadSettings};
 pub use summary::{
-    DrainBreach, Fall, LackOfLine, LostOperation, Outcome, QueueBreach, Reason, ServerAction, ServerChange,
-    Summary, Tally, Window,
+    DrainBreach, LostOperation, NoLinePeriod, Outcome, OverloadCrash, QueueBreach, Reason, ServerAction,
+    ServerChange, Summary, Tally, Window,
 };
--- a/crates/craneknot-rehearsal/src/workload/operation.rs
+++ b/crates/craneknot-rehearsal/src/workload/operation.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether it was served within the aim.
-    pub fn within_aim(&self, aim: Duration) -> bool {
-        self.end.is_some_and(|end| end.answer == Answer::Served && end.at <= self.arrived + aim)
+    pub fn within_aim(&self, latency_goal: Duration) -> bool {
+        self.end.is_some_and(|end| end.answer == Answer::Served && end.at <= self.arrived + latency_goal)
     }
 }
--- a/crates/craneknot-rehearsal/src/workload/orders.rs
+++ b/crates/craneknot-rehearsal/src/workload/orders.rs
@@ -24,7 +24,7 @@
 
 /// Why an order or a call was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum WorkloadError {
     /// No such proxy, or it has not joined this coordinator.
     UnknownProxy(u16),
     /// No such server.
@@ -34,22 +34,24 @@
     /// No such class.
     UnknownClass(usize),
     /// A weight, level or way of retrying out of range.
-    BadFigure,
+    OutOfRange,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for WorkloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::UnknownProxy(proxy) => write!(f, "proxy {proxy} has not joined"),
-            Refusal::UnknownServer(server) => write!(f, "server {server:?} is not known"),
-            Refusal::UnknownCoordinator(coordinator) => write!(f, "coordinator {coordinator} is not known"),
-            Refusal::UnknownClass(class) => write!(f, "class {class} is not known"),
-            Refusal::BadFigure => f.write_str("a figure is out of range"),
+            WorkloadError::UnknownProxy(proxy) => write!(f, "proxy {proxy} has not joined"),
+            WorkloadError::UnknownServer(server) => write!(f, "server {server:?} is not known"),
+            WorkloadError::UnknownCoordinator(coordinator) => {
+                write!(f, "coordinator {coordinator} is not known")
+            }
+            WorkloadError::UnknownClass(class) => write!(f, "class {class} is not known"),
+            WorkloadError::OutOfRange => f.write_str("a figure is out of range"),
         }
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for WorkloadError {}
 
 /// A proxy has applied everything up to a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/craneknot-rehearsal/src/workload/pick.rs
+++ b/crates/craneknot-rehearsal/src/workload/pick.rs
@@ -21,9 +21,9 @@
 impl Picker {
     pub fn pick(&mut self, how: Pick, class: usize, lines: &[Line], rng: &mut impl Rng) -> Option<usize> {
         match how {
-            Pick::Lottery => lottery(lines, rng),
-            Pick::Wheel => self.wheel(class, lines),
-            Pick::Pair => self.pair(lines, rng),
+            Pick::WeightedRandom => lottery(lines, rng),
+            Pick::WeightedRoundRobin => self.wheel(class, lines),
+            Pick::TwoChoices => self.pair(lines, rng),
         }
     }
 
--- a/crates/craneknot-rehearsal/src/workload/proxy.rs
+++ b/crates/craneknot-rehearsal/src/workload/proxy.rs
@@ -285,9 +285,9 @@
     pub fn count_failure(&mut self, server: usize, settings: &WorkloadSettings, now: Duration) {
         let failures = self.failures.entry(server).or_insert(0);
         *failures += 1;
-        if settings.ejects > 0 && *failures >= settings.ejects {
+        if settings.ejection_threshold > 0 && *failures >= settings.ejection_threshold {
             *failures = 0;
-            self.avoided_until.insert(server, now + settings.eject_time);
+            self.avoided_until.insert(server, now + settings.ejection_time);
         }
     }
 }
--- a/crates/craneknot-rehearsal/src/workload/rules.rs
+++ b/crates/craneknot-rehearsal/src/workload/rules.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::settings::WorkloadSettings;
-use super::summary::{DrainBreach, Fall, LackOfLine, QueueBreach};
+use super::summary::{DrainBreach, NoLinePeriod, OverloadCrash, QueueBreach};
 
 #[derive(Clone, Copy)]
 enum Told {
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Default)]
 struct Lack {
     since: Option<(Duration, usize)>,
-    longest: Option<LackOfLine>,
+    longest: Option<NoLinePeriod>,
 }
 
 /// Marks on their way, by order time and message.
@@ -121,12 +121,12 @@
 /// What is judged while the day runs.
 pub(super) struct Rules {
     pub lists: Vec<ToldList>,
-    pub falls: Vec<Fall>,
+    pub overload_crashes: Vec<OverloadCrash>,
     pub queue_breaches: Vec<QueueBreach>,
     pub unsafe_repeats: u64,
     pub misplaced_sends: u64,
     pub marks: Marks,
-    lacks: Vec<Vec<Lack>>,
+    no_line_periods: Vec<Vec<Lack>>,
     drains: BTreeMap<(u16, usize, usize), DrainBreach>,
     lack_limit: Duration,
     grace: Duration,
@@ -137,47 +137,50 @@
         let servers = settings.servers.len();
         Rules {
             lists: (0..settings.coordinators).map(|_| ToldList::new(servers)).collect(),
-            falls: Vec::new(),
+            overload_crashes: Vec::new(),
             queue_breaches: Vec::new(),
             unsafe_repeats: 0,
             misplaced_sends: 0,
             marks: Marks::default(),
-            lacks: vec![vec![Lack::default(); settings.classes.len()]; usize::from(settings.proxies)],
+            no_line_periods: vec![
+                vec![Lack::default(); settings.classes.len()];
+                usize::from(settings.proxies)
+            ],
             drains: BTreeMap::new(),
-            lack_limit: settings.bare + settings.socket_slack,
-            grace: settings.stop_sending_within + settings.socket_slack,
+            lack_limit: settings.no_line_limit + settings.socket_slack,
+            grace: settings.drain_grace + settings.socket_slack,
         }
     }
 
     /// Records whether a proxy lacks a line for a class now, and which coordinator answers for it.
     pub fn set_lack(&mut self, proxy: u16, class: usize, answerable: Option<usize>, now: Duration) {
-        let since = self.lacks[usize::from(proxy)][class].since;
+        let since = self.no_line_periods[usize::from(proxy)][class].since;
         if since.map(|since| since.1) == answerable {
             return;
         }
         let longest = self.longest_so_far(proxy, class, now);
         let since = answerable.map(|coordinator| (now, coordinator));
-        self.lacks[usize::from(proxy)][class] = Lack { since, longest };
+        self.no_line_periods[usize::from(proxy)][class] = Lack { since, longest };
     }
 
     /// Lacks by proxy and class, longest first.
-    pub fn lacks(&self, now: Duration) -> Vec<LackOfLine> {
-        let mut lacks = Vec::new();
-        for (proxy, classes) in self.lacks.iter().enumerate() {
+    pub fn no_line_periods(&self, now: Duration) -> Vec<NoLinePeriod> {
+        let mut no_line_periods = Vec::new();
+        for (proxy, classes) in self.no_line_periods.iter().enumerate() {
             let of_proxy =
                 (0..classes.len()).filter_map(|class| self.longest_so_far(proxy as u16, class, now));
-            lacks.extend(of_proxy.filter(|lack| !lack.length.is_zero()));
+            no_line_periods.extend(of_proxy.filter(|lack| !lack.length.is_zero()));
         }
-        lacks.sort_by_key(|lack| std::cmp::Reverse(lack.length));
-        lacks
+        no_line_periods.sort_by_key(|lack| std::cmp::Reverse(lack.length));
+        no_line_periods
     }
 
-    fn longest_so_far(&self, proxy: u16, class: usize, now: Duration) -> Option<LackOfLine> {
-        let lack = &self.lacks[usize::from(proxy)][class];
+    fn longest_so_far(&self, proxy: u16, class: usize, now: Duration) -> Option<NoLinePeriod> {
+        let lack = &self.no_line_periods[usize::from(proxy)][class];
         let Some((start, coordinator)) = lack.since else { return lack.longest };
         let length = self.lists[coordinator].counted(start, now);
         let breaks_rule = length > self.lack_limit;
-        let present = LackOfLine { proxy, class, coordinator, start, length, breaks_rule };
+        let present = NoLinePeriod { proxy, class, coordinator, start, length, breaks_rule };
         match lack.longest {
             Some(longest) if longest.length >= length => Some(longest),
             _ => Some(present),
--- a/crates/craneknot-rehearsal/src/workload/server.rs
+++ b/crates/craneknot-rehearsal/src/workload/server.rs
@@ -107,7 +107,7 @@
     cold_share: f64,
     ramp_time: Duration,
     fall_limit: f64,
-    fall: Duration,
+    overload_window: Duration,
 }
 
 struct Received {
@@ -270,7 +270,7 @@
             return None;
         }
         self.received.push_back(Received { at: now, work, knowing });
-        while self.received.front().is_some_and(|first| now - first.at > self.limits.fall) {
+        while self.received.front().is_some_and(|first| now - first.at > self.limits.overload_window) {
             self.received.pop_front();
         }
         let total: f64 = self.received.iter().map(|received| received.work).sum();
@@ -381,7 +381,7 @@
 
 impl Limits {
     fn new(spec: &ServerSpec, settings: &WorkloadSettings) -> Self {
-        let fall_work = settings.fall_multiple * settings.fall.as_secs_f64();
+        let fall_work = settings.overload_multiple * settings.overload_window.as_secs_f64();
         Limits {
             slots: (spec.cores * settings.slots_per_core).round().max(1.0) as usize,
             waiting: (spec.cores * settings.waiting_per_core).round() as usize,
@@ -391,8 +391,8 @@
             slowdown_past_knee: settings.slowdown_past_knee,
             cold_share: settings.cold_share,
             ramp_time: settings.ramp_time,
-            fall_limit: fall_work * (1.0 + settings.fall_slack),
-            fall: settings.fall,
+            fall_limit: fall_work * (1.0 + settings.overload_slack),
+            overload_window: settings.overload_window,
         }
     }
 }
--- a/crates/craneknot-rehearsal/src/workload/settings.rs
+++ b/crates/craneknot-rehearsal/src/workload/settings.rs
@@ -45,7 +45,7 @@
     /// Mean work of an operation on a standard core.
     pub work: Duration,
     /// Latency goal.
-    pub aim: Duration,
+    pub latency_goal: Duration,
     /// Time by which the final answer is due.
     pub deadline: Duration,
     /// Whether it may be repeated.
@@ -76,11 +76,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
     /// At random by weight.
-    Lottery,
+    WeightedRandom,
     /// Evenly by weight.
-    Wheel,
+    WeightedRoundRobin,
     /// Of two drawn by weight, the one with fewer of the proxy's tries in flight.
-    Pair,
+    TwoChoices,
 }
 
 /// How the work of single operations spreads around the mean of their class.
@@ -142,25 +142,25 @@
     /// Time until a started server has its full capacity.
     pub ramp_time: Duration,
     /// A cold server falls when sent more than this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The window over which that is counted.
-    pub fall: Duration,
+    pub overload_window: Duration,
     /// Allowance for chance in that count, as a share of the limit.
-    pub fall_slack: f64,
+    pub overload_slack: f64,
 
     /// Longest time that a joined proxy may have no line to pick.
-    pub bare: Duration,
+    pub no_line_limit: Duration,
     /// Grace of the rules on drains and on cold servers.
-    pub stop_sending_within: Duration,
+    pub drain_grace: Duration,
     /// What the rules on sockets add to `bare` and `stop_sending_within`.
     pub socket_slack: Duration,
 
     /// Lines that leave a coordinator's channel in a second.
     pub lines_per_second: f64,
     /// Lines that each message costs on top of its own.
-    pub envelope: f64,
+    pub lines_per_message: f64,
     /// Lines that may wait in a channel.
-    pub queue_cap: f64,
+    pub queue_limit: f64,
     /// Mean time from leaving the channel to reaching the proxy.
     pub push_delay: Duration,
     /// Half width of the spread of that time, as a share of it.
@@ -171,7 +171,7 @@
     pub report_period: Duration,
 
     /// By class, whether it may only use servers of the proxy's zone; empty for none.
-    pub own_zone: Vec<bool>,
+    pub home_only: Vec<bool>,
     /// How proxies pick.
     pub pick: Pick,
     /// Repeats that a client makes after a failure, as far as the class allows.
@@ -183,15 +183,15 @@
     /// Most servers in a standing table.
     pub standing_table: usize,
     /// Way of retrying where none is ordered.
-    pub usual_retry: u8,
+    pub default_retry: u8,
     /// A try that may be followed by another waits this multiple of the aim.
     pub try_factor: f64,
     /// Whether a proxy answers an operation as failed at its deadline, rather than waiting for the server.
     pub fail_at_deadline: bool,
     /// Consecutive failures of a proxy's tries after which it avoids a server; 0 for never.
-    pub ejects: u32,
+    pub ejection_threshold: u32,
     /// Time for which it avoids it.
-    pub eject_time: Duration,
+    pub ejection_time: Duration,
 }
 
 impl Default for WorkloadSettings {
@@ -219,30 +219,30 @@
             cross_zone_delay: Duration::from_millis(1),
             cold_share: 0.2,
             ramp_time: Duration::from_secs(15),
-            fall_multiple: 3.0,
-            fall: Duration::from_secs(2),
-            fall_slack: 0.1,
-            bare: Duration::from_secs(2),
-            stop_sending_within: Duration::from_secs(2),
+            overload_multiple: 3.0,
+            overload_window: Duration::from_secs(2),
+            overload_slack: 0.1,
+            no_line_limit: Duration::from_secs(2),
+            drain_grace: Duration::from_secs(2),
             socket_slack: Duration::from_millis(300),
             lines_per_second: 15_000.0,
-            envelope: 6.0,
-            queue_cap: 30_000.0,
+            lines_per_message: 6.0,
+            queue_limit: 30_000.0,
             push_delay: Duration::from_millis(200),
             push_jitter: 0.5,
             apply_per_line: Duration::from_micros(30),
             report_period: Duration::from_secs(1),
-            own_zone: Vec::new(),
-            pick: Pick::Lottery,
+            home_only: Vec::new(),
+            pick: Pick::WeightedRandom,
             client_repeats: 0,
             client_backoff: Duration::from_millis(50),
             admission: Admission::Rate,
             standing_table: 10,
-            usual_retry: 1,
+            default_retry: 1,
             try_factor: 1.2,
             fail_at_deadline: false,
-            ejects: 5,
-            eject_time: Duration::from_secs(4),
+            ejection_threshold: 5,
+            ejection_time: Duration::from_secs(4),
         }
     }
 }
@@ -255,8 +255,8 @@
 
     /// Whether a proxy of one zone may use a server of another for a class.
     pub fn allows(&self, class: usize, proxy_zone: usize, server_zone: usize) -> bool {
-        let own_zone = self.own_zone.get(class).copied().unwrap_or(false);
-        self.classes[class].allows(server_zone) && (!own_zone || proxy_zone == server_zone)
+        let home_only = self.home_only.get(class).copied().unwrap_or(false);
+        self.classes[class].allows(server_zone) && (!home_only || proxy_zone == server_zone)
     }
 
     /// Mean work of an operation over all classes, in seconds.
--- a/crates/craneknot-rehearsal/src/workload/summary.rs
+++ b/crates/craneknot-rehearsal/src/workload/summary.rs
@@ -148,7 +148,7 @@
 /// The longest time for which a joined proxy had no line for a class while its coordinator's list had a warm
 /// server open to that class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LackOfLine {
+pub struct NoLinePeriod {
     /// The proxy.
     pub proxy: u16,
     /// Index of the class.
@@ -182,13 +182,13 @@
 
 /// A cold server that fell.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fall {
+pub struct OverloadCrash {
     /// Index of the server in the settings.
     pub server: usize,
     /// When it fell.
     pub at: Duration,
     /// Share of the work that came from proxies whose orders knew of the start.
-    pub knowing_share: f64,
+    pub informed_share: f64,
     /// Whether that share breaks the rule.
     pub breaks_rule: bool,
 }
@@ -244,11 +244,11 @@
     /// Operations answered later than allowed, or never, in the order in which they came.
     pub lost_operations: Vec<LostOperation>,
     /// Longest lack of a line by proxy and class, longest first.
-    pub lacks: Vec<LackOfLine>,
+    pub no_line_periods: Vec<NoLinePeriod>,
     /// Sends after the grace of a drain, by proxy and server.
     pub drain_breaches: Vec<DrainBreach>,
     /// Cold servers that fell.
-    pub falls: Vec<Fall>,
+    pub overload_crashes: Vec<OverloadCrash>,
     /// Longest queue of each coordinator's channel, in lines.
     pub longest_queue: Vec<f64>,
     /// Channels whose queue passed the limit.
@@ -269,7 +269,7 @@
 
 impl Summary {
     /// Lacks of a line that break the rule.
-    pub fn lacks_beyond_limit(&self) -> impl Iterator<Item = &LackOfLine> {
-        self.lacks.iter().filter(|lack| lack.breaks_rule)
+    pub fn no_line_periods_beyond_limit(&self) -> impl Iterator<Item = &NoLinePeriod> {
+        self.no_line_periods.iter().filter(|lack| lack.breaks_rule)
     }
 }
--- a/crates/craneknot-rehearsal/tests/workload.rs
+++ b/crates/craneknot-rehearsal/tests/workload.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use craneknot_rehearsal::workload::{
-    ClassSpec, Order, Outcome, Pick, Reason, Refusal, Semantics, ServerAction, ServerChange, ServerSpec,
-    Summary, Tally, WorkDistribution, Workload, WorkloadSettings,
+    ClassSpec, Order, Outcome, Pick, Reason, Semantics, ServerAction, ServerChange, ServerSpec, Summary,
+    Tally, WorkDistribution, Workload, WorkloadError, WorkloadSettings,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -19,12 +19,12 @@
     ServerSpec { id: format!("s-{number}"), zone, cores, speed: 1.0, listed_weight: cores }
 }
 
-fn class(work: f64, aim: f64, deadline: f64) -> ClassSpec {
+fn class(work: f64, latency_goal: f64, deadline: f64) -> ClassSpec {
     ClassSpec {
         name: "lookup".to_owned(),
         share: 1.0,
         work: seconds(work),
-        aim: seconds(aim),
+        latency_goal: seconds(latency_goal),
         deadline: seconds(deadline),
         semantics: Semantics::Safe,
         only_zone: None,
@@ -51,7 +51,7 @@
     let mut workload = Workload::new(settings, SEED);
     for id in &ids {
         workload.start_server(id).unwrap();
-        (0..coordinators).for_each(|coordinator| workload.told_ready(coordinator, id).unwrap());
+        (0..coordinators).for_each(|coordinator| workload.notify_server_ready(coordinator, id).unwrap());
     }
     for proxy in 0..proxies {
         workload.join(proxy, usize::from(proxy) % coordinators).unwrap();
@@ -97,8 +97,9 @@
     settings.load = 0.9;
     settings.push_jitter = 0.5;
     settings.client_repeats = (seed % 3) as u8;
-    settings.pick = [Pick::Lottery, Pick::Wheel, Pick::Pair][(seed / 3 % 3) as usize];
-    settings.own_zone = vec![false, seed % 2 == 1];
+    settings.pick =
+        [Pick::WeightedRandom, Pick::WeightedRoundRobin, Pick::TwoChoices][(seed / 3 % 3) as usize];
+    settings.home_only = vec![false, seed % 2 == 1];
     settings.classes.push(ClassSpec {
         semantics: Semantics::Unsafe,
         only_zone: Some(1),
@@ -126,9 +127,9 @@
         3 => workload.silence_server(&id, rng.random()).unwrap(),
         4 => workload.join(proxy, coordinator).unwrap(),
         5 => workload.leave(proxy).unwrap(),
-        6 => workload.leave_by_coordinator(proxy).unwrap(),
-        7 => workload.told_lost(coordinator, &id).unwrap(),
-        8 => workload.told_ready(coordinator, &id).unwrap(),
+        6 => workload.stream_ended_by_coordinator(proxy).unwrap(),
+        7 => workload.notify_server_lost(coordinator, &id).unwrap(),
+        8 => workload.notify_server_ready(coordinator, &id).unwrap(),
         9 => apply(
             workload,
             coordinator,
@@ -204,8 +205,12 @@
 
 #[test]
 fn messages_leave_one_after_the_other_at_the_channels_pace() {
-    let settings =
-        WorkloadSettings { lines_per_second: 100.0, envelope: 4.0, queue_cap: 1e6, ..settings(4, 5) };
+    let settings = WorkloadSettings {
+        lines_per_second: 100.0,
+        lines_per_message: 4.0,
+        queue_limit: 1e6,
+        ..settings(4, 5)
+    };
     let (pace, delay) = (settings.lines_per_second, settings.push_delay.as_secs_f64());
     let apply_per_line = settings.apply_per_line.as_secs_f64();
     let mut workload = running(settings);
@@ -268,7 +273,7 @@
     let summary = workload.summary();
     assert!(summary.total.in_time > 100);
     assert_eq!(summary.total.refused + summary.total.failed, 0);
-    assert!(summary.lacks.is_empty());
+    assert!(summary.no_line_periods.is_empty());
 }
 
 #[test]
@@ -315,28 +320,28 @@
     workload.advance(seconds(112.0));
     let summary = workload.summary();
     assert_eq!(count(&summary, Outcome::Refused, Reason::Level) - before, summary.total.offered - offered);
-    assert!(summary.lacks.is_empty());
+    assert!(summary.no_line_periods.is_empty());
 }
 
 #[test]
 fn a_planted_lack_of_a_line_is_told_with_its_start() {
     let settings = settings(4, 2);
     let delay = settings.push_delay.as_secs_f64();
-    let longest = (settings.bare + settings.socket_slack).as_secs_f64();
+    let longest = (settings.no_line_limit + settings.socket_slack).as_secs_f64();
     let mut workload = running(settings);
     workload.advance(seconds(5.0));
     apply(&mut workload, 0, &[bind(1, 8)]);
     workload.advance(seconds(5.0 + longest));
-    assert_eq!(workload.summary().lacks_beyond_limit().count(), 0);
+    assert_eq!(workload.summary().no_line_periods_beyond_limit().count(), 0);
     workload.advance(seconds(5.1 + longest + delay));
     let summary = workload.summary();
-    let lack = summary.lacks_beyond_limit().next().unwrap();
+    let lack = summary.no_line_periods_beyond_limit().next().unwrap();
     assert_eq!((lack.proxy, lack.class, lack.coordinator), (1, 0, 0));
     assert!((lack.start.as_secs_f64() - 5.0 - delay).abs() < 0.01, "{lack:?}");
     assert!(count(&summary, Outcome::Refused, Reason::NoLine) > 0);
     apply(&mut workload, 0, &[set_line(8, "s-0", 1.0)]);
     workload.advance(seconds(20.0));
-    let ended = workload.summary().lacks[0];
+    let ended = workload.summary().no_line_periods[0];
     assert!((ended.length.as_secs_f64() - longest - 0.1 - delay).abs() < 0.01, "{ended:?}");
 }
 
@@ -344,20 +349,20 @@
 fn a_lack_is_no_break_where_no_server_is_listed_or_limits_are_held_off() {
     let mut workload = running(settings(2, 1));
     apply(&mut workload, 0, &[bind(0, 8)]);
-    (0..2).for_each(|number| workload.told_lost(0, &format!("s-{number}")).unwrap());
+    (0..2).for_each(|number| workload.notify_server_lost(0, &format!("s-{number}")).unwrap());
     workload.advance(seconds(10.0));
-    assert!(workload.summary().lacks.is_empty());
+    assert!(workload.summary().no_line_periods.is_empty());
     workload.start_server("s-0").unwrap();
-    workload.told_ready(0, "s-0").unwrap();
-    workload.hold_off_limits(0, seconds(3.1)).unwrap();
+    workload.notify_server_ready(0, "s-0").unwrap();
+    workload.suspend_limits(0, seconds(3.1)).unwrap();
     workload.advance(seconds(15.3));
     assert!(
-        !workload.summary().lacks.is_empty(),
+        !workload.summary().no_line_periods.is_empty(),
         "the only server listed is cold, and one to have a line to"
     );
-    assert_eq!(workload.summary().lacks_beyond_limit().count(), 0);
+    assert_eq!(workload.summary().no_line_periods_beyond_limit().count(), 0);
     workload.advance(seconds(15.5));
-    assert_eq!(workload.summary().lacks_beyond_limit().count(), 1);
+    assert_eq!(workload.summary().no_line_periods_beyond_limit().count(), 1);
 }
 
 #[test]
@@ -367,23 +372,23 @@
         apply(&mut workload, 0, &[bind(0, 8)]);
         workload.advance(seconds(1.0));
         if by_coordinator {
-            workload.leave_by_coordinator(0).unwrap();
+            workload.stream_ended_by_coordinator(0).unwrap();
         } else {
             workload.leave(0).unwrap();
         }
         workload.advance(seconds(10.0));
-        assert_eq!(workload.summary().lacks_beyond_limit().count(), breaks);
+        assert_eq!(workload.summary().no_line_periods_beyond_limit().count(), breaks);
     }
 }
 
 #[test]
 fn planted_sends_after_the_grace_of_a_drain_are_told() {
     let settings = settings(2, 1);
-    let grace = settings.stop_sending_within + settings.socket_slack;
+    let grace = settings.drain_grace + settings.socket_slack;
     let mut workload = running(settings);
     workload.advance(seconds(3.0));
     workload.drain_server("s-0").unwrap();
-    workload.told_lost(0, "s-0").unwrap();
+    workload.notify_server_lost(0, "s-0").unwrap();
     workload.advance(seconds(3.0) + grace);
     assert!(workload.summary().drain_breaches.is_empty());
     workload.advance(seconds(20.0));
@@ -400,21 +405,25 @@
     let mut workload = running(settings);
     workload.advance(seconds(1.0));
     workload.start_server("s-1").unwrap();
-    workload.told_ready(0, "s-1").unwrap();
+    workload.notify_server_ready(0, "s-1").unwrap();
     let binds: Vec<Order> = (0..4).map(|proxy| bind(proxy, 1)).collect();
     apply(&mut workload, 0, &[set_line(1, "s-1", 1.0)]);
     apply(&mut workload, 0, &binds);
     workload.advance(seconds(8.0));
     let summary = workload.summary();
-    assert_eq!(summary.falls.len(), 1, "{:?}", summary.falls);
-    assert!(summary.falls[0].breaks_rule && summary.falls[0].at < seconds(4.0), "{:?}", summary.falls);
+    assert_eq!(summary.overload_crashes.len(), 1, "{:?}", summary.overload_crashes);
+    assert!(
+        summary.overload_crashes[0].breaks_rule && summary.overload_crashes[0].at < seconds(4.0),
+        "{:?}",
+        summary.overload_crashes
+    );
     let failed = count(&summary, Outcome::Failed, Reason::ServerGoneUntold);
     assert!(failed > 0, "the server stays down");
     let binds: Vec<Order> = (0..4).map(|proxy| bind(proxy, 2)).collect();
     apply(&mut workload, 0, &[set_line(2, "s-2", 1.0)]);
     apply(&mut workload, 0, &binds);
     workload.advance(seconds(20.0));
-    assert_eq!(workload.summary().falls.len(), 1);
+    assert_eq!(workload.summary().overload_crashes.len(), 1);
 }
 
 #[test]
@@ -423,8 +432,11 @@
     workload.advance(seconds(1.0));
     workload.start_server("s-0").unwrap();
     workload.advance(seconds(2.9));
-    let falls = workload.summary().falls;
-    assert!(!falls.is_empty() && falls.iter().all(|fall| !fall.breaks_rule), "{falls:?}");
+    let overload_crashes = workload.summary().overload_crashes;
+    assert!(
+        !overload_crashes.is_empty() && overload_crashes.iter().all(|crash| !crash.breaks_rule),
+        "{overload_crashes:?}"
+    );
 }
 
 #[test]
@@ -474,7 +486,7 @@
     let mut workload = running(heavy_knee);
     workload.advance(seconds(30.0));
     assert!(count(&workload.summary(), Outcome::Later, Reason::SlowedPastKnee) > 0);
-    let cold = WorkloadSettings { cold_share: 0.05, fall_multiple: 1e6, load: 0.2, ..settings(2, 2) };
+    let cold = WorkloadSettings { cold_share: 0.05, overload_multiple: 1e6, load: 0.2, ..settings(2, 2) };
     let mut workload = running(cold);
     workload.advance(seconds(1.0));
     (0..2).for_each(|number| workload.start_server(&format!("s-{number}")).unwrap());
@@ -490,14 +502,14 @@
 #[test]
 fn a_server_that_is_gone_fails_operations_until_the_list_tells() {
     let mut settings = settings(1, 2);
-    settings.ejects = 0;
+    settings.ejection_threshold = 0;
     let mut workload = running(settings);
     workload.advance(seconds(5.0));
     workload.stop_server("s-0").unwrap();
     workload.advance(seconds(8.0));
     assert!(count(&workload.summary(), Outcome::Failed, Reason::ServerGoneUntold) > 0);
     assert_eq!(count(&workload.summary(), Outcome::Failed, Reason::ServerGoneTold), 0);
-    workload.told_lost(0, "s-0").unwrap();
+    workload.notify_server_lost(0, "s-0").unwrap();
     workload.advance(seconds(11.0));
     assert!(count(&workload.summary(), Outcome::Failed, Reason::ServerGoneTold) > 0);
 }
@@ -534,7 +546,7 @@
 
 #[test]
 fn a_planted_queue_beyond_the_limit_and_a_mark_that_stands_are_told() {
-    let settings = WorkloadSettings { lines_per_second: 10.0, queue_cap: 30.0, ..settings(4, 8) };
+    let settings = WorkloadSettings { lines_per_second: 10.0, queue_limit: 30.0, ..settings(4, 8) };
     let mut workload = running(settings);
     workload.advance(seconds(1.0));
     apply(&mut workload, 0, &[Order::Mark { mark: 1, all: true }]);
@@ -550,13 +562,13 @@
     let mut workload = running(settings(2, 2));
     let unlisted = Order::Withdraw { server: "s-9".to_owned() };
     let mut refusal = |order: &Order| workload.apply(0, order).unwrap_err();
-    assert_eq!(refusal(&unlisted), Refusal::UnknownServer("s-9".to_owned()));
-    assert_eq!(refusal(&bind(7, 1)), Refusal::UnknownProxy(7));
-    assert_eq!(refusal(&set_line(1, "s-0", -1.0)), Refusal::BadFigure);
-    assert_eq!(refusal(&set_line(u16::MAX, "s-0", 1.0)), Refusal::BadFigure);
-    assert_eq!(refusal(&admit_all(f64::NAN, 0)), Refusal::BadFigure);
-    assert_eq!(refusal(&admit_all(1.0, 4)), Refusal::BadFigure);
-    assert_eq!(workload.apply(1, &admit_all(1.0, 0)), Err(Refusal::UnknownCoordinator(1)));
+    assert_eq!(refusal(&unlisted), WorkloadError::UnknownServer("s-9".to_owned()));
+    assert_eq!(refusal(&bind(7, 1)), WorkloadError::UnknownProxy(7));
+    assert_eq!(refusal(&set_line(1, "s-0", -1.0)), WorkloadError::OutOfRange);
+    assert_eq!(refusal(&set_line(u16::MAX, "s-0", 1.0)), WorkloadError::OutOfRange);
+    assert_eq!(refusal(&admit_all(f64::NAN, 0)), WorkloadError::OutOfRange);
+    assert_eq!(refusal(&admit_all(1.0, 4)), WorkloadError::OutOfRange);
+    assert_eq!(workload.apply(1, &admit_all(1.0, 0)), Err(WorkloadError::UnknownCoordinator(1)));
 }
 
 #[test]
@@ -594,7 +606,7 @@
     let reference = Workload::reference(&settings, SEED, &restarts(30), end).unwrap();
     assert_conserved(&reference);
     assert!(reference.total.in_time as f64 > 0.99 * reference.total.offered as f64, "{:?}", reference.total);
-    assert!(reference.falls.is_empty(), "{:?}", reference.falls);
+    assert!(reference.overload_crashes.is_empty(), "{:?}", reference.overload_crashes);
     let mut workload = running(settings);
     workload.advance(end);
     assert_eq!(workload.summary().total.offered, reference.total.offered);
@@ -607,8 +619,8 @@
             pick,
             load: 0.3,
             zones: 1,
-            usual_retry: 0,
-            ejects: 0,
+            default_retry: 0,
+            ejection_threshold: 0,
             ..settings(2, 1)
         });
         apply(&mut workload, 0, &[set_line(1, "s-0", 1.0), set_line(1, "s-1", 3.0), bind(0, 1)]);
@@ -620,14 +632,14 @@
         let total: u64 = reports.iter().map(|row| row.total).sum();
         reports[1].total as f64 / total as f64
     };
-    assert!((tried(Pick::Wheel, 1.0) - 0.75).abs() < 0.01);
-    assert!((tried(Pick::Lottery, 1.0) - 0.75).abs() < 0.05);
-    assert!(tried(Pick::Pair, 2.0) < tried(Pick::Lottery, 2.0) - 0.05);
+    assert!((tried(Pick::WeightedRoundRobin, 1.0) - 0.75).abs() < 0.01);
+    assert!((tried(Pick::WeightedRandom, 1.0) - 0.75).abs() < 0.05);
+    assert!(tried(Pick::TwoChoices, 2.0) < tried(Pick::WeightedRandom, 2.0) - 0.05);
 }
 
 #[test]
 fn a_class_of_the_proxys_zone_keeps_to_it_and_a_planted_line_elsewhere_is_told() {
-    let mut workload = running(WorkloadSettings { own_zone: vec![true], ..settings(6, 2) });
+    let mut workload = running(WorkloadSettings { home_only: vec![true], ..settings(6, 2) });
     workload.advance(seconds(10.0));
     assert_eq!(workload.summary().misplaced_sends, 0);
     apply(&mut workload, 0, &[set_line(1, "s-1", 1.0), bind(0, 1)]);
@@ -638,7 +650,7 @@
 #[test]
 fn clients_repeat_what_failed_and_never_an_unsafe_operation_that_might_have_run() {
     let failed = |semantics: Semantics, client_repeats: u8| {
-        let mut settings = WorkloadSettings { client_repeats, ejects: 0, ..settings(4, 2) };
+        let mut settings = WorkloadSettings { client_repeats, ejection_threshold: 0, ..settings(4, 2) };
         settings.classes[0].semantics = semantics;
         let mut workload = running(settings);
         workload.set_server_errors("s-1", 1.0).unwrap();
@@ -659,7 +671,7 @@
     let summary = workload.summary();
     let late = count(&summary, Outcome::Later, Reason::SlowServer);
     assert!(late > 0, "{:?}", summary.reasons);
-    assert_eq!(workload.slow_server("s-0", 0.5), Err(Refusal::BadFigure));
+    assert_eq!(workload.slow_server("s-0", 0.5), Err(WorkloadError::OutOfRange));
 }
 
 #[test]
@@ -668,7 +680,7 @@
         let settings =
             WorkloadSettings { lines_per_second: 100.0, push_delay: Duration::ZERO, ..settings(2, 4) };
         let mut workload = running(settings);
-        workload.set_channel_pace(0, share).unwrap();
+        workload.set_channel_rate_factor(0, share).unwrap();
         apply(&mut workload, 0, &[Order::Mark { mark: 1, all: true }]);
         workload.advance(seconds(10.0));
         workload.take_acknowledgements(0)[3].latency.as_secs_f64()
