--- a/crates/craneknot-rehearsal/src/workload/channel.rs
+++ b/crates/craneknot-rehearsal/src/workload/channel.rs
@@ -1,33 +1,33 @@
-//! The channel of a coordinator: messages that leave one after the other, at a pace counted in lines.
+//! The channel of a coordinator: messages are sent one after the other, at a rate measured in lines.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a message changes at a proxy.
+/// A change that a message makes at a proxy.
 #[derive(Clone, Debug)]
 pub(super) enum Update {
-    /// A whole table for some classes, and what stands for all tables.
+    /// A whole table for some classes, with the withdrawals and levels that apply to all tables.
     Table { table: u16, classes: Vec<usize>, content: TableContent, withdrawn: Vec<usize>, levels: Levels },
     /// One line of a table.
     Line { table: u16, server: usize, weight: f64, withdrawn: bool },
-    /// Removes lines and levels of a table.
+    /// Removes all lines and levels of a table.
     Clear { table: u16 },
     /// Withdraws a server or restores it.
     Withdrawn { server: usize, withdrawn: bool },
-    /// A level of a table, or of all.
+    /// A level of one table, or of all tables.
     Level { table: Option<u16>, classes: Vec<usize>, level: Level },
-    /// Levels for all tables, which travel with every message.
+    /// Levels for all tables, which are sent with every message.
     LevelsForAll { levels: Levels },
-    /// Asks for an acknowledgement.
+    /// Requests an acknowledgement.
     Mark { mark: u16 },
 }
 
 impl Update {
-    /// Lines that the update costs.
+    /// Cost of the update, in lines.
     pub fn lines(&self) -> f64 {
         match self {
             Update::Table { content, withdrawn, levels, .. } => {
-                let withdrawn = withdrawn.iter().filter(|server| content.names(**server)).count();
+                let withdrawn = withdrawn.iter().filter(|server| content.contains_server(**server)).count();
                 let levels = content.levels.iter().chain(levels).flatten().count();
                 (1 + content.lines.len() + levels + withdrawn) as f64
             }
@@ -37,7 +37,7 @@
     }
 }
 
-/// How much of a class is admitted, and when it is tried again.
+/// How much of a class is admitted, and its retry mode.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Level {
     pub level: f64,
@@ -50,7 +50,7 @@
 /// Lines and levels of a table.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TableContent {
-    /// Servers and weights, by server.
+    /// Servers and weights, sorted by server.
     pub lines: Vec<(usize, f64)>,
     pub levels: Levels,
 }
@@ -58,9 +58,9 @@
 impl TableContent {
     pub fn set_line(&mut self, server: usize, weight: f64) {
         match self.lines.binary_search_by_key(&server, |line| line.0) {
-            Ok(place) if weight > 0.0 => self.lines[place].1 = weight,
-            Ok(place) => drop(self.lines.remove(place)),
-            Err(place) if weight > 0.0 => self.lines.insert(place, (server, weight)),
+            Ok(index) if weight > 0.0 => self.lines[index].1 = weight,
+            Ok(index) => drop(self.lines.remove(index)),
+            Err(index) if weight > 0.0 => self.lines.insert(index, (server, weight)),
             Err(_) => {}
         }
     }
@@ -77,22 +77,22 @@
         self.levels.clear();
     }
 
-    pub fn names(&self, server: usize) -> bool {
+    pub fn contains_server(&self, server: usize) -> bool {
         self.lines.binary_search_by_key(&server, |line| line.0).is_ok()
     }
 }
 
-/// What one batch of orders changes at one proxy.
+/// The updates of one batch of orders for one proxy.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
-    /// Its number among all messages of the day.
+    /// Number of the message, unique in the run.
     pub number: u64,
     pub coordinator: usize,
     pub proxy: u16,
-    /// The stream on which it travels.
+    /// The stream on which it is sent.
     pub stream: u64,
     pub ordered: Duration,
-    /// Its cost, the envelope included.
+    /// Cost in lines, including the overhead per message.
     pub lines: f64,
     pub updates: Vec<Update>,
 }
@@ -106,18 +106,18 @@
     }
 }
 
-/// Messages that wait to leave, in order.
+/// Messages queued for sending, in order.
 #[derive(Default)]
 pub(super) struct Channel {
     waiting: VecDeque<Message>,
     waiting_lines: f64,
-    /// Changes whenever a departure that was scheduled no longer holds.
+    /// Incremented whenever a scheduled departure becomes invalid.
     pub epoch: u64,
     pub longest_queue: f64,
 }
 
 impl Channel {
-    /// Adds a message; whether it is the only one.
+    /// Adds a message and returns whether it is the only one in the queue.
     pub fn push(&mut self, message: Message) -> bool {
         self.waiting_lines += message.lines;
         self.longest_queue = self.longest_queue.max(self.waiting_lines);
@@ -125,19 +125,20 @@
         self.waiting.len() == 1
     }
 
-    /// Lines of the message that leaves next.
+    /// Cost in lines of the next message.
     pub fn next_lines(&self) -> Option<f64> {
         self.waiting.front().map(|message| message.lines)
     }
 
-    /// The message that leaves now.
+    /// Removes and returns the next message.
     pub fn pop(&mut self) -> Option<Message> {
         let message = self.waiting.pop_front()?;
         self.waiting_lines = if self.waiting.is_empty() { 0.0 } else { self.waiting_lines - message.lines };
         Some(message)
     }
 
-    /// Drops what waits for a stream that has ended; whether the message that was leaving is among it.
+    /// Drops the messages of a stream that has ended; also returns whether the message being sent was one of
+    /// them.
     pub fn drop_stream(&mut self, stream: u64) -> (bool, Vec<Message>) {
         let leaving = self.waiting.front().is_some_and(|message| message.stream == stream);
         let (dropped, kept): (VecDeque<_>, VecDeque<_>) =
@@ -148,7 +149,7 @@
         (leaving, dropped.into())
     }
 
-    /// Drops everything.
+    /// Drops all messages and returns them.
     pub fn clear(&mut self) -> Vec<Message> {
         self.epoch += 1;
         self.waiting_lines = 0.0;
--- a/crates/craneknot-rehearsal/src/workload/events.rs
+++ b/crates/craneknot-rehearsal/src/workload/events.rs
@@ -1,4 +1,4 @@
-//! The queue of what will happen, ordered by time and then by order of scheduling.
+//! The queue of future events, ordered by time and then by order of scheduling.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,27 +6,27 @@
 
 use super::channel::Message;
 use super::operation::TryFailure;
-use super::server::Held;
+use super::server::ServerDelays;
 
-/// Something that will happen. Numbers such as epochs and attempts tell what has been overtaken.
+/// A future event. Epochs, attempts and incarnations identify events that are out of date when they occur.
 pub(super) enum Event {
-    /// An operation comes.
+    /// An operation arrives.
     Arrival { epoch: u64 },
-    /// A server finishes something, or its capacity has risen.
+    /// A server completes a request, or its capacity has increased.
     ServerStep { server: usize, epoch: u64 },
     /// A try reaches its server.
-    TryArrives { operation: usize, attempt: u32, server: usize, run: u32 },
+    TryArrives { operation: usize, attempt: u32, server: usize, incarnation: u32 },
     /// The answer to a try reaches the proxy.
-    TryAnswered { operation: usize, attempt: u32, server: usize, held: Held },
+    TryAnswered { operation: usize, attempt: u32, server: usize, delays: ServerDelays },
     /// The proxy learns that a try has failed.
     TryFailed { operation: usize, attempt: u32, failure: TryFailure },
-    /// A try that may be followed by another has taken too long.
+    /// A try that may be retried has timed out.
     TryExpired { operation: usize, attempt: u32 },
     /// A client repeats an operation that was not served.
     ClientRepeats { operation: usize },
-    /// The deadline of an operation has come.
+    /// The deadline of an operation has been reached.
     DeadlinePassed { operation: usize },
-    /// The first message of a channel has left.
+    /// The first message of a channel has been sent.
     MessageLeaves { coordinator: usize, epoch: u64 },
     /// A message reaches its proxy.
     MessageArrives(Message),
@@ -34,10 +34,10 @@
     MessageApplied(Message),
     /// A listed server becomes warm.
     ListedWarm { coordinator: usize },
-    /// Idle connections are closed.
+    /// Connections that have been idle too long are closed.
     IdleSweep,
-    /// The reference policy looks at the servers.
-    Look,
+    /// The reference policy records the state of the servers.
+    ObserveServers,
 }
 
 struct Scheduled {
--- a/crates/craneknot-rehearsal/src/workload/mod.rs
+++ b/crates/craneknot-rehearsal/src/workload/mod.rs
@@ -1,9 +1,10 @@
-//! A model of servers, proxies and coordinators' channels that judges a control service by what its orders do.
+//! A simulation of servers, proxies and the coordinators' channels that evaluates a control service by the
+//! effect of its orders.
 //!
-//! Nothing here performs I/O, reads a clock or starts a thread: [`Workload::advance`] takes the time since the
-//! start of the day, and every other method acts at the last such time. Equal seeds and equal calls give equal
-//! days. The model is written from the description of the platform alone and shares no code with the service
-//! that it judges.
+//! Nothing here performs I/O, reads a clock or starts a thread: [`Workload::advance`] takes the time since
+//! the start of the run, and every other method acts at the latest such time. Equal seeds and equal calls
+//! give equal results. The model is written from the description of the platform alone and shares no code
+//! with the service that it evaluates.
 
 mod arrivals;
 mod channel;
@@ -11,13 +12,13 @@
 mod dispatch;
 mod engine;
 mod events;
-mod late_sight;
 mod operation;
 mod orders;
 mod pick;
 mod proxy;
+mod reference_policy;
 mod reports;
-mod rules;
+mod rule_checks;
 mod server;
 mod settings;
 mod summary;
--- a/crates/craneknot-rehearsal/src/workload/operation.rs
+++ b/crates/craneknot-rehearsal/src/workload/operation.rs
@@ -1,8 +1,8 @@
-//! An operation from its arrival to its one final outcome.
+//! An operation from its arrival to its final outcome.
 
 use std::time::Duration;
 
-use super::server::Held;
+use super::server::ServerDelays;
 use super::summary::{Outcome, Reason, LATE_ALLOWANCE};
 
 /// How an operation was answered.
@@ -15,13 +15,13 @@
 
 /// The final answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct End {
+pub(super) struct FinalAnswer {
     pub at: Duration,
     pub answer: Answer,
     pub reason: Reason,
 }
 
-/// Why a try failed, and whether it might have run all the same.
+/// Why a try failed, and whether it might have run nevertheless.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TryFailure {
     pub reason: Reason,
@@ -34,35 +34,35 @@
     pub arrived: Duration,
     /// Work on a standard core, in seconds.
     pub work: f64,
-    /// Number of the try in hand, from 1.
+    /// Number of the current try, from 1.
     pub attempt: u32,
     pub try_began: Duration,
     /// Time that opening a connection for this try takes.
     pub connecting: Duration,
-    /// The server of the try in hand.
+    /// The server of the current try.
     pub server: Option<usize>,
     pub tries_left: u8,
     /// Repeats that the client may still make.
     pub repeats_left: u8,
     pub retry: u8,
-    pub end: Option<End>,
+    pub final_answer: Option<FinalAnswer>,
 }
 
 impl Operation {
-    /// Whether `attempt` is in hand and the operation waits for it.
+    /// Whether `attempt` is the current try and the operation still waits for it.
     pub fn waits_for(&self, attempt: u32) -> bool {
-        self.end.is_none() && self.server.is_some() && self.attempt == attempt
+        self.final_answer.is_none() && self.server.is_some() && self.attempt == attempt
     }
 
-    /// What held an operation longest that was served at `now`.
-    pub fn main_reason(&self, held: &Held) -> Reason {
+    /// The largest part of the latency of a served operation.
+    pub fn main_reason(&self, delays: &ServerDelays) -> Reason {
         let parts = [
-            (held.own, Reason::OwnWork),
-            (held.queued, Reason::QueueWait),
-            (held.past_knee, Reason::SlowedPastKnee),
-            (held.cold, Reason::ColdServer),
-            (held.silent, Reason::SilentServer),
-            (held.slow, Reason::SlowServer),
+            (delays.own, Reason::OwnWork),
+            (delays.queued, Reason::QueueWait),
+            (delays.past_knee, Reason::SlowedPastKnee),
+            (delays.cold, Reason::ColdServer),
+            (delays.silent, Reason::SilentServer),
+            (delays.slow, Reason::SlowServer),
             (self.connecting.as_secs_f64(), Reason::FirstConnection),
             ((self.try_began - self.arrived).as_secs_f64(), Reason::Retries),
         ];
@@ -70,10 +70,10 @@
         longest.map_or(Reason::OwnWork, |part| part.1)
     }
 
-    /// The outcome as it stands at `now`.
+    /// The outcome as of `now`.
     pub fn outcome(&self, deadline: Duration, now: Duration) -> Outcome {
         let due = self.arrived + deadline;
-        let Some(end) = self.end else {
+        let Some(end) = self.final_answer else {
             return if now > due + LATE_ALLOWANCE { Outcome::Never } else { Outcome::InFlight };
         };
         if end.at > due + LATE_ALLOWANCE {
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Whether it was served within the aim.
+    /// Whether the operation was served within the latency goal.
     pub fn within_aim(&self, latency_goal: Duration) -> bool {
-        self.end.is_some_and(|end| end.answer == Answer::Served && end.at <= self.arrived + latency_goal)
+        self.final_answer
+            .is_some_and(|end| end.answer == Answer::Served && end.at <= self.arrived + latency_goal)
     }
 }
--- a/crates/craneknot-rehearsal/src/workload/orders.rs
+++ b/crates/craneknot-rehearsal/src/workload/orders.rs
@@ -1,106 +1,104 @@
-//! What crosses between a coordinator and the model: orders, acknowledgements, reports and refusals.
+//! Data exchanged between a coordinator and the model: orders, acknowledgements, reports and errors.
 
 use std::fmt;
 use std::time::Duration;
 
-/// An order of a coordinator. Tables bear the coordinator's own numbers.
+/// An order of a coordinator. Each coordinator numbers its own tables.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Sets one line of a table; weight 0 removes it.
+    /// Sets one line of a table; a weight of 0 removes it.
     SetLine { table: u16, server: String, weight: f64 },
     /// Removes every line and level of a table.
     ClearTable { table: u16 },
-    /// Sends a joined proxy a table for `classes`; none named means all.
+    /// Sends a table for `classes` to a joined proxy; an empty list means all classes.
     Bind { proxy: u16, table: u16, classes: Vec<usize> },
-    /// Shuts a server out of whatever joined proxies hold.
+    /// Excludes a server from all tables that joined proxies hold.
     Withdraw { server: String },
-    /// Lets a withdrawn server back.
+    /// Makes a withdrawn server usable again.
     Restore { server: String },
-    /// Sets a level and the way of retrying in one table, or for all joined proxies; no class named means all.
+    /// Sets the level and retry mode in one table, or for all joined proxies; an empty class list means all.
     Admit { table: Option<u16>, classes: Vec<usize>, level: f64, retry: u8 },
-    /// Asks the proxies that this batch reaches for an answer, or all joined ones.
+    /// Requests an acknowledgement from the proxies that this batch reaches, or from all joined proxies.
     Mark { mark: u16, all: bool },
 }
 
-/// Why an order or a call was not carried out.
+/// Why an order or a call was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkloadError {
-    /// No such proxy, or it has not joined this coordinator.
+    /// The proxy does not exist or has not joined this coordinator.
     UnknownProxy(u16),
-    /// No such server.
+    /// The server does not exist.
     UnknownServer(String),
-    /// No such coordinator.
+    /// The coordinator does not exist.
     UnknownCoordinator(usize),
-    /// No such class.
+    /// The class does not exist.
     UnknownClass(usize),
-    /// A weight, level or way of retrying out of range.
+    /// A table number, weight, level, retry mode or other argument is out of range.
     OutOfRange,
 }
 
 impl fmt::Display for WorkloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WorkloadError::UnknownProxy(proxy) => write!(f, "proxy {proxy} has not joined"),
-            WorkloadError::UnknownServer(server) => write!(f, "server {server:?} is not known"),
-            WorkloadError::UnknownCoordinator(coordinator) => {
-                write!(f, "coordinator {coordinator} is not known")
-            }
-            WorkloadError::UnknownClass(class) => write!(f, "class {class} is not known"),
-            WorkloadError::OutOfRange => f.write_str("a figure is out of range"),
+            WorkloadError::UnknownProxy(proxy) => write!(f, "proxy {proxy} has not joined the coordinator"),
+            WorkloadError::UnknownServer(server) => write!(f, "unknown server {server:?}"),
+            WorkloadError::UnknownCoordinator(coordinator) => write!(f, "unknown coordinator {coordinator}"),
+            WorkloadError::UnknownClass(class) => write!(f, "unknown class {class}"),
+            WorkloadError::OutOfRange => f.write_str("argument is out of range"),
         }
     }
 }
 
 impl std::error::Error for WorkloadError {}
 
-/// A proxy has applied everything up to a mark.
+/// Confirms that a proxy has applied every update up to a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acknowledgement {
     /// The proxy.
     pub proxy: u16,
-    /// The number that the coordinator gave.
+    /// Number that the coordinator assigned to the mark.
     pub mark: u16,
-    /// Time from the order until it took effect.
+    /// Time from the order until the proxy had applied it.
     pub latency: Duration,
 }
 
-/// The load that a server reported last.
+/// The latest load reported by a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Requests in hand.
+    /// Requests in service or queued.
     pub inflight: u32,
-    /// Busy share of its cores.
+    /// Utilisation of its cores, from 0 to 1.
     pub util: f64,
 }
 
-/// What the proxies of a zone met at a server since the report before.
+/// Observed outcomes of the proxies of a zone at one server since the previous report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamReport {
     /// The server.
     pub server: String,
-    /// Tries that ended.
+    /// Completed tries.
     pub total: u64,
-    /// Those that failed.
+    /// Failed tries.
     pub errors: u64,
-    /// Mean round trip of the rest.
+    /// Mean round trip of the successful tries.
     pub mean_round_trip: Option<Duration>,
-    /// Last load report among the answers.
+    /// Latest load report received with an answer.
     pub load: Option<LoadReport>,
-    /// The time over which this was counted.
+    /// Time covered by the report.
     pub interval: Duration,
 }
 
-/// What came to a proxy since the report before.
+/// Operations that a proxy received since the previous report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientReport {
     /// The proxy.
     pub proxy: u16,
     /// Index of the class.
     pub class: usize,
-    /// Operations that came, refused ones included.
+    /// Operations received, including rejected ones.
     pub total: u64,
-    /// Those admitted that got no good answer.
+    /// Admitted operations that were not served.
     pub errors: u64,
-    /// The time over which this was counted.
+    /// Time covered by the report.
     pub interval: Duration,
 }
--- a/crates/craneknot-rehearsal/src/workload/pick.rs
+++ b/crates/craneknot-rehearsal/src/workload/pick.rs
@@ -1,4 +1,4 @@
-//! How a proxy picks one of its lines.
+//! Strategies by which a proxy selects one of its lines.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// A server and its weight.
 pub(super) type Line = (usize, f64);
 
-/// What picking needs to remember.
+/// State that the strategies keep between selections.
 #[derive(Default)]
 pub(super) struct Picker {
     /// Credit of each server under smooth weighted round robin, by class.
@@ -19,29 +19,35 @@
 }
 
 impl Picker {
-    pub fn pick(&mut self, how: Pick, class: usize, lines: &[Line], rng: &mut impl Rng) -> Option<usize> {
-        match how {
-            Pick::WeightedRandom => lottery(lines, rng),
-            Pick::WeightedRoundRobin => self.wheel(class, lines),
-            Pick::TwoChoices => self.pair(lines, rng),
+    pub fn pick(
+        &mut self,
+        strategy: Pick,
+        class: usize,
+        lines: &[Line],
+        rng: &mut impl Rng,
+    ) -> Option<usize> {
+        match strategy {
+            Pick::WeightedRandom => weighted_random(lines, rng),
+            Pick::WeightedRoundRobin => self.weighted_round_robin(class, lines),
+            Pick::TwoChoices => self.two_choices(lines, rng),
         }
     }
 
-    fn wheel(&mut self, class: usize, lines: &[Line]) -> Option<usize> {
+    fn weighted_round_robin(&mut self, class: usize, lines: &[Line]) -> Option<usize> {
         for (server, weight) in lines {
             *self.credit.entry((class, *server)).or_insert(0.0) += weight;
         }
         let credit = |server: usize| self.credit[&(class, server)];
-        let richest =
+        let highest =
             lines.iter().map(|line| line.0).max_by(|one, other| credit(*one).total_cmp(&credit(*other)))?;
         let total: f64 = lines.iter().map(|line| line.1).sum();
-        *self.credit.entry((class, richest)).or_insert(0.0) -= total;
-        Some(richest)
+        *self.credit.entry((class, highest)).or_insert(0.0) -= total;
+        Some(highest)
     }
 
-    fn pair(&mut self, lines: &[Line], rng: &mut impl Rng) -> Option<usize> {
-        let first = lottery(lines, rng)?;
-        let second = lottery(lines, rng)?;
+    fn two_choices(&mut self, lines: &[Line], rng: &mut impl Rng) -> Option<usize> {
+        let first = weighted_random(lines, rng)?;
+        let second = weighted_random(lines, rng)?;
         let in_flight = |server: usize| self.in_flight.get(&server).copied().unwrap_or(0);
         Some(if in_flight(second) < in_flight(first) { second } else { first })
     }
@@ -57,7 +63,7 @@
     }
 }
 
-fn lottery(lines: &[Line], rng: &mut impl Rng) -> Option<usize> {
+fn weighted_random(lines: &[Line], rng: &mut impl Rng) -> Option<usize> {
     let total: f64 = lines.iter().map(|line| line.1).sum();
     let mut left = rng.random::<f64>() * total;
     for (server, weight) in lines {
--- a/crates/craneknot-rehearsal/src/workload/proxy.rs
+++ b/crates/craneknot-rehearsal/src/workload/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy: the tables it holds, levels, withdrawals, connections, and how it picks a server.
+//! A proxy: its tables, levels, withdrawals and connections, and its selection of servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::pick::{Line, Picker};
 use super::settings::{Admission, Pick, WorkloadSettings};
 
-/// Servers of the proxy's zone from which on its standing table keeps to that zone.
+/// Minimum number of listed servers in the proxy's zone for a standing table of that zone only.
 const SERVERS_TO_STAY_IN_ZONE: usize = 3;
 
 /// A stream to a coordinator.
@@ -21,7 +21,7 @@
     pub joined: Duration,
 }
 
-/// A table of one stream.
+/// Key of a table: stream and table number.
 type TableKey = (u64, u16);
 
 #[derive(Clone, Copy)]
@@ -30,7 +30,7 @@
     filled: Duration,
 }
 
-/// A server that may go into a standing table.
+/// A server that may be drawn for a standing table.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub server: usize,
@@ -41,18 +41,18 @@
 pub(super) struct Proxy {
     pub zone: usize,
     pub stream: Option<Stream>,
-    /// The stream for which the time limits run, which may have ended by the coordinator's doing.
-    pub accountable: Option<Stream>,
-    /// When the last message that was applied on this stream was ordered.
+    /// The stream for which the time limits run; the coordinator may already have ended it.
+    pub monitored_stream: Option<Stream>,
+    /// When the last message applied on this stream was ordered.
     pub last_ordered: Option<Duration>,
     pub last_arrival: Duration,
     pub applying_until: Duration,
-    /// Connections by server, with the time of last use.
+    /// Time of last use of each connection, by server.
     pub connections: BTreeMap<usize, Duration>,
     pub picker: Picker,
-    /// Whether its process runs.
+    /// Whether the process runs.
     pub running: bool,
-    /// Standing tables by class; nothing before the proxy has read the list.
+    /// Standing tables by class; `None` until the proxy has read the list.
     standing: Option<Vec<TableContent>>,
     tables: BTreeMap<TableKey, TableContent>,
     bound: Vec<Option<TableKey>>,
@@ -68,7 +68,7 @@
         Proxy {
             zone,
             stream: None,
-            accountable: None,
+            monitored_stream: None,
             last_ordered: None,
             last_arrival: Duration::ZERO,
             applying_until: Duration::ZERO,
@@ -94,28 +94,32 @@
         self.bound.iter().all(Option::is_none)
     }
 
-    /// Draws the standing table from the list, which the proxy reads only now.
+    /// Draws the standing table from the list. The proxy reads the list only here.
     pub fn draw_standing_table(
         &mut self,
         settings: &WorkloadSettings,
         list: &[Candidate],
         rng: &mut impl Rng,
     ) {
-        let near: Vec<Candidate> =
+        let same_zone: Vec<Candidate> =
             list.iter().filter(|candidate| candidate.zone == self.zone).copied().collect();
-        let usual = if near.len() >= SERVERS_TO_STAY_IN_ZONE { &near } else { list };
-        let common = draw(usual, settings.standing_table, rng);
+        let eligible = if same_zone.len() >= SERVERS_TO_STAY_IN_ZONE { &same_zone } else { list };
+        let common = draw(eligible, settings.standing_table, rng);
         let mut tables = Vec::new();
         for class in 0..settings.classes.len() {
             let allowed = |candidate: &&Candidate| settings.allows(class, self.zone, candidate.zone);
-            let open: Vec<Candidate> = list.iter().filter(allowed).copied().collect();
-            let restricted = open.len() < list.len();
-            tables.push(if restricted { draw(&open, settings.standing_table, rng) } else { common.clone() });
+            let allowed_servers: Vec<Candidate> = list.iter().filter(allowed).copied().collect();
+            let restricted = allowed_servers.len() < list.len();
+            tables.push(if restricted {
+                draw(&allowed_servers, settings.standing_table, rng)
+            } else {
+                common.clone()
+            });
         }
         self.standing = Some(tables);
     }
 
-    /// Applies a message; what it changes stands from now on.
+    /// Applies all updates of a message.
     pub fn apply(&mut self, message: &Message) {
         for update in &message.updates {
             self.apply_update(message.stream, update);
@@ -163,7 +167,7 @@
             self.bound[*class] = Some(key);
         }
         let bound = &self.bound;
-        self.tables.retain(|held, _| bound.contains(&Some(*held)));
+        self.tables.retain(|held_key, _| bound.contains(&Some(*held_key)));
     }
 
     fn set_withdrawn(&mut self, server: usize, withdrawn: bool) {
@@ -174,22 +178,23 @@
         }
     }
 
-    /// Whether a line names the server, or the proxy has it withdrawn.
-    pub fn concerns(&self, server: usize) -> bool {
-        self.withdrawn.contains(&server) || self.names(server)
+    /// Whether any line of the proxy contains the server or the server is withdrawn at the proxy.
+    pub fn is_affected_by(&self, server: usize) -> bool {
+        self.withdrawn.contains(&server) || self.uses_server(server)
     }
 
-    fn names(&self, server: usize) -> bool {
-        (0..self.bound.len()).any(|class| self.table(class).is_some_and(|table| table.names(server)))
+    fn uses_server(&self, server: usize) -> bool {
+        (0..self.bound.len())
+            .any(|class| self.table(class).is_some_and(|table| table.contains_server(server)))
     }
 
-    /// Connections to servers that are in no table any more, or withdrawn.
+    /// Connections to servers that are withdrawn or no longer in any table.
     pub fn unneeded_connections(&self) -> Vec<usize> {
-        let unneeded = |server: &usize| self.withdrawn.contains(server) || !self.names(*server);
+        let unneeded = |server: &usize| self.withdrawn.contains(server) || !self.uses_server(*server);
         self.connections.keys().copied().filter(unneeded).collect()
     }
 
-    /// The table for a class: the one that it is bound to, or the standing one.
+    /// The table for a class: the bound table, or else the standing table.
     fn table(&self, class: usize) -> Option<&TableContent> {
         match self.bound[class] {
             Some(key) => self.tables.get(&key),
@@ -197,38 +202,39 @@
         }
     }
 
-    fn open_lines(&self, class: usize) -> impl Iterator<Item = (usize, f64)> + '_ {
+    fn usable_lines(&self, class: usize) -> impl Iterator<Item = (usize, f64)> + '_ {
         let lines = self.table(class).map_or(&[][..], |table| &table.lines);
         lines.iter().copied().filter(|(server, _)| !self.withdrawn.contains(server))
     }
 
-    /// Whether there is a line to pick for a class.
+    /// Whether there is a usable line for a class.
     pub fn has_line(&self, class: usize) -> bool {
-        self.open_lines(class).next().is_some()
+        self.usable_lines(class).next().is_some()
     }
 
-    /// Whether there is a line besides that of `server`.
+    /// Whether there is a usable line for a server other than `server`.
     pub fn has_other_line(&self, class: usize, server: usize) -> bool {
-        self.open_lines(class).any(|(other, _)| other != server)
+        self.usable_lines(class).any(|(other, _)| other != server)
     }
 
-    /// Picks a line; one of a server that the proxy avoids only where there is no other.
+    /// Selects a line. Lines of ejected servers are used only if there is no other.
     pub fn pick(
         &mut self,
-        how: Pick,
+        strategy: Pick,
         class: usize,
-        except: Option<usize>,
+        excluded: Option<usize>,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<usize> {
-        let lines: Vec<Line> = self.open_lines(class).filter(|(server, _)| Some(*server) != except).collect();
+        let lines: Vec<Line> =
+            self.usable_lines(class).filter(|(server, _)| Some(*server) != excluded).collect();
         let avoided = |server: usize| self.avoided_until.get(&server).is_some_and(|until| *until > now);
         let preferred: Vec<Line> = lines.iter().copied().filter(|(server, _)| !avoided(*server)).collect();
         let lines = if preferred.is_empty() { lines } else { preferred };
-        self.picker.pick(how, class, &lines, rng)
+        self.picker.pick(strategy, class, &lines, rng)
     }
 
-    /// The level that holds for a class; the lower one where there are two.
+    /// The level that applies to a class; the lower one if there are two.
     fn level(&self, class: usize) -> Option<f64> {
         let own = self.table_level(class).map(|level| level.level);
         let for_all = self.levels_for_all[class].map(|level| level.level);
@@ -242,17 +248,17 @@
         self.table(class)?.levels.get(class).copied().flatten()
     }
 
-    /// The way of retrying that holds for a class.
+    /// The retry mode that applies to a class.
     pub fn retry(&self, class: usize) -> Option<u8> {
         self.table_level(class).or(self.levels_for_all[class]).map(|level| level.retry)
     }
 
-    /// Whether a level of zero holds for a class.
-    pub fn is_shut(&self, class: usize, admission: Admission) -> bool {
+    /// Whether a level of zero applies to a class.
+    pub fn is_closed(&self, class: usize, admission: Admission) -> bool {
         admission != Admission::Ignored && self.level(class) == Some(0.0)
     }
 
-    /// Whether the level lets an operation in.
+    /// Whether the level admits an operation.
     pub fn admits(&mut self, class: usize, admission: Admission, now: Duration, rng: &mut impl Rng) -> bool {
         let Some(level) = self.level(class) else { return true };
         match admission {
@@ -262,7 +268,8 @@
         }
     }
 
-    /// Takes a token from the bucket of a class, which holds what the level allows in a second, at least one.
+    /// Takes a token from the bucket of a class. The bucket holds one second's tokens at the level, but at
+    /// least one unless the level is zero.
     fn take_token(&mut self, class: usize, level: f64, now: Duration) -> bool {
         let size = if level > 0.0 { level.max(1.0) } else { 0.0 };
         let bucket = self.buckets[class].get_or_insert(TokenBucket { tokens: size, filled: now });
@@ -276,12 +283,12 @@
         true
     }
 
-    /// A try at a server was answered.
+    /// Records a successful try at a server.
     pub fn count_success(&mut self, server: usize) {
         self.failures.remove(&server);
     }
 
-    /// A try at a server failed; after a run of them the proxy avoids it for some time.
+    /// Records a failed try at a server and ejects the server after enough consecutive failures.
     pub fn count_failure(&mut self, server: usize, settings: &WorkloadSettings, now: Duration) {
         let failures = self.failures.entry(server).or_insert(0);
         *failures += 1;
@@ -292,10 +299,10 @@
     }
 }
 
-fn draw(from: &[Candidate], most: usize, rng: &mut impl Rng) -> TableContent {
+fn draw(candidates: &[Candidate], max_lines: usize, rng: &mut impl Rng) -> TableContent {
     let mut table = TableContent::default();
-    for place in sample(rng, from.len(), most.min(from.len())) {
-        table.set_line(from[place].server, from[place].weight);
+    for index in sample(rng, candidates.len(), max_lines.min(candidates.len())) {
+        table.set_line(candidates[index].server, candidates[index].weight);
     }
     table
 }
--- a/crates/craneknot-rehearsal/src/workload/reports.rs
+++ b/crates/craneknot-rehearsal/src/workload/reports.rs
@@ -1,11 +1,11 @@
-//! Sums that proxies report: tries by zone and server, operations by proxy and class.
+//! Totals that proxies report: tries by zone and server, operations by proxy and class.
 
 use std::time::Duration;
 
 use super::orders::{ClientReport, LoadReport, UpstreamReport};
 
 #[derive(Clone, Copy, Default)]
-struct UpstreamSum {
+struct UpstreamTotals {
     total: u64,
     errors: u64,
     round_trips: Duration,
@@ -13,40 +13,40 @@
 }
 
 #[derive(Clone, Copy, Default)]
-struct ClientSum {
+struct ClientTotals {
     total: u64,
     errors: u64,
 }
 
-/// Sums since the reports before.
-pub(super) struct Sums {
-    upstream: Vec<Vec<UpstreamSum>>,
-    upstream_taken: Vec<Duration>,
-    clients: Vec<Vec<ClientSum>>,
-    clients_taken: Vec<Duration>,
+/// Totals since the previous reports.
+pub(super) struct ReportTotals {
+    upstream: Vec<Vec<UpstreamTotals>>,
+    upstream_reported_at: Vec<Duration>,
+    clients: Vec<Vec<ClientTotals>>,
+    clients_reported_at: Vec<Duration>,
 }
 
-impl Sums {
+impl ReportTotals {
     pub fn new(zones: usize, servers: usize, proxies: usize, classes: usize) -> Self {
-        Sums {
-            upstream: vec![vec![UpstreamSum::default(); servers]; zones],
-            upstream_taken: vec![Duration::ZERO; zones],
-            clients: vec![vec![ClientSum::default(); classes]; proxies],
-            clients_taken: vec![Duration::ZERO; proxies],
+        ReportTotals {
+            upstream: vec![vec![UpstreamTotals::default(); servers]; zones],
+            upstream_reported_at: vec![Duration::ZERO; zones],
+            clients: vec![vec![ClientTotals::default(); classes]; proxies],
+            clients_reported_at: vec![Duration::ZERO; proxies],
         }
     }
 
     pub fn count_answer(&mut self, zone: usize, server: usize, round_trip: Duration, load: LoadReport) {
-        let sum = &mut self.upstream[zone][server];
-        sum.total += 1;
-        sum.round_trips += round_trip;
-        sum.load = Some(load);
+        let totals = &mut self.upstream[zone][server];
+        totals.total += 1;
+        totals.round_trips += round_trip;
+        totals.load = Some(load);
     }
 
     pub fn count_failure(&mut self, zone: usize, server: usize) {
-        let sum = &mut self.upstream[zone][server];
-        sum.total += 1;
-        sum.errors += 1;
+        let totals = &mut self.upstream[zone][server];
+        totals.total += 1;
+        totals.errors += 1;
     }
 
     pub fn count_arrival(&mut self, proxy: u16, class: usize) {
@@ -57,31 +57,32 @@
         self.clients[usize::from(proxy)][class].errors += 1;
     }
 
-    /// The rows of a zone, one for each server that had a try; `name` gives a server's identifier.
+    /// Takes the rows of a zone, one for each server with a completed try; `server_id` gives a server's
+    /// identifier.
     pub fn take_upstream(
         &mut self,
         zone: usize,
         now: Duration,
-        name: impl Fn(usize) -> String,
+        server_id: impl Fn(usize) -> String,
     ) -> Vec<UpstreamReport> {
-        let Some(sums) = self.upstream.get_mut(zone) else { return Vec::new() };
-        let interval = now - std::mem::replace(&mut self.upstream_taken[zone], now);
+        let Some(zone_totals) = self.upstream.get_mut(zone) else { return Vec::new() };
+        let interval = now - std::mem::replace(&mut self.upstream_reported_at[zone], now);
         let mut rows = Vec::new();
-        for (server, sum) in sums.iter_mut().enumerate() {
-            let sum = std::mem::take(sum);
-            if sum.total > 0 {
-                rows.push(upstream_row(name(server), sum, interval));
+        for (server, totals) in zone_totals.iter_mut().enumerate() {
+            let totals = std::mem::take(totals);
+            if totals.total > 0 {
+                rows.push(upstream_row(server_id(server), totals, interval));
             }
         }
         rows
     }
 
-    /// The rows of a proxy, one for each class that came.
+    /// Takes the rows of a proxy, one for each class with operations or errors.
     pub fn take_clients(&mut self, proxy: u16, now: Duration, rows: &mut Vec<ClientReport>) {
-        let place = usize::from(proxy);
-        let interval = now - std::mem::replace(&mut self.clients_taken[place], now);
-        for (class, sum) in self.clients[place].iter_mut().enumerate() {
-            let ClientSum { total, errors } = std::mem::take(sum);
+        let index = usize::from(proxy);
+        let interval = now - std::mem::replace(&mut self.clients_reported_at[index], now);
+        for (class, totals) in self.clients[index].iter_mut().enumerate() {
+            let ClientTotals { total, errors } = std::mem::take(totals);
             if total + errors > 0 {
                 rows.push(ClientReport { proxy, class, total, errors, interval });
             }
@@ -89,8 +90,15 @@
     }
 }
 
-fn upstream_row(server: String, sum: UpstreamSum, interval: Duration) -> UpstreamReport {
-    let answered = sum.total - sum.errors;
-    let mean_round_trip = (answered > 0).then(|| sum.round_trips.div_f64(answered as f64));
-    UpstreamReport { server, total: sum.total, errors: sum.errors, mean_round_trip, load: sum.load, interval }
+fn upstream_row(server: String, totals: UpstreamTotals, interval: Duration) -> UpstreamReport {
+    let answered = totals.total - totals.errors;
+    let mean_round_trip = (answered > 0).then(|| totals.round_trips.div_f64(answered as f64));
+    UpstreamReport {
+        server,
+        total: totals.total,
+        errors: totals.errors,
+        mean_round_trip,
+        load: totals.load,
+        interval,
+    }
 }
--- a/crates/craneknot-rehearsal/src/workload/settings.rs
+++ b/crates/craneknot-rehearsal/src/workload/settings.rs
@@ -1,24 +1,24 @@
-//! What a modelled deployment consists of: servers, request classes, proxies, channels and limits.
+//! Settings of a simulated deployment: servers, request classes, proxies, channels and limits.
 
 use std::time::Duration;
 
-/// A server and its true capacity, which no coordinator is told.
+/// A server and its true capacity, which is not reported to any coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSpec {
-    /// Identifier, unchanged when the process restarts.
+    /// Identifier, which does not change when the process restarts.
     pub id: String,
     /// Zone of the server.
     pub zone: usize,
     /// Number of cores.
     pub cores: f64,
-    /// Speed of a core against the standard one.
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
-    /// Weight that the list of servers states.
+    /// Weight given in discovery's list of servers.
     pub listed_weight: f64,
 }
 
 impl ServerSpec {
-    /// Seconds of standard work that the server can do in a second when warm.
+    /// Seconds of standard work that the server completes per second when warm.
     pub fn capacity(&self) -> f64 {
         self.cores * self.speed
     }
@@ -27,11 +27,11 @@
 /// Whether an operation may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    /// May be repeated at will.
+    /// May always be repeated.
     Safe,
-    /// Carries a key by which servers discard repeats.
+    /// Carries a key by which servers discard duplicates.
     Keyed,
-    /// May not be repeated once a try might have run.
+    /// Must not be repeated once a try might have run.
     Unsafe,
 }
 
@@ -40,17 +40,17 @@
 pub struct ClassSpec {
     /// Name of the class.
     pub name: String,
-    /// Its part of all operations, set against the shares of the other classes.
+    /// Share of all operations, relative to the shares of the other classes.
     pub share: f64,
     /// Mean work of an operation on a standard core.
     pub work: Duration,
     /// Latency goal.
     pub latency_goal: Duration,
-    /// Time by which the final answer is due.
+    /// Time within which the final answer is due.
     pub deadline: Duration,
-    /// Whether it may be repeated.
+    /// Whether its operations may be repeated.
     pub semantics: Semantics,
-    /// The only zone whose servers may serve it.
+    /// The only zone whose servers may serve the class; `None` allows all zones.
     pub only_zone: Option<usize>,
 }
 
@@ -61,29 +61,29 @@
     }
 }
 
-/// The meaning of an admission level.
+/// Unit of an admission level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The share of operations that is admitted.
+    /// Share of operations that is admitted.
     Share,
-    /// Operations a second, at each proxy and for each class.
+    /// Operations per second, for each proxy and class.
     Rate,
     /// Levels have no effect.
     Ignored,
 }
 
-/// How a proxy picks one of its lines.
+/// How a proxy selects one of its lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// At random by weight.
+    /// Weighted random selection.
     WeightedRandom,
-    /// Evenly by weight.
+    /// Smooth weighted round robin.
     WeightedRoundRobin,
-    /// Of two drawn by weight, the one with fewer of the proxy's tries in flight.
+    /// Of two lines drawn at random by weight, the one with fewer of the proxy's tries in flight.
     TwoChoices,
 }
 
-/// How the work of single operations spreads around the mean of their class.
+/// Distribution of the work of single operations around the mean of their class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkDistribution {
     /// Every operation takes the mean.
@@ -92,105 +92,107 @@
     Exponential,
 }
 
-/// A modelled deployment. [`WorkloadSettings::default`] has no servers or classes and plausible figures.
+/// A simulated deployment. [`WorkloadSettings::default`] has no servers or classes, and plausible values
+/// elsewhere.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadSettings {
-    /// All servers that may ever run; none runs before [`super::Workload::start_server`].
+    /// All servers that may run; none runs before [`super::Workload::start_server`].
     pub servers: Vec<ServerSpec>,
-    /// Classes of operations, by index.
+    /// Classes of operations; their indexes identify them.
     pub classes: Vec<ClassSpec>,
-    /// Number of proxies; proxy `n` stands in zone `n % zones`.
+    /// Number of proxies; proxy `n` is in zone `n % zones`.
     pub proxies: u16,
     /// Number of zones.
     pub zones: usize,
     /// Number of coordinators.
     pub coordinators: usize,
-    /// Offered work as a share of the capacity of all `servers` when warm.
+    /// Offered work as a share of the capacity of all warm `servers`.
     pub load: f64,
     /// Coefficient of variation of the proxies' rates; 0 for equal rates.
     pub rate_spread: f64,
-    /// How work spreads around the mean of a class.
+    /// Distribution of work around the mean of a class.
     pub work_distribution: WorkDistribution,
 
-    /// Requests that a core works on at a time.
+    /// Requests that a core serves concurrently.
     pub slots_per_core: f64,
-    /// Requests that wait for a slot, for each core; further ones are refused unseen.
+    /// Queue length per core for requests that wait for a slot; requests beyond it are rejected without
+    /// having run.
     pub waiting_per_core: f64,
-    /// Requests held for each core from which on the server slows down.
+    /// Requests held per core above which the server slows down.
     pub knee_per_core: f64,
-    /// Loss of speed, as a multiple of itself, for each further `knee_per_core` held; 0 for none.
+    /// Growth of the slowdown factor for each further `knee_per_core` requests held; 0 disables the slowdown.
     pub slowdown_past_knee: f64,
-    /// Connections that a core accepts.
+    /// Connections accepted per core.
     pub connections_per_core: f64,
-    /// Share of speed that a full table of connections takes.
+    /// Share of speed lost when all connections are in use.
     pub full_connections_tax: f64,
-    /// Server work of a handshake.
+    /// Work of a handshake at the server.
     pub handshake_work: Duration,
-    /// Round trips of a handshake before the request is sent.
+    /// Round trips of a handshake before the request can be sent.
     pub handshake_round_trips: u32,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Time after which opening a connection is given up.
+    /// Timeout for opening a connection.
     pub dial_timeout: Duration,
-    /// One way between machines of a zone.
+    /// One-way delay between machines of the same zone.
     pub same_zone_delay: Duration,
-    /// One way between machines of different zones.
+    /// One-way delay between machines of different zones.
     pub cross_zone_delay: Duration,
 
-    /// Share of its capacity that a server has when it starts.
+    /// Share of its full capacity that a server has when it starts.
     pub cold_share: f64,
-    /// Time until a started server has its full capacity.
+    /// Time from a server's start until it has its full capacity.
     pub ramp_time: Duration,
-    /// A cold server falls when sent more than this multiple of its present capacity.
+    /// A cold server crashes when it receives more than this multiple of its current capacity.
     pub overload_multiple: f64,
-    /// The window over which that is counted.
+    /// Window over which that work is counted.
     pub overload_window: Duration,
-    /// Allowance for chance in that count, as a share of the limit.
+    /// Tolerance for random variation in that count, as a share of the limit.
     pub overload_slack: f64,
 
-    /// Longest time that a joined proxy may have no line to pick.
+    /// Longest time for which a joined proxy may have no usable line.
     pub no_line_limit: Duration,
-    /// Grace of the rules on drains and on cold servers.
+    /// Grace period of the rules on drains and on cold servers.
     pub drain_grace: Duration,
-    /// What the rules on sockets add to `bare` and `stop_sending_within`.
+    /// Tolerance for socket delays, added to `no_line_limit` and `drain_grace`.
     pub socket_slack: Duration,
 
-    /// Lines that leave a coordinator's channel in a second.
+    /// Lines that a coordinator's channel sends per second.
     pub lines_per_second: f64,
-    /// Lines that each message costs on top of its own.
+    /// Overhead of each message, in lines.
     pub lines_per_message: f64,
-    /// Lines that may wait in a channel.
+    /// Maximum number of lines queued in a channel.
     pub queue_limit: f64,
-    /// Mean time from leaving the channel to reaching the proxy.
+    /// Mean transit time from the channel to the proxy.
     pub push_delay: Duration,
-    /// Half width of the spread of that time, as a share of it.
+    /// Half the width of the uniform distribution of that time, as a share of the mean.
     pub push_jitter: f64,
-    /// Time for which a proxy applies each line of a message.
+    /// Time that a proxy takes to apply each line of a message.
     pub apply_per_line: Duration,
-    /// Time between two reports.
+    /// Interval between reports.
     pub report_period: Duration,
 
-    /// By class, whether it may only use servers of the proxy's zone; empty for none.
+    /// For each class, whether it may only use servers of the proxy's zone; an empty list restricts no class.
     pub home_only: Vec<bool>,
-    /// How proxies pick.
+    /// How proxies select a line.
     pub pick: Pick,
-    /// Repeats that a client makes after a failure, as far as the class allows.
+    /// Maximum number of times that a client repeats a failed operation, if the class allows it.
     pub client_repeats: u8,
-    /// Time until such a repeat.
+    /// Delay before such a repeat.
     pub client_backoff: Duration,
-    /// Meaning of the levels.
+    /// Unit of the admission levels.
     pub admission: Admission,
-    /// Most servers in a standing table.
+    /// Maximum number of servers in a standing table.
     pub standing_table: usize,
-    /// Way of retrying where none is ordered.
+    /// Retry mode where no order sets one.
     pub default_retry: u8,
-    /// A try that may be followed by another waits this multiple of the aim.
+    /// Timeout of a try that may be retried, as a multiple of the latency goal.
     pub try_factor: f64,
-    /// Whether a proxy answers an operation as failed at its deadline, rather than waiting for the server.
+    /// Whether a proxy answers an operation as failed at its deadline instead of waiting for the server.
     pub fail_at_deadline: bool,
-    /// Consecutive failures of a proxy's tries after which it avoids a server; 0 for never.
+    /// Consecutive failures of a proxy's tries after which it ejects a server; 0 disables ejection.
     pub ejection_threshold: u32,
-    /// Time for which it avoids it.
+    /// Time for which the server stays ejected.
     pub ejection_time: Duration,
 }
 
@@ -253,7 +255,7 @@
         usize::from(proxy) % self.zones.max(1)
     }
 
-    /// Whether a proxy of one zone may use a server of another for a class.
+    /// Whether a proxy in `proxy_zone` may use a server in `server_zone` for a class.
     pub fn allows(&self, class: usize, proxy_zone: usize, server_zone: usize) -> bool {
         let home_only = self.home_only.get(class).copied().unwrap_or(false);
         self.classes[class].allows(server_zone) && (!home_only || proxy_zone == server_zone)
@@ -266,7 +268,7 @@
         work / shares.max(f64::MIN_POSITIVE)
     }
 
-    /// Operations a second that `load` amounts to.
+    /// Operations per second that correspond to `load`.
     pub fn operations_per_second(&self) -> f64 {
         let capacity: f64 = self.servers.iter().map(ServerSpec::capacity).sum();
         let mean_work = self.mean_work();
--- a/crates/craneknot-rehearsal/src/workload/summary.rs
+++ b/crates/craneknot-rehearsal/src/workload/summary.rs
@@ -1,41 +1,41 @@
-//! What became of a day: the outcome of each operation and the rules that were broken.
+//! Results of a run: the outcomes of the operations and the breaches of rules.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time past its deadline up to which an answer is merely late.
+/// Time past the deadline up to which an answer counts as late rather than lost.
 pub const LATE_ALLOWANCE: Duration = Duration::from_millis(500);
 
 /// Length of the windows in a [`Summary`].
 pub const WINDOW: Duration = Duration::from_secs(5);
 
-/// The one final outcome of an operation.
+/// The final outcome of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
     /// Served by its deadline.
     InTime,
     /// Answered up to [`LATE_ALLOWANCE`] past its deadline.
     Late,
-    /// Answered after that.
+    /// Answered later than that.
     Later,
-    /// Not answered, and that time has passed.
+    /// Not answered although that time has passed.
     Never,
-    /// Turned away by its deadline without having run.
+    /// Rejected by its deadline without having run.
     Refused,
     /// Answered as failed by its deadline.
     Failed,
-    /// Not answered yet, and still due.
+    /// Not answered yet, and not overdue.
     InFlight,
 }
 
-/// What an outcome is due to.
+/// Reason for an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Nothing in particular: the work of the operation itself.
+    /// The work of the operation itself.
     OwnWork,
     /// Waiting for a slot or for a share of the cores.
     QueueWait,
-    /// A server that held so much that it slowed down.
+    /// A server that held so many requests that it slowed down.
     SlowedPastKnee,
     /// A server that was not warm yet.
     ColdServer,
@@ -43,21 +43,21 @@
     FirstConnection,
     /// Tries before the last one.
     Retries,
-    /// The proxy had no line to pick.
+    /// The proxy had no usable line.
     NoLine,
     /// The admission level.
     Level,
-    /// Refused unseen by a server whose waiting room was full.
+    /// Rejected, without having run, by a server whose queue was full.
     ServerFull,
-    /// The server had gone and the proxy's coordinator had not been told.
+    /// The server had stopped and the proxy's coordinator had not been notified.
     ServerGoneUntold,
-    /// The server had gone and the proxy's coordinator had been told.
+    /// The server had stopped and the proxy's coordinator had been notified.
     ServerGoneTold,
-    /// The server accepted no further connection.
+    /// The server accepted no further connections.
     Connection,
     /// The server was silent.
     SilentServer,
-    /// The server was slower than usual.
+    /// The server was slower than normal.
     SlowServer,
     /// The server answered with an error.
     ServerError,
@@ -65,12 +65,12 @@
     ProxyGone,
 }
 
-/// Counts of outcomes. Every operation is in exactly one of them besides `offered` and `within_aim`.
+/// Counts of outcomes. Every operation is in exactly one count besides `offered` and `within_aim`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Operations that came.
+    /// Operations that arrived.
     pub offered: u64,
-    /// Those of `in_time` that were served within the aim.
+    /// Operations of `in_time` that were served within the latency goal.
     pub within_aim: u64,
     /// [`Outcome::InTime`].
     pub in_time: u64,
@@ -108,18 +108,18 @@
         }
     }
 
-    /// Operations counted by outcome.
+    /// Sum of the counts of all outcomes.
     pub fn accounted(&self) -> u64 {
         self.in_time + self.late + self.later + self.never + self.refused + self.failed + self.in_flight
     }
 
-    /// Operations lost in the sense of the rule: answered later than allowed, or never.
+    /// Operations lost by the rule: answered later than allowed, or never.
     pub fn lost(&self) -> u64 {
         self.later + self.never
     }
 }
 
-/// The outcomes of the operations that came within a window.
+/// Outcomes of the operations that arrived within a window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Window {
     /// Start of the window.
@@ -133,20 +133,20 @@
 /// An operation whose final answer came later than allowed, or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostOperation {
-    /// The proxy to which it came.
+    /// The proxy that received it.
     pub proxy: u16,
     /// Index of the class.
     pub class: usize,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Duration,
     /// When it was answered.
     pub answered: Option<Duration>,
-    /// What held it.
+    /// Reason for the delay.
     pub reason: Reason,
 }
 
-/// The longest time for which a joined proxy had no line for a class while its coordinator's list had a warm
-/// server open to that class.
+/// The longest time for which a joined proxy had no line for a class while its coordinator's list had a ready
+/// server, cold or warm, that the class may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NoLinePeriod {
     /// The proxy.
@@ -155,15 +155,16 @@
     pub class: usize,
     /// The coordinator that the proxy had joined.
     pub coordinator: usize,
-    /// Start of the lack.
+    /// Start of the period.
     pub start: Duration,
-    /// How long it lasted, without the time in which limits were held off.
+    /// Length without the time in which limits were suspended.
     pub length: Duration,
     /// Whether it lasted longer than the rule allows.
     pub breaks_rule: bool,
 }
 
-/// Sends of a joined proxy to a server after the grace since its coordinator was told.
+/// Sends of a joined proxy to a server after the grace period since its coordinator was notified of the
+/// drain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainBreach {
     /// The proxy.
@@ -176,100 +177,100 @@
     pub first: Duration,
     /// Number of such sends.
     pub sends: u64,
-    /// How long after the grace the last one was.
+    /// Time from the end of the grace period to the last such send.
     pub latest_after_grace: Duration,
 }
 
-/// A cold server that fell.
+/// A cold server that crashed from overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCrash {
     /// Index of the server in the settings.
     pub server: usize,
-    /// When it fell.
+    /// When it crashed.
     pub at: Duration,
-    /// Share of the work that came from proxies whose orders knew of the start.
+    /// Share of the work sent by proxies that were informed of the server's start.
     pub informed_share: f64,
     /// Whether that share breaks the rule.
     pub breaks_rule: bool,
 }
 
-/// A channel whose queue passed the limit.
+/// A channel whose queue exceeded the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueBreach {
     /// The coordinator.
     pub coordinator: usize,
-    /// When it first happened.
+    /// When that first happened.
     pub at: Duration,
 }
 
-/// What happens to a server in a script.
+/// A change to a server in a script.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerAction {
     /// The process starts, cold unless at time zero.
     Start,
     /// The server drains.
     Drain,
-    /// The process ends.
+    /// The process stops.
     Stop,
-    /// The server falls silent, or is no longer.
+    /// The server becomes silent, or ends its silence.
     Silence(bool),
-    /// The server becomes slower than usual by a factor of at least 1.
+    /// The server becomes slower than normal by a factor of at least 1.
     Slow(f64),
-    /// The server answers that share of tries with an error at once.
+    /// The server answers that share of tries immediately with an error.
     Errors(f64),
 }
 
-/// One line of a script of server changes.
+/// An entry in a script of server changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerChange {
     /// When it happens.
     pub at: Duration,
     /// The server.
     pub server: String,
-    /// What happens.
+    /// The change.
     pub action: ServerAction,
 }
 
-/// What became of the day so far.
+/// Results of a run so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
     /// Outcomes of all operations.
     pub total: Tally,
     /// Outcomes by class.
     pub by_class: Vec<Tally>,
-    /// Outcomes by the window in which the operation came.
+    /// Outcomes by the window in which the operations arrived.
     pub windows: Vec<Window>,
     /// Operations by outcome and reason.
     pub reasons: BTreeMap<(Outcome, Reason), u64>,
-    /// Operations answered later than allowed, or never, in the order in which they came.
+    /// Operations answered later than allowed, or never, in order of arrival.
     pub lost_operations: Vec<LostOperation>,
-    /// Longest lack of a line by proxy and class, longest first.
+    /// Longest period without a line by proxy and class, longest first.
     pub no_line_periods: Vec<NoLinePeriod>,
-    /// Sends after the grace of a drain, by proxy and server.
+    /// Sends after the grace period of a drain, by proxy, server and coordinator.
     pub drain_breaches: Vec<DrainBreach>,
-    /// Cold servers that fell.
+    /// Crashes of cold servers from overload.
     pub overload_crashes: Vec<OverloadCrash>,
     /// Longest queue of each coordinator's channel, in lines.
     pub longest_queue: Vec<f64>,
-    /// Channels whose queue passed the limit.
+    /// Channels whose queue exceeded the limit.
     pub queue_breaches: Vec<QueueBreach>,
-    /// Further tries of unsafe operations after one that might have run.
+    /// Retries of unsafe operations after a try that might have run.
     pub unsafe_repeats: u64,
-    /// Sends of a class to a server outside the only zone that the class may use.
+    /// Sends to a server in a zone that the class may not use.
     pub misplaced_sends: u64,
     /// Marks that proxies have acknowledged.
     pub marks_acknowledged: u64,
     /// Marks that were lost with a stream or a coordinator.
     pub marks_lost: u64,
-    /// Marks that stand unacknowledged.
+    /// Marks that are still unacknowledged.
     pub marks_waiting: u64,
-    /// Longest time from a mark's order until its acknowledgement, or until now where it stands unacknowledged.
+    /// Longest time from a mark's order until its acknowledgement, or until now if it is unacknowledged.
     pub longest_mark: Duration,
 }
 
 impl Summary {
-    /// Lacks of a line that break the rule.
+    /// Periods without a line that break the rule.
     pub fn no_line_periods_beyond_limit(&self) -> impl Iterator<Item = &NoLinePeriod> {
-        self.no_line_periods.iter().filter(|lack| lack.breaks_rule)
+        self.no_line_periods.iter().filter(|period| period.breaks_rule)
     }
 }
--- a/crates/craneknot-rehearsal/tests/workload.rs
+++ b/crates/craneknot-rehearsal/tests/workload.rs
@@ -1,4 +1,4 @@
-//! The workload model against closed forms, and with planted breaks of the rules that it judges.
+//! Compares the workload model with closed formulas and checks that it detects breaches of its rules.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Servers of two cores in two zones, one class, and a channel without chance.
+/// Servers of two cores in two zones, one class, and a channel without random delays.
 fn settings(servers: usize, proxies: u16) -> WorkloadSettings {
     WorkloadSettings {
         servers: (0..servers).map(|number| server(number, number % 2, 2.0)).collect(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// All servers run and are listed by all coordinators, and every proxy has joined one of them in turn.
+/// Starts all servers, lists them at all coordinators and joins the proxies to the coordinators in turn.
 fn running(settings: WorkloadSettings) -> Workload {
     let (proxies, coordinators) = (settings.proxies, settings.coordinators);
     let ids: Vec<String> = settings.servers.iter().map(|server| server.id.clone()).collect();
@@ -90,8 +90,8 @@
     summary.reasons.get(&(outcome, reason)).copied().unwrap_or(0)
 }
 
-/// A day of random server changes, streams and orders.
-fn rough_day(seed: u64) -> Summary {
+/// A run with random server changes, streams and orders.
+fn random_run(seed: u64) -> Summary {
     let mut settings = settings(10, 24);
     settings.coordinators = 3;
     settings.load = 0.9;
@@ -149,7 +149,7 @@
 #[test]
 fn every_operation_has_exactly_one_outcome() {
     for seed in 0..20 {
-        let summary = rough_day(seed);
+        let summary = random_run(seed);
         assert!(summary.total.offered > 1000, "seed {seed}");
         assert_eq!(summary.total.in_flight, 0, "seed {seed}");
         assert_conserved(&summary);
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_days() {
-    assert_eq!(rough_day(3), rough_day(3));
-    assert_ne!(rough_day(3), rough_day(4));
+fn equal_seeds_give_equal_results() {
+    assert_eq!(random_run(3), random_run(3));
+    assert_ne!(random_run(3), random_run(4));
 }
 
-/// Mean time in a system of one server with one core, by the reports of the only proxy.
+/// Mean time in a system of one server with one core, from the reports of the only proxy.
 fn mean_time_in_system(work_distribution: WorkDistribution, slots_per_core: f64, load: f64) -> f64 {
     let settings = WorkloadSettings {
         servers: vec![server(0, 0, 1.0)],
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn waiting_agrees_with_queueing_theory() {
+fn time_in_system_agrees_with_queueing_theory() {
     const ALLOWED_ERROR: f64 = 0.05;
     let (work, load) = (0.01, 0.6);
     let exponential = work / (1.0 - load);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn messages_leave_one_after_the_other_at_the_channels_pace() {
+fn messages_are_sent_sequentially_at_the_channel_rate() {
     let settings = WorkloadSettings {
         lines_per_second: 100.0,
         lines_per_message: 4.0,
@@ -217,9 +217,12 @@
     apply(&mut workload, 0, &[Order::Mark { mark: 9, all: true }]);
     workload.advance(seconds(5.0));
     let acknowledgements = workload.take_acknowledgements(0);
-    assert_eq!(acknowledgements.iter().map(|one| one.proxy).collect::<Vec<_>>(), [0, 1, 2, 3, 4]);
-    for (place, acknowledgement) in acknowledgements.iter().enumerate() {
-        let lines = 5.0 * (place + 1) as f64;
+    assert_eq!(
+        acknowledgements.iter().map(|acknowledgement| acknowledgement.proxy).collect::<Vec<_>>(),
+        [0, 1, 2, 3, 4]
+    );
+    for (index, acknowledgement) in acknowledgements.iter().enumerate() {
+        let lines = 5.0 * (index + 1) as f64;
         let expected = lines / pace + delay + apply_per_line;
         assert!((acknowledgement.latency.as_secs_f64() - expected).abs() < 1e-6, "{acknowledgement:?}");
     }
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn marks_are_acknowledged_in_the_order_of_the_orders() {
+fn marks_are_acknowledged_in_order() {
     let mut workload = running(WorkloadSettings { push_jitter: 1.0, ..settings(4, 6) });
     for mark in 0..40 {
         workload.advance(seconds(f64::from(mark) * 0.01));
@@ -236,23 +239,26 @@
     workload.advance(seconds(5.0));
     let acknowledgements = workload.take_acknowledgements(0);
     for proxy in 0..6 {
-        let marks = acknowledgements.iter().filter(|one| one.proxy == proxy).map(|one| one.mark);
+        let marks = acknowledgements
+            .iter()
+            .filter(|acknowledgement| acknowledgement.proxy == proxy)
+            .map(|acknowledgement| acknowledgement.mark);
         assert!(marks.eq(0..40), "proxy {proxy}");
     }
     assert_eq!(workload.summary().marks_acknowledged, 240);
 }
 
 #[test]
-fn a_mark_that_is_no_answer_to_all_goes_with_the_messages_of_its_batch() {
+fn a_mark_not_for_all_reaches_only_the_proxies_of_its_batch() {
     let mut workload = running(settings(4, 6));
     apply(&mut workload, 0, &[bind(2, 1), Order::Mark { mark: 5, all: false }]);
     workload.advance(seconds(2.0));
     let acknowledgements = workload.take_acknowledgements(0);
-    assert_eq!(acknowledgements.iter().map(|one| one.proxy).collect::<Vec<_>>(), [2]);
+    assert_eq!(acknowledgements.iter().map(|acknowledgement| acknowledgement.proxy).collect::<Vec<_>>(), [2]);
 }
 
 #[test]
-fn what_travels_is_lost_with_the_stream() {
+fn messages_in_transit_are_lost_with_the_stream() {
     let mut workload = running(settings(4, 2));
     apply(&mut workload, 0, &[bind(0, 1), bind(1, 1), Order::Mark { mark: 5, all: true }]);
     workload.advance(seconds(0.1));
@@ -277,7 +283,7 @@
 }
 
 #[test]
-fn a_proxy_without_a_stream_keeps_what_it_holds() {
+fn a_proxy_without_a_stream_keeps_its_tables() {
     let mut workload = running(WorkloadSettings { load: 0.05, ..settings(4, 1) });
     apply(&mut workload, 0, &[set_line(1, "s-3", 1.0), bind(0, 1)]);
     workload.advance(seconds(1.0));
@@ -291,7 +297,7 @@
 }
 
 #[test]
-fn a_withdrawn_server_gets_nothing_until_it_is_restored() {
+fn a_withdrawn_server_receives_nothing_until_it_is_restored() {
     let mut workload = running(settings(2, 2));
     apply(&mut workload, 0, &[Order::Withdraw { server: "s-0".to_owned() }]);
     workload.advance(seconds(1.0));
@@ -305,7 +311,7 @@
 }
 
 #[test]
-fn a_rate_admits_so_many_operations_a_second_and_zero_none() {
+fn a_rate_level_limits_operations_per_second_and_zero_admits_none() {
     let mut workload = running(settings(10, 1));
     apply(&mut workload, 0, &[admit_all(20.0, 0)]);
     workload.advance(seconds(100.0));
@@ -324,7 +330,7 @@
 }
 
 #[test]
-fn a_planted_lack_of_a_line_is_told_with_its_start() {
+fn a_period_without_a_line_is_reported_with_its_start() {
     let settings = settings(4, 2);
     let delay = settings.push_delay.as_secs_f64();
     let longest = (settings.no_line_limit + settings.socket_slack).as_secs_f64();
@@ -335,9 +341,9 @@
     assert_eq!(workload.summary().no_line_periods_beyond_limit().count(), 0);
     workload.advance(seconds(5.1 + longest + delay));
     let summary = workload.summary();
-    let lack = summary.no_line_periods_beyond_limit().next().unwrap();
-    assert_eq!((lack.proxy, lack.class, lack.coordinator), (1, 0, 0));
-    assert!((lack.start.as_secs_f64() - 5.0 - delay).abs() < 0.01, "{lack:?}");
+    let period = summary.no_line_periods_beyond_limit().next().unwrap();
+    assert_eq!((period.proxy, period.class, period.coordinator), (1, 0, 0));
+    assert!((period.start.as_secs_f64() - 5.0 - delay).abs() < 0.01, "{period:?}");
     assert!(count(&summary, Outcome::Refused, Reason::NoLine) > 0);
     apply(&mut workload, 0, &[set_line(8, "s-0", 1.0)]);
     workload.advance(seconds(20.0));
@@ -346,7 +352,7 @@
 }
 
 #[test]
-fn a_lack_is_no_break_where_no_server_is_listed_or_limits_are_held_off() {
+fn a_period_without_a_line_is_allowed_if_no_server_is_listed_or_limits_are_suspended() {
     let mut workload = running(settings(2, 1));
     apply(&mut workload, 0, &[bind(0, 8)]);
     (0..2).for_each(|number| workload.notify_server_lost(0, &format!("s-{number}")).unwrap());
@@ -358,7 +364,7 @@
     workload.advance(seconds(15.3));
     assert!(
         !workload.summary().no_line_periods.is_empty(),
-        "the only server listed is cold, and one to have a line to"
+        "the only listed server is cold, but the proxy must still have a line to it"
     );
     assert_eq!(workload.summary().no_line_periods_beyond_limit().count(), 0);
     workload.advance(seconds(15.5));
@@ -382,7 +388,7 @@
 }
 
 #[test]
-fn planted_sends_after_the_grace_of_a_drain_are_told() {
+fn sends_after_the_grace_period_of_a_drain_are_reported() {
     let settings = settings(2, 1);
     let grace = settings.drain_grace + settings.socket_slack;
     let mut workload = running(settings);
@@ -399,7 +405,7 @@
 }
 
 #[test]
-fn a_cold_server_that_is_pushed_falls_and_a_warm_one_does_not() {
+fn an_overloaded_cold_server_crashes_and_a_warm_one_does_not() {
     let mut settings = settings(10, 4);
     settings.load = 0.5;
     let mut workload = running(settings);
@@ -427,7 +433,7 @@
 }
 
 #[test]
-fn a_fall_by_proxies_that_could_not_know_breaks_no_rule() {
+fn an_overload_crash_by_uninformed_proxies_breaks_no_rule() {
     let mut workload = running(WorkloadSettings { load: 3.0, ..settings(1, 4) });
     workload.advance(seconds(1.0));
     workload.start_server("s-0").unwrap();
@@ -440,7 +446,7 @@
 }
 
 #[test]
-fn a_planted_silent_server_leaves_operations_without_an_answer() {
+fn a_silent_server_leaves_operations_unanswered() {
     let mut workload = running(settings(2, 2));
     workload.advance(seconds(5.0));
     workload.silence_server("s-0", true).unwrap();
@@ -470,7 +476,7 @@
 }
 
 #[test]
-fn a_planted_overload_answers_late_for_the_queue_and_refuses_unseen() {
+fn an_overload_causes_late_answers_by_queueing_and_rejections_by_full_servers() {
     let mut workload = running(WorkloadSettings { load: 1.5, slowdown_past_knee: 0.0, ..settings(2, 2) });
     workload.advance(seconds(30.0));
     let summary = workload.summary();
@@ -480,10 +486,10 @@
 }
 
 #[test]
-fn late_answers_are_put_down_to_what_held_them() {
-    let heavy_knee =
+fn late_answers_are_attributed_to_their_cause() {
+    let steep_slowdown =
         WorkloadSettings { load: 0.9, slowdown_past_knee: 20.0, knee_per_core: 1.0, ..settings(2, 2) };
-    let mut workload = running(heavy_knee);
+    let mut workload = running(steep_slowdown);
     workload.advance(seconds(30.0));
     assert!(count(&workload.summary(), Outcome::Later, Reason::SlowedPastKnee) > 0);
     let cold = WorkloadSettings { cold_share: 0.05, overload_multiple: 1e6, load: 0.2, ..settings(2, 2) };
@@ -500,7 +506,7 @@
 }
 
 #[test]
-fn a_server_that_is_gone_fails_operations_until_the_list_tells() {
+fn failures_at_a_stopped_server_depend_on_whether_the_coordinator_was_notified() {
     let mut settings = settings(1, 2);
     settings.ejection_threshold = 0;
     let mut workload = running(settings);
@@ -515,7 +521,7 @@
 }
 
 #[test]
-fn planted_repeats_of_unsafe_operations_are_told_and_safe_ways_make_none() {
+fn repeats_of_unsafe_operations_are_reported_and_safe_retry_modes_make_none() {
     for (retry, repeats) in [(1, false), (2, true)] {
         let mut settings = settings(4, 2);
         settings.classes[0].semantics = Semantics::Unsafe;
@@ -524,12 +530,12 @@
         workload.advance(seconds(5.0));
         workload.silence_server("s-1", true).unwrap();
         workload.advance(seconds(10.0));
-        assert_eq!(workload.summary().unsafe_repeats > 0, repeats, "way {retry}");
+        assert_eq!(workload.summary().unsafe_repeats > 0, repeats, "retry mode {retry}");
     }
 }
 
 #[test]
-fn a_retry_where_nothing_ran_keeps_operations_from_failing() {
+fn a_retry_of_tries_that_did_not_run_prevents_failures() {
     let failed = |retry: u8| {
         let mut workload = running(settings(4, 2));
         apply(&mut workload, 0, &[admit_all(1e6, retry)]);
@@ -545,7 +551,7 @@
 }
 
 #[test]
-fn a_planted_queue_beyond_the_limit_and_a_mark_that_stands_are_told() {
+fn a_queue_beyond_the_limit_and_an_unacknowledged_mark_are_reported() {
     let settings = WorkloadSettings { lines_per_second: 10.0, queue_limit: 30.0, ..settings(4, 8) };
     let mut workload = running(settings);
     workload.advance(seconds(1.0));
@@ -558,31 +564,31 @@
 }
 
 #[test]
-fn what_names_something_unknown_is_refused() {
+fn orders_with_unknown_names_or_invalid_values_are_rejected() {
     let mut workload = running(settings(2, 2));
     let unlisted = Order::Withdraw { server: "s-9".to_owned() };
-    let mut refusal = |order: &Order| workload.apply(0, order).unwrap_err();
-    assert_eq!(refusal(&unlisted), WorkloadError::UnknownServer("s-9".to_owned()));
-    assert_eq!(refusal(&bind(7, 1)), WorkloadError::UnknownProxy(7));
-    assert_eq!(refusal(&set_line(1, "s-0", -1.0)), WorkloadError::OutOfRange);
-    assert_eq!(refusal(&set_line(u16::MAX, "s-0", 1.0)), WorkloadError::OutOfRange);
-    assert_eq!(refusal(&admit_all(f64::NAN, 0)), WorkloadError::OutOfRange);
-    assert_eq!(refusal(&admit_all(1.0, 4)), WorkloadError::OutOfRange);
+    let mut rejection = |order: &Order| workload.apply(0, order).unwrap_err();
+    assert_eq!(rejection(&unlisted), WorkloadError::UnknownServer("s-9".to_owned()));
+    assert_eq!(rejection(&bind(7, 1)), WorkloadError::UnknownProxy(7));
+    assert_eq!(rejection(&set_line(1, "s-0", -1.0)), WorkloadError::OutOfRange);
+    assert_eq!(rejection(&set_line(u16::MAX, "s-0", 1.0)), WorkloadError::OutOfRange);
+    assert_eq!(rejection(&admit_all(f64::NAN, 0)), WorkloadError::OutOfRange);
+    assert_eq!(rejection(&admit_all(1.0, 4)), WorkloadError::OutOfRange);
     assert_eq!(workload.apply(1, &admit_all(1.0, 0)), Err(WorkloadError::UnknownCoordinator(1)));
 }
 
 #[test]
-fn reports_account_for_what_came_and_what_was_tried() {
+fn reports_account_for_all_operations_and_tries() {
     let mut workload = running(settings(4, 3));
-    let (mut came, mut tried) = (0, 0);
+    let (mut received, mut tried) = (0, 0);
     for step in 1..=20 {
         workload.advance(seconds(f64::from(step)));
-        came += workload.take_client_reports(0).iter().map(|row| row.total).sum::<u64>();
+        received += workload.take_client_reports(0).iter().map(|row| row.total).sum::<u64>();
         tried +=
             (0..2).flat_map(|zone| workload.take_upstream_reports(zone)).map(|row| row.total).sum::<u64>();
     }
     let summary = workload.summary();
-    assert_eq!(came, summary.total.offered);
+    assert_eq!(received, summary.total.offered);
     assert_eq!(tried, summary.total.offered - summary.total.in_flight);
 }
 
@@ -600,7 +606,7 @@
 }
 
 #[test]
-fn the_reference_sees_the_same_operations_and_serves_nearly_all_of_them() {
+fn the_reference_policy_gets_the_same_operations_and_serves_nearly_all() {
     let settings = WorkloadSettings { load: 0.5, ..settings(30, 240) };
     let end = seconds(63.0);
     let reference = Workload::reference(&settings, SEED, &restarts(30), end).unwrap();
@@ -613,7 +619,7 @@
 }
 
 #[test]
-fn the_wheel_sends_evenly_by_weight_and_a_pair_to_the_less_loaded() {
+fn round_robin_follows_the_weights_and_two_choices_prefer_the_less_loaded_server() {
     let tried = |pick: Pick, slowness: f64| {
         let mut workload = running(WorkloadSettings {
             pick,
@@ -638,7 +644,7 @@
 }
 
 #[test]
-fn a_class_of_the_proxys_zone_keeps_to_it_and_a_planted_line_elsewhere_is_told() {
+fn a_home_only_class_stays_in_the_proxys_zone_and_sends_elsewhere_are_reported() {
     let mut workload = running(WorkloadSettings { home_only: vec![true], ..settings(6, 2) });
     workload.advance(seconds(10.0));
     assert_eq!(workload.summary().misplaced_sends, 0);
@@ -648,7 +654,7 @@
 }
 
 #[test]
-fn clients_repeat_what_failed_and_never_an_unsafe_operation_that_might_have_run() {
+fn clients_repeat_failures_but_no_unsafe_operation_that_might_have_run() {
     let failed = |semantics: Semantics, client_repeats: u8| {
         let mut settings = WorkloadSettings { client_repeats, ejection_threshold: 0, ..settings(4, 2) };
         settings.classes[0].semantics = semantics;
@@ -664,7 +670,7 @@
 }
 
 #[test]
-fn a_slow_server_answers_late_until_it_starts_again() {
+fn a_slow_server_answers_late() {
     let mut workload = running(WorkloadSettings { load: 0.1, ..settings(2, 2) });
     workload.slow_server("s-0", 10.0).unwrap();
     workload.advance(seconds(20.0));
@@ -675,7 +681,7 @@
 }
 
 #[test]
-fn a_channel_that_runs_slower_takes_longer_by_that_factor() {
+fn channel_latency_scales_with_the_rate_factor() {
     let latency = |share: f64| {
         let settings =
             WorkloadSettings { lines_per_second: 100.0, push_delay: Duration::ZERO, ..settings(2, 4) };
@@ -689,7 +695,7 @@
 }
 
 #[test]
-fn a_proxy_that_has_ended_gets_nothing_and_starts_with_its_standing_table() {
+fn a_stopped_proxy_receives_nothing_and_restarts_with_its_standing_table() {
     let mut workload = running(settings(2, 1));
     apply(&mut workload, 0, &[set_line(1, "s-1", 1.0), bind(0, 1)]);
     workload.advance(seconds(10.0));
