--- a/crates/craneknot-rehearsal/src/workload/orders.rs
+++ b/crates/craneknot-rehearsal/src/workload/orders.rs
@@ -40,7 +40,7 @@
 impl fmt::Display for WorkloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WorkloadError::UnknownProxy(proxy) => write!(f, "proxy {proxy} has not joined the coordinator"),
+            WorkloadError::UnknownProxy(proxy) => write!(f, "proxy {proxy} is unknown or has not joined"),
             WorkloadError::UnknownServer(server) => write!(f, "unknown server {server:?}"),
             WorkloadError::UnknownCoordinator(coordinator) => write!(f, "unknown coordinator {coordinator}"),
             WorkloadError::UnknownClass(class) => write!(f, "unknown class {class}"),
