--- a/crates/craneknot-rehearsal/src/trial/clients.rs
+++ b/crates/craneknot-rehearsal/src/trial/clients.rs
@@ -10,14 +10,14 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-use super::judge::{Answer, Asked, Judge, Moment, Question, ANSWER_WITHIN};
+use super::judge::{Answer, Asked, Judge, Moment, Request, ANSWER_WITHIN};
 
 /// What asks for a sign of life.
 pub const HEARTBEAT: &[u8] = b"{\"type\":\"hb\"}\n";
-const PATIENCE: Duration = Duration::from_secs(4); // for an answer; longer than any due time by far
-const REDIAL: Duration = Duration::from_millis(15); // after a connection was refused or has ended
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(4); // for an answer; longer than any due time by far
+const RECONNECT_DELAY: Duration = Duration::from_millis(15); // after a connection was refused or has ended
 const PAUSE_MILLIS: std::ops::Range<u64> = 10..60; // between two questions
-const KEPT_CHANCE: f64 = 0.98; // that a kept connection is kept after an answer
+const KEEP_PROBABILITY: f64 = 0.98; // that a kept connection is kept after an answer
 
 /// A coordinator as its clients see it.
 #[derive(Clone)]
@@ -26,15 +26,15 @@
     /// Where clients dial: the coordinator, or what stands before it.
     pub address: SocketAddr,
     pub judge: Arc<Judge>,
-    pub over: Arc<AtomicBool>,
+    pub finished: Arc<AtomicBool>,
     /// Whether clients go elsewhere once SIGTERM comes, so that a coordinator may end by itself at once.
     pub leaves_on_signal: bool,
 }
 
 impl Target {
     /// Whether the trial is over.
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    pub fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 
     /// Whether a client should use a coordinator now: nothing reaches one that is stopped or cut off.
@@ -43,7 +43,7 @@
         let timeline = &self.judge.timeline;
         let processes = timeline.processes(self.coordinator);
         let is_terminated = processes.last().is_some_and(|process| process.terminated.is_some());
-        timeline.was_present(self.coordinator, now, now) && !(self.leaves_on_signal && is_terminated)
+        timeline.was_reachable(self.coordinator, now, now) && !(self.leaves_on_signal && is_terminated)
     }
 
     /// The process that a client dials now, if one runs.
@@ -55,12 +55,12 @@
     }
 
     /// Judges an answer, unless the trial ended first.
-    pub fn judge(&self, question: Question, answer: Answer) {
-        if answer == Answer::Came && question.asked != Asked::BadClient {
-            self.judge.timeline.answered(self.coordinator, question.process);
+    pub fn judge_answer(&self, request: Request, answer: Answer) {
+        if answer == Answer::Came && request.asked != Asked::BadClient {
+            self.judge.timeline.record_answer(self.coordinator, request.process);
         }
-        if !self.is_over() {
-            self.judge.judge(question, answer);
+        if !self.is_finished() {
+            self.judge.judge_answer(request, answer);
         }
     }
 }
@@ -77,9 +77,9 @@
     pub fn open(target: &Target) -> Option<Self> {
         let process = target.process()?;
         let opened = target.judge.moment();
-        let stream = TcpStream::connect_timeout(&target.address, PATIENCE).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
-        stream.set_write_timeout(Some(PATIENCE)).ok()?;
+        let stream = TcpStream::connect_timeout(&target.address, CLIENT_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(CLIENT_TIMEOUT)).ok()?;
+        stream.set_write_timeout(Some(CLIENT_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(Connection { reader: BufReader::new(stream), process, opened })
     }
@@ -90,7 +90,7 @@
     }
 
     /// Waits for the answer to a heartbeat.
-    pub fn answer(&mut self) -> Answer {
+    pub fn read_heartbeat_answer(&mut self) -> Answer {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(_) if line.contains("hb_ok") => Answer::Came,
@@ -103,8 +103,8 @@
     }
 
     /// A question on this connection.
-    pub fn question(&self, target: &Target, asked: Asked, sent: Moment) -> Question {
-        Question {
+    pub fn request(&self, target: &Target, asked: Asked, sent: Moment) -> Request {
+        Request {
             asked,
             coordinator: target.coordinator,
             process: self.process,
@@ -116,42 +116,46 @@
 }
 
 /// Asks on a connection that is kept, until the trial is over.
-pub fn ask_on_kept(target: &Target, seed: u64) {
+pub fn run_kept_client(target: &Target, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut kept: Option<Connection> = None;
-    while !target.is_over() {
-        let open = kept.take().filter(|_| target.is_reachable()).or_else(|| Connection::open(target));
-        let Some(mut open) = open else {
-            thread::sleep(REDIAL);
+    while !target.is_finished() {
+        let connection = kept.take().filter(|_| target.is_reachable()).or_else(|| Connection::open(target));
+        let Some(mut connection) = connection else {
+            thread::sleep(RECONNECT_DELAY);
             continue;
         };
         let sent = target.judge.moment();
         // A connection that had ended before the question was written owes nothing.
-        if open.write(HEARTBEAT) {
-            let answer = open.answer();
-            target.judge(open.question(target, Asked::HeartbeatOnKept, sent), answer);
-            kept = (answer == Answer::Came && rng.random_bool(KEPT_CHANCE)).then_some(open);
+        if connection.write(HEARTBEAT) {
+            let answer = connection.read_heartbeat_answer();
+            target.judge_answer(connection.request(target, Asked::HeartbeatOnKept, sent), answer);
+            kept = (answer == Answer::Came && rng.random_bool(KEEP_PROBABILITY)).then_some(connection);
         }
         thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MILLIS)));
     }
 }
 
 /// Asks on one new connection after another, until the trial is over. The time runs from the dial.
-pub fn ask_on_new(target: &Target, seed: u64) {
+pub fn run_reconnecting_client(target: &Target, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
-    while !target.is_over() {
+    while !target.is_finished() {
         let Some(process) = target.process() else {
-            thread::sleep(REDIAL);
+            thread::sleep(RECONNECT_DELAY);
             continue;
         };
         let sent = target.judge.moment();
         match Connection::open(target) {
-            Some(mut open) => {
-                let answer = if open.write(HEARTBEAT) { open.answer() } else { Answer::Closed };
-                target.judge(open.question(target, Asked::HeartbeatOnNew, sent), answer);
+            Some(mut connection) => {
+                let answer = if connection.write(HEARTBEAT) {
+                    connection.read_heartbeat_answer()
+                } else {
+                    Answer::Closed
+                };
+                target.judge_answer(connection.request(target, Asked::HeartbeatOnNew, sent), answer);
             }
             None if target.process() == Some(process) => {
-                let question = Question {
+                let request = Request {
                     asked: Asked::HeartbeatOnNew,
                     coordinator: target.coordinator,
                     process,
@@ -159,7 +163,7 @@
                     sent,
                     due: ANSWER_WITHIN,
                 };
-                target.judge(question, Answer::Refused);
+                target.judge_answer(request, Answer::Refused);
             }
             None => {}
         }
--- a/crates/craneknot-rehearsal/src/trial/collectors.rs
+++ b/crates/craneknot-rehearsal/src/trial/collectors.rs
@@ -8,24 +8,25 @@
 use super::fleet::SharedFleet;
 use super::judge::{Answer, Asked};
 
-const REDIAL: Duration = Duration::from_millis(50); // after a connection was refused or has ended
+const RECONNECT_DELAY: Duration = Duration::from_millis(50); // after a connection was refused or has ended
 
 /// Reports for a zone until the trial is over, and asks for a heartbeat after each round.
-pub fn collect(target: &Target, zone: usize, fleet: &SharedFleet) {
+pub fn run(target: &Target, zone: usize, fleet: &SharedFleet) {
     let mut kept: Option<Connection> = None;
-    while !target.is_over() {
-        let Some(mut open) = kept.take().filter(|_| target.is_reachable()).or_else(|| connect(target, zone))
+    while !target.is_finished() {
+        let Some(mut connection) =
+            kept.take().filter(|_| target.is_reachable()).or_else(|| connect(target, zone))
         else {
-            thread::sleep(REDIAL);
+            thread::sleep(RECONNECT_DELAY);
             continue;
         };
         let reports = fleet.lock().unwrap().take_reports(target.coordinator, zone);
-        if open.write(reports.as_bytes()) {
+        if connection.write(reports.as_bytes()) {
             let sent = target.judge.moment();
-            if open.write(HEARTBEAT) {
-                let answer = open.answer();
-                target.judge(open.question(target, Asked::CollectorHeartbeat, sent), answer);
-                kept = (answer == Answer::Came).then_some(open);
+            if connection.write(HEARTBEAT) {
+                let answer = connection.read_heartbeat_answer();
+                target.judge_answer(connection.request(target, Asked::CollectorHeartbeat, sent), answer);
+                kept = (answer == Answer::Came).then_some(connection);
             }
         }
         thread::sleep(REPORT_INTERVAL);
@@ -33,7 +34,7 @@
 }
 
 fn connect(target: &Target, zone: usize) -> Option<Connection> {
-    let mut open = Connection::open(target)?;
+    let mut connection = Connection::open(target)?;
     let greeting = format!("{{\"type\":\"telemetry\",\"locality\":\"{}\"}}\n", ZONES[zone]);
-    open.write(greeting.as_bytes()).then_some(open)
+    connection.write(greeting.as_bytes()).then_some(connection)
 }
--- a/crates/craneknot-rehearsal/src/trial/deployment.rs
+++ b/crates/craneknot-rehearsal/src/trial/deployment.rs
@@ -24,7 +24,7 @@
 pub const CLASSES: [&str; 3] = ["quote", "track", "book"];
 
 /// How long a proxy may lack a line (`extra.bare`).
-pub const BARE: Duration = Duration::from_millis(2_800);
+pub const NO_LINE_LIMIT: Duration = Duration::from_millis(2_800);
 /// How long a proxy may keep a line to a server that drains (`rules.stop-sending-within`).
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_700);
 /// How long after its start a server is warm (`rules.ramp-time`).
@@ -77,12 +77,12 @@
 
 /// The settings as a node's configuration holds them.
 pub fn settings(seed: u64) -> Value {
-    let profile = |place: usize| {
-        let semantics = if place == UNSAFE_CLASS { "single_shot" } else { "free" };
-        let mut profile = json!({"name": CLASSES[place], "aim": AIMS[place].as_secs_f64(),
-                                 "worth": 1.0 + place as f64, "deadline": DEADLINES[place].as_secs_f64(),
+    let profile = |index: usize| {
+        let semantics = if index == UNSAFE_CLASS { "single_shot" } else { "free" };
+        let mut profile = json!({"name": CLASSES[index], "aim": AIMS[index].as_secs_f64(),
+                                 "worth": 1.0 + index as f64, "deadline": DEADLINES[index].as_secs_f64(),
                                  "semantics": semantics});
-        if let Some(zone) = confined_zone(seed).filter(|_| place == UNSAFE_CLASS) {
+        if let Some(zone) = confined_zone(seed).filter(|_| index == UNSAFE_CLASS) {
             profile["only-zones"] = json!([ZONES[zone]]);
         }
         profile
@@ -96,7 +96,7 @@
         "rules": {"ask-within": ASK_WITHIN.as_secs_f64(), "cold-share": COLD_SHARE,
                   "fall": FALL_WINDOW.as_secs_f64(), "fall-multiple": FALL_MULTIPLE,
                   "ramp-time": WARM_AFTER.as_secs_f64(), "stop-sending-within": DRAIN_GRACE.as_secs_f64()},
-        "extra": {"data-plane-size": PROXIES, "bare": BARE.as_secs_f64(), "admission": "rps",
+        "extra": {"data-plane-size": PROXIES, "bare": NO_LINE_LIMIT.as_secs_f64(), "admission": "rps",
                   "egress-per-s": LINES_PER_SECOND, "queue-cap": QUEUE_CAP, "envelope": MESSAGE_LINES,
                   "update-cap": 0, "reload-span": 10.0, "interval": REPORT_INTERVAL.as_secs_f64(), "slices": 0,
                   "home-only": [false, false, false], "push-delay": PUSH_DELAY.as_secs_f64(),
@@ -114,14 +114,14 @@
         speed: rng.random_range(0.85..1.15),
         listed_weight: 1.0,
     };
-    let class = |place: usize| ClassSpec {
-        name: CLASSES[place].to_owned(),
-        share: [0.5, 0.3, 0.2][place],
-        work: Duration::from_millis([30, 50, 80][place]),
-        aim: AIMS[place],
-        deadline: DEADLINES[place],
-        semantics: if place == UNSAFE_CLASS { Semantics::Unsafe } else { Semantics::Safe },
-        only_zone: confined_zone(seed).filter(|_| place == UNSAFE_CLASS),
+    let class = |index: usize| ClassSpec {
+        name: CLASSES[index].to_owned(),
+        share: [0.5, 0.3, 0.2][index],
+        work: Duration::from_millis([30, 50, 80][index]),
+        aim: AIMS[index],
+        deadline: DEADLINES[index],
+        semantics: if index == UNSAFE_CLASS { Semantics::Unsafe } else { Semantics::Safe },
+        only_zone: confined_zone(seed).filter(|_| index == UNSAFE_CLASS),
     };
     WorkloadSettings {
         servers: (0..SERVERS).map(server).collect(),
@@ -135,7 +135,7 @@
         ramp_time: WARM_AFTER,
         fall_multiple: FALL_MULTIPLE,
         fall: FALL_WINDOW,
-        bare: BARE,
+        bare: NO_LINE_LIMIT,
         stop_sending_within: DRAIN_GRACE,
         lines_per_second: LINES_PER_SECOND,
         envelope: MESSAGE_LINES,
--- a/crates/craneknot-rehearsal/src/trial/discovery.rs
+++ b/crates/craneknot-rehearsal/src/trial/discovery.rs
@@ -10,7 +10,7 @@
 use super::registry::{Entry, Registry};
 use crate::soak::http::{self, read_request, respond};
 
-const LOOK_EVERY: Duration = Duration::from_millis(10); // between looks for something newer
+const POLL_INTERVAL: Duration = Duration::from_millis(10); // between looks for something newer
 
 /// Serves one coordinator; gives the address.
 pub fn serve(
@@ -18,10 +18,15 @@
     fleet: SharedFleet,
     coordinator: usize,
 ) -> io::Result<SocketAddr> {
-    http::serve(move |stream| converse(&registry, &fleet, coordinator, stream))
+    http::serve(move |stream| handle_connection(&registry, &fleet, coordinator, stream))
 }
 
-fn converse(registry: &Mutex<Registry>, fleet: &SharedFleet, coordinator: usize, mut stream: TcpStream) {
+fn handle_connection(
+    registry: &Mutex<Registry>,
+    fleet: &SharedFleet,
+    coordinator: usize,
+    mut stream: TcpStream,
+) {
     let (mut rest, _) = (Vec::new(), stream.set_nodelay(true));
     while let Some(request) = read_request(&mut stream, &mut rest) {
         let query = request.path.split_once('?').map_or("", |(_, query)| query);
@@ -29,18 +34,19 @@
             let found = form_urlencoded::parse(query.as_bytes()).find(|(name, _)| name == key);
             found.and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let (body, entries) = answer(registry, coordinator, number("index"), number("wait").unwrap_or(0));
+        let (body, entries) =
+            build_answer(registry, coordinator, number("index"), number("wait").unwrap_or(0));
         wait_until_allowed(registry, coordinator);
         if respond(&mut stream, "200 OK", &body).is_err() {
             return;
         }
-        let news = registry.lock().unwrap().written(coordinator, entries);
-        fleet.lock().unwrap().told(&news);
+        let notices = registry.lock().unwrap().record_written(coordinator, entries);
+        fleet.lock().unwrap().apply_notices(&notices);
     }
 }
 
 /// The list, once there is something newer or the wait is over; and the servers as it has them.
-fn answer(
+fn build_answer(
     registry: &Mutex<Registry>,
     coordinator: usize,
     after: Option<u64>,
@@ -51,19 +57,19 @@
         let registry = registry.lock().unwrap();
         let is_newer = after.is_none_or(|after| registry.version() > after);
         if is_newer || Instant::now() >= until {
-            let after = after.filter(|_| !registry.answers[coordinator].whole);
+            let after = after.filter(|_| !registry.behaviours[coordinator].full_lists);
             return (registry.list(after), registry.entries().to_vec());
         }
         drop(registry);
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Holds an answer back for as long as the trial wants it late or silent.
 fn wait_until_allowed(registry: &Mutex<Registry>, coordinator: usize) {
-    let answers = |registry: &Mutex<Registry>| registry.lock().unwrap().answers[coordinator];
-    thread::sleep(answers(registry).late);
-    while answers(registry).silent {
-        thread::sleep(LOOK_EVERY);
+    let behaviour = |registry: &Mutex<Registry>| registry.lock().unwrap().behaviours[coordinator];
+    thread::sleep(behaviour(registry).delay);
+    while behaviour(registry).silent {
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/craneknot-rehearsal/src/trial/fleet.rs
+++ b/crates/craneknot-rehearsal/src/trial/fleet.rs
@@ -8,30 +8,30 @@
 use rand_pcg::Pcg32;
 
 use super::deployment::{self, server_id, zone_of_proxy, COORDINATORS, PROXIES, SERVERS, ZONES};
+use super::event_streams::EventStreams;
 use super::judge::Judge;
-use super::news::News;
 use super::orders;
 use super::overlay::Overlay;
-use super::registry::Told;
+use super::registry::Notice;
 use super::relay::CallOutcome;
 use super::release::{Phase, ServerChange};
 use super::reports::Reports;
 use super::settings::{PlantedBreak, TrialSettings};
 use crate::workload::{self, Order, ServerAction, Summary, Workload, WorkloadSettings};
 
-const DIAL_MILLIS: std::ops::Range<u64> = 100..1_400; // from the loss of a coordinator to the next one
-const DIAL_AGAIN: Duration = Duration::from_millis(200); // where none takes proxies
-const MOVE_PAUSE: Duration = Duration::from_millis(50); // of a proxy that moves, between two streams
-const STRIKE_CHANCE: f64 = 0.5; // that a call goes wrong while calls do
-const BROKEN_WAIT: Duration = Duration::from_millis(500); // of time limits after a call that broke
-const SPOILT_WAIT: Duration = Duration::from_millis(1_500); // after an answer that cannot be read
-const PLANTED_AT: Duration = Duration::from_secs(2); // in the day: servers fall silent where that is planted
+const DIAL_DELAY_MILLIS: std::ops::Range<u64> = 100..1_400; // from the loss of a coordinator to the next one
+const REDIAL_INTERVAL: Duration = Duration::from_millis(200); // where none takes proxies
+const MOVE_DELAY: Duration = Duration::from_millis(50); // of a proxy that moves, between two streams
+const CALL_FAULT_PROBABILITY: f64 = 0.5; // that a call goes wrong while calls do
+const LIMITS_HELD_AFTER_BROKEN_CALL: Duration = Duration::from_millis(500); // of time limits after a call that broke
+const LIMITS_HELD_AFTER_UNREADABLE_ANSWER: Duration = Duration::from_millis(1_500); // after an answer that cannot be read
+const PLANTED_SILENCE_AT: Duration = Duration::from_secs(2); // in the day: servers fall silent where that is planted
 
 /// The fleet as the threads of the stand-ins share it.
 pub type SharedFleet = Arc<Mutex<Fleet>>;
 
 #[derive(Clone, Copy, Debug)]
-enum Home {
+enum ProxyState {
     Joined(usize),
     /// It dials then: one coordinator, or any.
     Dialling {
@@ -46,7 +46,7 @@
     to: usize,
 }
 
-struct Strike {
+struct CallFault {
     coordinator: usize,
     fault: Overlay,
     until: Instant,
@@ -57,13 +57,13 @@
     workload: Workload,
     workload_settings: WorkloadSettings,
     seed: u64,
-    begun: Option<Instant>,
-    homes: Vec<Home>,
+    day_start: Option<Instant>,
+    proxy_states: Vec<ProxyState>,
     /// By proxy: when it joined which coordinator, or left, oldest first.
-    joinings: Vec<Vec<(Duration, Option<usize>)>>,
+    join_history: Vec<Vec<(Duration, Option<usize>)>>,
     moves: Vec<Move>,
-    strikes: Vec<Strike>,
-    news: Vec<News>,
+    call_faults: Vec<CallFault>,
+    event_streams: Vec<EventStreams>,
     reports: Reports,
     /// What became of servers, for the reference.
     server_history: Vec<workload::ServerChange>,
@@ -76,17 +76,17 @@
     /// A fleet that has not begun: no proxy is joined, and calls are turned away.
     pub fn new(settings: &TrialSettings, judge: Arc<Judge>) -> Self {
         let workload_settings = deployment::workload(settings.seed);
-        let nowhere = Home::Dialling { at: Instant::now(), to: None };
+        let unattached = ProxyState::Dialling { at: Instant::now(), to: None };
         Fleet {
             workload: Workload::new(workload_settings.clone(), settings.seed),
             workload_settings,
             seed: settings.seed,
-            begun: None,
-            homes: vec![nowhere; usize::from(PROXIES)],
-            joinings: vec![Vec::new(); usize::from(PROXIES)],
+            day_start: None,
+            proxy_states: vec![unattached; usize::from(PROXIES)],
+            join_history: vec![Vec::new(); usize::from(PROXIES)],
             moves: Vec::new(),
-            strikes: Vec::new(),
-            news: (0..COORDINATORS).map(|_| News::default()).collect(),
+            call_faults: Vec::new(),
+            event_streams: (0..COORDINATORS).map(|_| EventStreams::default()).collect(),
             reports: Reports::default(),
             server_history: Vec::new(),
             judge,
@@ -96,86 +96,91 @@
     }
 
     /// The day begins: servers run, and proxies join coordinators in turn.
-    pub fn begin(&mut self) {
+    pub fn start_day(&mut self) {
         // At time zero, so that they are warm.
         for server in 0..SERVERS {
             self.act_on_server(server, ServerAction::Start);
         }
-        self.tell_first_list();
-        self.begun = Some(Instant::now());
+        self.notify_initial_list();
+        self.day_start = Some(Instant::now());
         for proxy in 0..PROXIES {
             self.join(proxy, usize::from(proxy) % COORDINATORS);
         }
     }
 
     /// All coordinators are started with the whole list.
-    fn tell_first_list(&mut self) {
-        let of = |coordinator| (0..SERVERS).map(move |server| Told { coordinator, server, is_ready: true });
-        let news: Vec<Told> = (0..COORDINATORS).flat_map(of).collect();
-        self.told(&news);
+    fn notify_initial_list(&mut self) {
+        let all =
+            |coordinator| (0..SERVERS).map(move |server| Notice { coordinator, server, is_ready: true });
+        let notices: Vec<Notice> = (0..COORDINATORS).flat_map(all).collect();
+        self.apply_notices(&notices);
     }
 
     fn now(&self) -> Duration {
-        self.begun.map_or(Duration::ZERO, |begun| begun.elapsed())
+        self.day_start.map_or(Duration::ZERO, |day_start| day_start.elapsed())
     }
 
     /// Lets the workload come up to date, and has proxies dial and move.
     pub fn advance(&mut self) {
-        if self.begun.is_none() {
+        if self.day_start.is_none() {
             return;
         }
         self.workload.advance(self.now());
-        if self.planted == Some(PlantedBreak::SilentServers) && self.now() > PLANTED_AT {
+        if self.planted == Some(PlantedBreak::SilentServers) && self.now() > PLANTED_SILENCE_AT {
             self.planted = None;
             (0..SERVERS).for_each(|server| self.silence_server(server, true));
         }
-        self.tell_acknowledgements();
-        self.reports.gather(&mut self.workload);
-        self.move_due();
-        self.dial_due();
+        self.publish_acknowledgements();
+        self.reports.collect(&mut self.workload);
+        self.start_due_moves();
+        self.dial_due_proxies();
     }
 
-    fn tell_acknowledgements(&mut self) {
+    fn publish_acknowledgements(&mut self) {
         for coordinator in 0..COORDINATORS {
-            for done in self.workload.take_acknowledgements(coordinator) {
-                self.judge.judge_mark(coordinator, done.latency);
-                let millis = done.latency.as_secs_f64() * 1e3;
-                self.news[coordinator].tell(&format!(
+            for acknowledgement in self.workload.take_acknowledgements(coordinator) {
+                self.judge.judge_mark(coordinator, acknowledgement.latency);
+                let millis = acknowledgement.latency.as_secs_f64() * 1e3;
+                self.event_streams[coordinator].broadcast(&format!(
                     "event: done\ndata: node={}&nonce={}&latency={millis:.1}\n\n",
-                    done.proxy, done.mark
+                    acknowledgement.proxy, acknowledgement.mark
                 ));
             }
         }
     }
 
-    fn dial_due(&mut self) {
+    fn dial_due_proxies(&mut self) {
         let now = Instant::now();
-        let open: Vec<usize> =
-            (0..COORDINATORS).filter(|number| self.judge.timeline.takes_proxies(*number)).collect();
+        let accepting: Vec<usize> =
+            (0..COORDINATORS).filter(|number| self.judge.timeline.accepts_proxies(*number)).collect();
         for proxy in 0..PROXIES {
-            let Home::Dialling { at, to } = self.homes[usize::from(proxy)] else { continue };
+            let ProxyState::Dialling { at, to } = self.proxy_states[usize::from(proxy)] else { continue };
             if at > now {
                 continue;
             }
-            let wanted = to.filter(|to| open.contains(to)).or_else(|| open.choose(&mut self.rng).copied());
-            match wanted {
+            let target =
+                to.filter(|to| accepting.contains(to)).or_else(|| accepting.choose(&mut self.rng).copied());
+            match target {
                 Some(to) => self.join(proxy, to),
                 None => {
-                    self.homes[usize::from(proxy)] = Home::Dialling { at: now + DIAL_AGAIN, to };
+                    self.proxy_states[usize::from(proxy)] =
+                        ProxyState::Dialling { at: now + REDIAL_INTERVAL, to };
                 }
             }
         }
     }
 
-    fn move_due(&mut self) {
+    fn start_due_moves(&mut self) {
         let now = Instant::now();
         let (due, later) = std::mem::take(&mut self.moves).into_iter().partition(|planned| planned.at <= now);
         self.moves = later;
         let due: Vec<Move> = due;
         for Move { proxy, to, .. } in due {
-            if matches!(self.homes[usize::from(proxy)], Home::Joined(home) if home != to) {
+            if matches!(self.proxy_states[usize::from(proxy)], ProxyState::Joined(joined_to) if joined_to != to)
+            {
                 self.leave(proxy);
-                self.homes[usize::from(proxy)] = Home::Dialling { at: now + MOVE_PAUSE, to: Some(to) };
+                self.proxy_states[usize::from(proxy)] =
+                    ProxyState::Dialling { at: now + MOVE_DELAY, to: Some(to) };
             }
         }
     }
@@ -188,32 +193,32 @@
 
     fn join(&mut self, proxy: u16, coordinator: usize) {
         if self.workload.join(proxy, coordinator).is_ok() {
-            self.homes[usize::from(proxy)] = Home::Joined(coordinator);
+            self.proxy_states[usize::from(proxy)] = ProxyState::Joined(coordinator);
             let now = self.now();
-            self.joinings[usize::from(proxy)].push((now, Some(coordinator)));
+            self.join_history[usize::from(proxy)].push((now, Some(coordinator)));
             let event = self.attach_event(proxy);
-            self.news[coordinator].tell(&event);
+            self.event_streams[coordinator].broadcast(&event);
         }
     }
 
     /// A proxy's stream ends; it dials another coordinator a moment later.
     fn leave(&mut self, proxy: u16) {
-        let Home::Joined(coordinator) = self.homes[usize::from(proxy)] else { return };
+        let ProxyState::Joined(coordinator) = self.proxy_states[usize::from(proxy)] else { return };
         let now = self.now();
-        self.joinings[usize::from(proxy)].push((now, None));
+        self.join_history[usize::from(proxy)].push((now, None));
         let _ = self.workload.leave(proxy);
-        self.news[coordinator].tell(&format!("event: detach\ndata: node={proxy}\n\n"));
+        self.event_streams[coordinator].broadcast(&format!("event: detach\ndata: node={proxy}\n\n"));
         self.dial_later(proxy);
     }
 
     fn dial_later(&mut self, proxy: u16) {
-        let span = Duration::from_millis(self.rng.random_range(DIAL_MILLIS));
-        self.homes[usize::from(proxy)] = Home::Dialling { at: Instant::now() + span, to: None };
+        let span = Duration::from_millis(self.rng.random_range(DIAL_DELAY_MILLIS));
+        self.proxy_states[usize::from(proxy)] = ProxyState::Dialling { at: Instant::now() + span, to: None };
     }
 
     fn joined(&self, coordinator: usize) -> Vec<u16> {
-        let is_home = |proxy: &u16| matches!(self.homes[usize::from(*proxy)], Home::Joined(home) if home == coordinator);
-        (0..PROXIES).filter(is_home).collect()
+        let is_joined = |proxy: &u16| matches!(self.proxy_states[usize::from(*proxy)], ProxyState::Joined(joined_to) if joined_to == coordinator);
+        (0..PROXIES).filter(is_joined).collect()
     }
 
     /// All proxies of a coordinator leave it.
@@ -225,7 +230,7 @@
     pub fn coordinator_ended(&mut self, coordinator: usize) {
         self.leave_all(coordinator);
         let _ = self.workload.coordinator_ended(coordinator);
-        self.news[coordinator].end();
+        self.event_streams[coordinator].close_all();
     }
 
     /// Proxies move to a coordinator within a span, one in so many.
@@ -264,12 +269,12 @@
     }
 
     /// The list has told coordinators of servers.
-    pub fn told(&mut self, news: &[Told]) {
-        for told in news {
-            let id = server_id(told.server);
-            let _ = match told.is_ready {
-                true => self.workload.told_ready(told.coordinator, &id),
-                false => self.workload.told_lost(told.coordinator, &id),
+    pub fn apply_notices(&mut self, notices: &[Notice]) {
+        for notice in notices {
+            let id = server_id(notice.server);
+            let _ = match notice.is_ready {
+                true => self.workload.told_ready(notice.coordinator, &id),
+                false => self.workload.told_lost(notice.coordinator, &id),
             };
         }
     }
@@ -282,19 +287,21 @@
     }
 
     /// Calls of a coordinator go wrong for so long.
-    pub fn strike_calls(&mut self, coordinator: usize, fault: Overlay, span: Duration) {
-        self.strikes.push(Strike { coordinator, fault, until: Instant::now() + span });
+    pub fn fail_calls(&mut self, coordinator: usize, fault: Overlay, span: Duration) {
+        self.call_faults.push(CallFault { coordinator, fault, until: Instant::now() + span });
     }
 
     /// What becomes of a coordinator's next call.
-    pub fn draw_outcome(&mut self, coordinator: usize) -> CallOutcome {
-        if self.begun.is_none() {
+    pub fn draw_call_outcome(&mut self, coordinator: usize) -> CallOutcome {
+        if self.day_start.is_none() {
             return CallOutcome::Throttled;
         }
         let now = Instant::now();
-        self.strikes.retain(|strike| strike.until > now);
-        let active = self.strikes.iter().find(|strike| strike.coordinator == coordinator);
-        let Some(fault) = active.map(|strike| strike.fault).filter(|_| self.rng.random_bool(STRIKE_CHANCE))
+        self.call_faults.retain(|call_fault| call_fault.until > now);
+        let call_fault = self.call_faults.iter().find(|call_fault| call_fault.coordinator == coordinator);
+        let Some(fault) = call_fault
+            .map(|call_fault| call_fault.fault)
+            .filter(|_| self.rng.random_bool(CALL_FAULT_PROBABILITY))
         else {
             return CallOutcome::Answered;
         };
@@ -302,11 +309,11 @@
         match fault {
             Overlay::RelayThrottled => CallOutcome::Throttled,
             Overlay::RelayBroken => {
-                self.hold_off_limits(coordinator, BROKEN_WAIT);
+                self.hold_off_limits(coordinator, LIMITS_HELD_AFTER_BROKEN_CALL);
                 CallOutcome::Broken { carried_out }
             }
             _ => {
-                self.hold_off_limits(coordinator, SPOILT_WAIT);
+                self.hold_off_limits(coordinator, LIMITS_HELD_AFTER_UNREADABLE_ANSWER);
                 CallOutcome::Spoilt { carried_out }
             }
         }
@@ -322,7 +329,7 @@
     }
 
     fn apply_one(&mut self, coordinator: usize, text: &str) -> bool {
-        let Some(order) = orders::read(text) else { return false };
+        let Some(order) = orders::parse_order(text) else { return false };
         let is_dropped =
             self.planted == Some(PlantedBreak::LinesDropped) && matches!(order, Order::SetLine { .. });
         is_dropped || self.workload.apply(coordinator, &order).is_ok()
@@ -330,18 +337,19 @@
 
     /// A stream of a coordinator's news opens, and begins with what stands.
     pub fn open_stream(&mut self, coordinator: usize) -> u64 {
-        let standing = self.joined(coordinator).into_iter().map(|proxy| self.attach_event(proxy)).collect();
-        self.news[coordinator].open(standing)
+        let initial_events =
+            self.joined(coordinator).into_iter().map(|proxy| self.attach_event(proxy)).collect();
+        self.event_streams[coordinator].open(initial_events)
     }
 
     /// What a stream has to tell; nothing: it is over.
-    pub fn take_news(&mut self, coordinator: usize, stream: u64) -> Option<Vec<String>> {
-        self.news[coordinator].take(stream)
+    pub fn take_events(&mut self, coordinator: usize, stream: u64) -> Option<Vec<String>> {
+        self.event_streams[coordinator].take(stream)
     }
 
     /// A stream has ended.
     pub fn close_stream(&mut self, coordinator: usize, stream: u64) {
-        self.news[coordinator].close(stream);
+        self.event_streams[coordinator].close(stream);
     }
 
     /// What a zone's collector passes on to a coordinator.
@@ -351,8 +359,8 @@
 
     /// The coordinator that a proxy was joined to then, if any.
     pub fn joined_at(&self, proxy: u16, at: Duration) -> Option<usize> {
-        let joinings = &self.joinings[usize::from(proxy)];
-        joinings.iter().rev().find(|(since, _)| *since <= at).and_then(|(_, coordinator)| *coordinator)
+        let join_history = &self.join_history[usize::from(proxy)];
+        join_history.iter().rev().find(|(since, _)| *since <= at).and_then(|(_, coordinator)| *coordinator)
     }
 
     /// What became of the day so far.
--- a/crates/craneknot-rehearsal/src/trial/judge.rs
+++ b/crates/craneknot-rehearsal/src/trial/judge.rs
@@ -15,7 +15,7 @@
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
 /// A mark is acknowledged once a full channel is drained and the longest way is over.
 pub const MARK_WITHIN: Duration = Duration::from_millis(2_000 + 450 + 300);
-const FINDINGS_KEPT: usize = 200; // enough to find causes
+const MAX_FINDINGS: usize = 200; // enough to find causes
 
 /// What was asked of a coordinator, or came to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -97,7 +97,7 @@
 
 /// Something that was asked of one process.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
+pub struct Request {
     pub asked: Asked,
     pub coordinator: usize,
     pub process: usize,
@@ -108,7 +108,7 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observations {
     /// How late the machine had been by when, oldest first.
     samples: Vec<Moment>,
     tallies: BTreeMap<Asked, Tally>,
@@ -120,13 +120,13 @@
 pub struct Judge {
     pub timeline: Arc<Timeline>,
     lateness: MachineLateness,
-    seen: Mutex<Seen>,
+    observations: Mutex<Observations>,
 }
 
 impl Judge {
     /// Judges by a timeline.
     pub fn new(timeline: Arc<Timeline>) -> Self {
-        Judge { timeline, lateness: MachineLateness::measure(), seen: Mutex::default() }
+        Judge { timeline, lateness: MachineLateness::measure(), observations: Mutex::default() }
     }
 
     /// Now.
@@ -135,7 +135,7 @@
     }
 
     /// How late the machine has been since.
-    pub fn late_since(&self, moment: Moment) -> Duration {
+    pub fn machine_lateness_since(&self, moment: Moment) -> Duration {
         self.lateness.total().saturating_sub(moment.lateness)
     }
 
@@ -145,8 +145,15 @@
     }
 
     /// A rule is broken by a process, from a moment until now.
-    pub fn broken(&self, reading: Reading, coordinator: usize, process: usize, since: Moment, what: String) {
-        self.keep(self.finding(reading, coordinator, process, since, what));
+    pub fn report_violation(
+        &self,
+        reading: Reading,
+        coordinator: usize,
+        process: usize,
+        since: Moment,
+        what: String,
+    ) {
+        self.store(self.finding(reading, coordinator, process, since, what));
     }
 
     fn finding(
@@ -163,14 +170,14 @@
             coordinator: Some(coordinator),
             process: Some(process),
             what,
-            active: self.timeline.active(since.at, Instant::now()),
-            machine_late_ms: self.late_since(since).as_millis() as u64,
+            active: self.timeline.active_faults(since.at, Instant::now()),
+            machine_late_ms: self.machine_lateness_since(since).as_millis() as u64,
             by_machine: false,
         }
     }
 
     /// A rule was broken over a span that lies behind.
-    pub fn was_broken(
+    pub fn report_past_violation(
         &self,
         reading: Reading,
         coordinator: Option<usize>,
@@ -184,34 +191,34 @@
             coordinator,
             process: coordinator.and_then(|number| self.timeline.process_at(number, from)),
             what,
-            active: self.timeline.active(from, until),
-            machine_late_ms: self.late_between(from, until).as_millis() as u64,
+            active: self.timeline.active_faults(from, until),
+            machine_late_ms: self.machine_lateness_between(from, until).as_millis() as u64,
             by_machine: false,
         };
-        self.keep(finding);
+        self.store(finding);
     }
 
-    fn keep(&self, finding: Finding) {
-        let mut seen = self.seen.lock().unwrap();
-        if seen.findings.len() < FINDINGS_KEPT {
-            seen.findings.push(finding);
+    fn store(&self, finding: Finding) {
+        let mut observations = self.observations.lock().unwrap();
+        if observations.findings.len() < MAX_FINDINGS {
+            observations.findings.push(finding);
         } else {
-            seen.dropped += 1;
+            observations.dropped += 1;
         }
     }
 
     /// Notes how late the machine has been by now.
     pub fn sample(&self) {
         let moment = self.moment();
-        self.seen.lock().unwrap().samples.push(moment);
+        self.observations.lock().unwrap().samples.push(moment);
     }
 
     /// How late the machine was over a span, as far as it was sampled.
-    fn late_between(&self, from: Instant, until: Instant) -> Duration {
-        let seen = self.seen.lock().unwrap();
+    fn machine_lateness_between(&self, from: Instant, until: Instant) -> Duration {
+        let observations = self.observations.lock().unwrap();
         let by = |at: Instant| {
-            let before = seen.samples.partition_point(|sample| sample.at <= at);
-            before.checked_sub(1).map_or(Duration::ZERO, |place| seen.samples[place].lateness)
+            let before = observations.samples.partition_point(|sample| sample.at <= at);
+            before.checked_sub(1).map_or(Duration::ZERO, |index| observations.samples[index].lateness)
         };
         by(until).saturating_sub(by(from))
     }
@@ -220,43 +227,43 @@
     pub fn judge_mark(&self, coordinator: usize, latency: Duration) {
         let is_late = latency > MARK_WITHIN;
         let verdict = if is_late { Verdict::Late } else { Verdict::InTime };
-        self.count(Asked::Mark, verdict, latency);
+        self.record_tally(Asked::Mark, verdict, latency);
         if is_late {
             let now = Instant::now();
             let span = (now.checked_sub(latency).unwrap_or(now), now);
             let what = format!("a mark was acknowledged after {latency:.1?}, due in {MARK_WITHIN:?}");
-            self.was_broken(Reading::Control, Some(coordinator), span, what);
+            self.report_past_violation(Reading::Control, Some(coordinator), span, what);
         }
     }
 
     /// Judges what became of a question.
-    pub fn judge(&self, question: Question, answer: Answer) {
-        let took = question.sent.at.elapsed();
-        let is_late = took > question.due;
+    pub fn judge_answer(&self, request: Request, answer: Answer) {
+        let took = request.sent.at.elapsed();
+        let is_late = took > request.due;
         let verdict = match answer {
             Answer::Came if !is_late => Verdict::InTime,
-            _ if self.is_excused(&question, answer) => Verdict::Excused,
-            Answer::Came if took.saturating_sub(self.late_since(question.sent)) <= question.due => {
+            _ if self.is_excused(&request, answer) => Verdict::Excused,
+            Answer::Came if took.saturating_sub(self.machine_lateness_since(request.sent)) <= request.due => {
                 Verdict::LateByMachine
             }
             Answer::Came => Verdict::Late,
             Answer::Closed | Answer::Never | Answer::Refused => Verdict::Lost,
         };
-        self.count(question.asked, verdict, took);
+        self.record_tally(request.asked, verdict, took);
         if !matches!(verdict, Verdict::InTime | Verdict::Excused) {
             let what = format!(
                 "{:?} {verdict:?}: {answer:?} after {took:.1?}, due in {:?}",
-                question.asked, question.due
+                request.asked, request.due
             );
             let finding =
-                self.finding(Reading::Control, question.coordinator, question.process, question.sent, what);
-            self.keep(Finding { by_machine: verdict == Verdict::LateByMachine, ..finding });
+                self.finding(Reading::Control, request.coordinator, request.process, request.sent, what);
+            self.store(Finding { by_machine: verdict == Verdict::LateByMachine, ..finding });
         }
     }
 
-    fn count(&self, asked: Asked, verdict: Verdict, took: Duration) {
-        let mut seen = self.seen.lock().unwrap();
-        let tally = seen.tallies.entry(asked).or_default();
+    fn record_tally(&self, asked: Asked, verdict: Verdict, took: Duration) {
+        let mut observations = self.observations.lock().unwrap();
+        let tally = observations.tallies.entry(asked).or_default();
         tally.asked += 1;
         match verdict {
             Verdict::InTime => {}
@@ -275,22 +282,22 @@
 
     /// Nothing is owed by a process that was not ready yet, or that was killed, stopped or cut off before the due time;
     /// nor on a connection that was dialled after SIGTERM, if it was refused or the process has ended by itself.
-    fn is_excused(&self, question: &Question, answer: Answer) -> bool {
-        let processes = self.timeline.processes(question.coordinator);
-        let Some(process) = processes.get(question.process) else { return true };
-        let due = question.sent.at + question.due;
-        let was_ready = process.ready.is_some_and(|ready| ready <= question.sent.at);
+    fn is_excused(&self, request: &Request, answer: Answer) -> bool {
+        let processes = self.timeline.processes(request.coordinator);
+        let Some(process) = processes.get(request.process) else { return true };
+        let due = request.sent.at + request.due;
+        let was_ready = process.ready.is_some_and(|ready| ready <= request.sent.at);
         let was_killed = process.killed.is_some_and(|killed| killed <= due);
-        let came_after_signal = process.terminated.is_some_and(|at| question.opened >= at);
+        let came_after_signal = process.terminated.is_some_and(|at| request.opened >= at);
         let has_ended = process.ended.is_some() || answer == Answer::Refused;
-        let was_present = self.timeline.was_present(question.coordinator, question.sent.at, due);
-        !was_ready || was_killed || came_after_signal && has_ended || !was_present
+        let was_reachable = self.timeline.was_reachable(request.coordinator, request.sent.at, due);
+        !was_ready || was_killed || came_after_signal && has_ended || !was_reachable
     }
 
     /// The tallies and findings so far, and how many findings were not kept.
     pub fn results(&self) -> (BTreeMap<Asked, Tally>, Vec<Finding>, u64) {
-        let seen = self.seen.lock().unwrap();
-        (seen.tallies.clone(), seen.findings.clone(), seen.dropped)
+        let observations = self.observations.lock().unwrap();
+        (observations.tallies.clone(), observations.findings.clone(), observations.dropped)
     }
 }
 
--- a/crates/craneknot-rehearsal/src/trial/orders.rs
+++ b/crates/craneknot-rehearsal/src/trial/orders.rs
@@ -4,39 +4,39 @@
 use crate::workload::Order;
 
 /// Reads one order; nothing: it is none.
-pub fn read(text: &str) -> Option<Order> {
+pub fn parse_order(text: &str) -> Option<Order> {
     let fields: Vec<&str> = text.split(',').collect();
     match fields[..] {
         ["share", table, server, weight] => Some(Order::SetLine {
             table: table.parse().ok()?,
             server: server.to_owned(),
-            weight: figure(weight)?,
+            weight: parse_amount(weight)?,
         }),
         ["clear", table] => Some(Order::ClearTable { table: table.parse().ok()? }),
         ["bind", proxy, table, classes] => Some(Order::Bind {
             proxy: proxy.parse().ok()?,
             table: table.parse().ok()?,
-            classes: read_classes(classes)?,
+            classes: parse_classes(classes)?,
         }),
         ["withdraw", server] => Some(Order::Withdraw { server: server.to_owned() }),
         ["restore", server] => Some(Order::Restore { server: server.to_owned() }),
         ["admit", table, classes, level, retry] => Some(Order::Admit {
-            table: read_table(table)?,
-            classes: read_classes(classes)?,
-            level: figure(level)?,
+            table: parse_table(table)?,
+            classes: parse_classes(classes)?,
+            level: parse_amount(level)?,
             retry: retry.parse().ok().filter(|retry| *retry <= 3)?,
         }),
-        ["mark", mark, all] => Some(Order::Mark { mark: mark.parse().ok()?, all: read_all(all)? }),
+        ["mark", mark, all] => Some(Order::Mark { mark: mark.parse().ok()?, all: parse_flag(all)? }),
         _ => None,
     }
 }
 
-fn figure(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|figure: &f64| figure.is_finite() && *figure >= 0.0)
+fn parse_amount(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|amount: &f64| amount.is_finite() && *amount >= 0.0)
 }
 
 /// The number of a table; `*` stands for all.
-fn read_table(text: &str) -> Option<Option<u16>> {
+fn parse_table(text: &str) -> Option<Option<u16>> {
     if text == "*" {
         return Some(None);
     }
@@ -44,14 +44,14 @@
 }
 
 /// Places of classes; `*` stands for all, which the workload takes as none named.
-fn read_classes(text: &str) -> Option<Vec<usize>> {
+fn parse_classes(text: &str) -> Option<Vec<usize>> {
     if text == "*" {
         return Some(Vec::new());
     }
     text.split('+').map(|name| CLASSES.iter().position(|class| *class == name)).collect()
 }
 
-fn read_all(text: &str) -> Option<bool> {
+fn parse_flag(text: &str) -> Option<bool> {
     match text {
         "0" => Some(false),
         "1" => Some(true),
--- a/crates/craneknot-rehearsal/src/trial/overlay.rs
+++ b/crates/craneknot-rehearsal/src/trial/overlay.rs
@@ -13,7 +13,7 @@
 
 const WINDOWS: Range<usize> = 2..6; // of one fault in a day
 const WINDOW_MILLIS: Range<u64> = 800..4_000; // how long one lasts
-const LOADED_CHANCE: f64 = 0.5; // that a fault strikes the coordinator that gets all proxies
+const LOADED_PROBABILITY: f64 = 0.5; // that a fault strikes the coordinator that gets all proxies
 
 /// A fault that can be laid over any script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -88,28 +88,28 @@
 
 impl Overlay {
     /// Whether it holds for a coordinator all day.
-    pub fn is_all_day(self) -> bool {
+    pub fn lasts_all_day(self) -> bool {
         matches!(self, Overlay::LogUnread | Overlay::ClockStep | Overlay::SystemCalls | Overlay::QuarterCore)
     }
 
     /// Draws when it strikes, and whom.
     pub fn draw(self, rng: &mut Pcg32, length: Duration) -> Vec<Planned> {
-        let whole = length.as_millis() as u64;
-        if self.is_all_day() {
-            return vec![self.planned(rng, 0, whole)];
+        let day_millis = length.as_millis() as u64;
+        if self.lasts_all_day() {
+            return vec![self.plan_step(rng, 0, day_millis)];
         }
         let windows = rng.random_range(WINDOWS);
         let window = |_| {
             let span = rng.random_range(WINDOW_MILLIS);
-            let at = rng.random_range(0..whole);
-            self.planned(rng, at, span)
+            let at = rng.random_range(0..day_millis);
+            self.plan_step(rng, at, span)
         };
         (0..windows).map(window).collect()
     }
 
-    fn planned(self, rng: &mut Pcg32, at: u64, span: u64) -> Planned {
+    fn plan_step(self, rng: &mut Pcg32, at: u64, span: u64) -> Planned {
         let coordinator =
-            if rng.random_bool(LOADED_CHANCE) { LOADED } else { rng.random_range(0..COORDINATORS) };
+            if rng.random_bool(LOADED_PROBABILITY) { LOADED } else { rng.random_range(0..COORDINATORS) };
         let step = Step::Overlay { fault: self, coordinator, span };
         Planned { at: Duration::from_millis(at), step }
     }
--- a/crates/craneknot-rehearsal/src/trial/process.rs
+++ b/crates/craneknot-rehearsal/src/trial/process.rs
@@ -15,8 +15,8 @@
 use super::timeline::Timeline;
 use crate::soak::fault_proxy::FaultProxy;
 
-const HOUR: i64 = 3_600; // s; how far a stepped clock is off
-const FIRST_HOST: u8 = 16; // second part of the loopback address of the first coordinator
+const CLOCK_STEP_SECONDS: i64 = 3_600; // s; how far a stepped clock is off
+const FIRST_LOOPBACK_SUBNET: u8 = 16; // second part of the loopback address of the first coordinator
 const PIPE_BYTES: usize = 64 * 1024; // that a pipe holds by default
 const FAULT_RULES: &str = "accept4=ECONNABORTED@0.02;accept4=ENFILE@0.02;socket=ENOBUFS@0.05;connect=ENETUNREACH@0.02;\
                            recv=EINTR@0.05;recv=SHORT@0.05;writev=EINTR@0.05;writev=SHORT@0.05;writev=ENOBUFS@0.02;\
@@ -24,7 +24,7 @@
 
 /// What all processes of a coordinator are started with.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct LaunchSettings {
     pub program: PathBuf,
     pub folder: PathBuf,
     /// Of the trial.
@@ -40,21 +40,21 @@
 pub struct Coordinator {
     number: usize,
     address: SocketAddr,
-    launch: Launch,
+    launch_settings: LaunchSettings,
     relay: FaultProxy,
     discovery: FaultProxy,
     registry: Arc<Mutex<Registry>>,
     timeline: Arc<Timeline>,
     child: Option<Child>,
     /// The reading end of the log that nobody reads.
-    unread: Option<io::PipeReader>,
+    unread_log: Option<io::PipeReader>,
 }
 
 /// A loopback address of this trial's own, with a port that the system chose: nobody else binds there, so that it stays
 /// free between two processes of a coordinator.
-fn own_address(number: usize) -> io::Result<SocketAddr> {
+fn reserve_address(number: usize) -> io::Result<SocketAddr> {
     let [.., third, fourth] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, FIRST_HOST + number as u8, third, fourth);
+    let host = Ipv4Addr::new(127, FIRST_LOOPBACK_SUBNET + number as u8, third, fourth);
     TcpListener::bind((host, 0))?.local_addr()
 }
 
@@ -62,23 +62,23 @@
     /// A coordinator that is not started yet.
     pub fn new(
         number: usize,
-        launch: Launch,
-        neighbours: (FaultProxy, FaultProxy),
+        launch_settings: LaunchSettings,
+        upstreams: (FaultProxy, FaultProxy),
         registry: Arc<Mutex<Registry>>,
         timeline: Arc<Timeline>,
     ) -> io::Result<Self> {
-        let (relay, discovery) = neighbours;
-        let address = own_address(number)?;
+        let (relay, discovery) = upstreams;
+        let address = reserve_address(number)?;
         Ok(Coordinator {
             number,
             address,
-            launch,
+            launch_settings,
             relay,
             discovery,
             registry,
             timeline,
             child: None,
-            unread: None,
+            unread_log: None,
         })
     }
 
@@ -88,25 +88,25 @@
     }
 
     /// The proxies in front of relay and discovery.
-    pub fn neighbours(&self) -> [&FaultProxy; 2] {
+    pub fn upstreams(&self) -> [&FaultProxy; 2] {
         [&self.relay, &self.discovery]
     }
 
     fn path(&self, kind: &str) -> PathBuf {
-        self.launch.folder.join(format!("coordinator-{}.{kind}", self.number))
+        self.launch_settings.folder.join(format!("coordinator-{}.{kind}", self.number))
     }
 
     fn configuration(&self) -> Value {
-        let known = self.registry.lock().unwrap().known(self.number);
-        let known: Value = serde_json::from_str(&known).unwrap_or_default();
+        let servers = self.registry.lock().unwrap().last_written_list(self.number);
+        let servers: Value = serde_json::from_str(&servers).unwrap_or_default();
         let seed = format!("{:016x}", 0x8c1f_30d2_7a5b_e964_u64 ^ self.process_number() as u64);
         json!({
             "name": format!("n{}", self.number), "listen": self.address.to_string(), "seed": seed,
             "discovery": self.discovery.address().to_string(),
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
             "distributor": {"address": self.relay.address().to_string()},
-            "known": known,
-            "settings": settings(self.launch.seed)
+            "known": servers,
+            "settings": settings(self.launch_settings.seed)
         })
     }
 
@@ -118,32 +118,32 @@
     /// Starts a process.
     pub fn start(&mut self) -> io::Result<()> {
         fs::write(self.path("json"), self.configuration().to_string())?;
-        let mut command = Command::new(&self.launch.program);
+        let mut command = Command::new(&self.launch_settings.program);
         command.args(["--log", "json", "node"]).arg(self.path("json"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(self.log_sink()?);
-        if let Some(library) = &self.launch.fault_library {
-            let is_stepped = self.launch.clock_step && self.process_number() > 0;
-            let offset = if is_stepped { HOUR } else { 0 };
+        if let Some(library) = &self.launch_settings.fault_library {
+            let is_stepped = self.launch_settings.clock_step && self.process_number() > 0;
+            let offset = if is_stepped { CLOCK_STEP_SECONDS } else { 0 };
             command.env("LD_PRELOAD", library).env("CRANEKNOT_WALL_OFFSET_S", offset.to_string());
-            if self.launch.system_calls {
+            if self.launch_settings.system_calls {
                 command.env("CRANEKNOT_FAULTS", FAULT_RULES);
                 command.env("CRANEKNOT_FAULT_SEED", self.number.to_string());
             }
         }
-        self.timeline.started(self.number);
+        self.timeline.record_start(self.number);
         self.child = Some(command.spawn()?);
         Ok(())
     }
 
     /// Where a process logs: a file of its own, or a pipe that is full and that nobody reads.
     fn log_sink(&mut self) -> io::Result<Stdio> {
-        if !self.launch.log_unread {
+        if !self.launch_settings.log_unread {
             let path = self.path(&format!("{}.log", self.process_number()));
             return Ok(File::create(path)?.into());
         }
         let (reader, mut writer) = io::pipe()?;
         writer.write_all(&[b'\n'; PIPE_BYTES])?;
-        self.unread = Some(reader);
+        self.unread_log = Some(reader);
         Ok(writer.into())
     }
 
@@ -156,15 +156,15 @@
     }
 
     /// Whether a process was started that is not known to have ended.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
     /// Whether the process has ended by itself, and how; told once.
-    pub fn ended(&mut self) -> Option<String> {
+    pub fn take_exit_status(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
-        self.timeline.ended(self.number);
+        self.timeline.record_exit(self.number);
         Some(status.to_string())
     }
 
@@ -172,11 +172,11 @@
     pub fn kill(&mut self) {
         let Some(mut child) = self.child.take() else { return };
         if matches!(child.try_wait(), Ok(None)) {
-            self.timeline.killed(self.number);
+            self.timeline.record_sigkill(self.number);
         }
         let _ = child.kill();
         let _ = child.wait();
-        self.timeline.ended(self.number);
+        self.timeline.record_exit(self.number);
     }
 }
 
--- a/crates/craneknot-rehearsal/src/trial/registry.rs
+++ b/crates/craneknot-rehearsal/src/trial/registry.rs
@@ -8,7 +8,7 @@
 
 const LAST_RELEASE: Duration = Duration::from_secs(1_800); // before the trial: all servers started then
 /// By then whatever discovery has to tell counts as told, whether it arrived or not.
-pub const TOLD_WITHIN: Duration = Duration::from_secs(6);
+pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
 /// One server as listed.
 #[derive(Clone, Debug)]
@@ -24,15 +24,15 @@
 
 /// How discovery answers a coordinator for now.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Answers {
-    pub late: Duration,
-    pub whole: bool,
+pub struct DiscoveryBehaviour {
+    pub delay: Duration,
+    pub full_lists: bool,
     pub silent: bool,
 }
 
 /// News of a server for one coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct Notice {
     pub coordinator: usize,
     pub server: usize,
     pub is_ready: bool,
@@ -43,14 +43,14 @@
     entries: Vec<Entry>,
     version: u64,
     /// By coordinator and server: the version that it counts as told, and whether it was written to it.
-    told: Vec<Vec<u64>>,
+    notified: Vec<Vec<u64>>,
     /// By coordinator: the list as it was last written to it.
     written: Vec<Vec<Entry>>,
     /// By coordinator.
-    pub answers: Vec<Answers>,
+    pub behaviours: Vec<DiscoveryBehaviour>,
 }
 
-fn phase_name(phase: Phase) -> &'static str {
+fn phase_text(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "SERVING",
         Phase::Draining => "DRAINING",
@@ -64,7 +64,7 @@
          \"phase\":\"{}\",\"size\":1.0,\"up_since_ms\":{}}}",
         server_id(server),
         ZONES[zone_of_server(server)],
-        phase_name(entry.phase),
+        phase_text(entry.phase),
         entry.started
     )
 }
@@ -85,9 +85,9 @@
         let entry = Entry { phase: Phase::Ready, version: 1, started, changed: None };
         let entries = vec![entry; SERVERS];
         Registry {
-            told: vec![vec![1; SERVERS]; COORDINATORS],
+            notified: vec![vec![1; SERVERS]; COORDINATORS],
             written: vec![entries.clone(); COORDINATORS],
-            answers: vec![Answers::default(); COORDINATORS],
+            behaviours: vec![DiscoveryBehaviour::default(); COORDINATORS],
             entries,
             version: 1,
         }
@@ -129,7 +129,7 @@
     }
 
     /// The list as JSON, as a coordinator last had it.
-    pub fn known(&self, coordinator: usize) -> String {
+    pub fn last_written_list(&self, coordinator: usize) -> String {
         let entries = &self.written[coordinator];
         let version = entries.iter().map(|entry| entry.version).max().unwrap_or(0);
         let listed = entries.iter().enumerate().filter(|(_, entry)| entry.phase != Phase::Gone);
@@ -137,37 +137,37 @@
     }
 
     /// The list as it stands now was written to a coordinator; what is news to it.
-    pub fn written(&mut self, coordinator: usize, entries: Vec<Entry>) -> Vec<Told> {
-        let news = entries.iter().enumerate().filter_map(|(server, entry)| {
-            let told = &mut self.told[coordinator][server];
-            let is_news = entry.version > *told;
-            *told = (*told).max(entry.version);
-            is_news.then_some(Told { coordinator, server, is_ready: entry.phase == Phase::Ready })
+    pub fn record_written(&mut self, coordinator: usize, entries: Vec<Entry>) -> Vec<Notice> {
+        let notices = entries.iter().enumerate().filter_map(|(server, entry)| {
+            let notified = &mut self.notified[coordinator][server];
+            let is_new = entry.version > *notified;
+            *notified = (*notified).max(entry.version);
+            is_new.then_some(Notice { coordinator, server, is_ready: entry.phase == Phase::Ready })
         });
-        let news = news.collect();
+        let notices = notices.collect();
         self.written[coordinator] = entries;
-        news
+        notices
     }
 
     /// What counts as told by now though it was never written, to coordinators that run since those times.
-    pub fn overdue(&mut self, since: &[Option<Instant>]) -> Vec<Told> {
-        let mut news = Vec::new();
-        for (coordinator, told) in self.told.iter_mut().enumerate() {
-            let Some(started) = since[coordinator] else { continue };
+    pub fn take_overdue(&mut self, running_since: &[Option<Instant>]) -> Vec<Notice> {
+        let mut notices = Vec::new();
+        for (coordinator, notified) in self.notified.iter_mut().enumerate() {
+            let Some(started) = running_since[coordinator] else { continue };
             for (server, entry) in self.entries.iter().enumerate() {
                 let is_due =
-                    entry.changed.is_some_and(|changed| changed.max(started).elapsed() >= TOLD_WITHIN);
-                if is_due && entry.version > told[server] {
-                    told[server] = entry.version;
-                    news.push(Told { coordinator, server, is_ready: entry.phase == Phase::Ready });
+                    entry.changed.is_some_and(|changed| changed.max(started).elapsed() >= NOTIFIED_WITHIN);
+                if is_due && entry.version > notified[server] {
+                    notified[server] = entry.version;
+                    notices.push(Notice { coordinator, server, is_ready: entry.phase == Phase::Ready });
                 }
             }
         }
-        news
+        notices
     }
 
     /// The places of servers, by identifier.
-    pub fn places() -> BTreeMap<String, usize> {
+    pub fn server_indices() -> BTreeMap<String, usize> {
         (0..SERVERS).map(|server| (server_id(server), server)).collect()
     }
 }
--- a/crates/craneknot-rehearsal/src/trial/relay.rs
+++ b/crates/craneknot-rehearsal/src/trial/relay.rs
@@ -12,8 +12,8 @@
 use super::timeline::Timeline;
 use crate::soak::http::{self, read_request, respond};
 
-const TELL_EVERY: Duration = Duration::from_millis(5); // between looks for news
-const SIGN_EVERY: Duration = Duration::from_secs(1); // between signs of life
+const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(5); // between looks for news
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1); // between signs of life
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// Serves one coordinator; gives the address.
 pub fn serve(fleet: SharedFleet, coordinator: usize, log: CallLog) -> io::Result<SocketAddr> {
-    http::serve(move |stream| converse(&fleet, coordinator, &log, stream))
+    http::serve(move |stream| handle_connection(&fleet, coordinator, &log, stream))
 }
 
 /// Keeps every call with its time and outcome.
@@ -45,68 +45,68 @@
         Ok(CallLog { timeline, file: Mutex::new(File::create(path)?) })
     }
 
-    fn keep(&self, outcome: CallOutcome, orders: &str) {
+    fn record(&self, outcome: CallOutcome, orders: &str) {
         let second = self.timeline.second(Instant::now());
         // A trial goes on without its log.
         let _ = writeln!(self.file.lock().unwrap(), "{second:.3} {outcome:?} {orders}");
     }
 }
 
-fn converse(fleet: &SharedFleet, coordinator: usize, log: &CallLog, mut stream: TcpStream) {
+fn handle_connection(fleet: &SharedFleet, coordinator: usize, log: &CallLog, mut stream: TcpStream) {
     let (mut rest, _) = (Vec::new(), stream.set_nodelay(true));
     while let Some(request) = read_request(&mut stream, &mut rest) {
         if request.path == "/api/events" {
-            tell_news(fleet, coordinator, &mut stream);
+            stream_events(fleet, coordinator, &mut stream);
             return;
         }
         let form = form_urlencoded::parse(&request.body).find(|(key, _)| key == "ops");
         let Some((_, orders)) = form else {
-            if respond(&mut stream, "400 Bad Request", &refusal("invalid")).is_err() {
+            if respond(&mut stream, "400 Bad Request", &error_body("invalid")).is_err() {
                 return;
             }
             continue;
         };
-        if call(fleet, coordinator, log, &orders, &mut stream).is_err() {
+        if handle_call(fleet, coordinator, log, &orders, &mut stream).is_err() {
             return;
         }
     }
 }
 
-fn refusal(code: &str) -> String {
+fn error_body(code: &str) -> String {
     format!("<?xml version=\"1.0\"?>\n<Response><error><code>{code}</code></error></Response>")
 }
 
-fn taken(count: usize) -> String {
+fn accepted_body(count: usize) -> String {
     format!(
         "<?xml version=\"1.0\"?>\n<Response><entries><item><ok_count>{count}</ok_count></item></entries></Response>"
     )
 }
 
 /// Carries out a call as the trial has it; an error ends the connection.
-fn call(
+fn handle_call(
     fleet: &SharedFleet,
     coordinator: usize,
     log: &CallLog,
     orders: &str,
     stream: &mut TcpStream,
 ) -> io::Result<()> {
-    let outcome = fleet.lock().unwrap().draw_outcome(coordinator);
-    log.keep(outcome, orders);
+    let outcome = fleet.lock().unwrap().draw_call_outcome(coordinator);
+    log.record(outcome, orders);
     let orders: Vec<&str> = orders.split(';').collect();
     let apply = |is_carried_out: bool| match is_carried_out {
         true => fleet.lock().unwrap().apply(coordinator, &orders),
         false => 0,
     };
     match outcome {
-        CallOutcome::Answered => respond(stream, "200 OK", &taken(apply(true))),
-        CallOutcome::Throttled => respond(stream, "503 Service Unavailable", &refusal("throttled")),
+        CallOutcome::Answered => respond(stream, "200 OK", &accepted_body(apply(true))),
+        CallOutcome::Throttled => respond(stream, "503 Service Unavailable", &error_body("throttled")),
         CallOutcome::Broken { carried_out } => {
             apply(carried_out);
             let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
             Err(io::ErrorKind::ConnectionReset.into())
         }
         CallOutcome::Spoilt { carried_out } => {
-            let whole = taken(apply(carried_out));
+            let whole = accepted_body(apply(carried_out));
             respond(stream, "200 OK", &whole[..whole.len() / 2])
         }
     }
@@ -117,20 +117,20 @@
 }
 
 /// Tells news until the connection ends.
-fn tell_news(fleet: &SharedFleet, coordinator: usize, stream: &mut TcpStream) {
+fn stream_events(fleet: &SharedFleet, coordinator: usize, stream: &mut TcpStream) {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     let id = fleet.lock().unwrap().open_stream(coordinator);
-    let mut told = stream.write_all(head.as_bytes());
-    let mut sign_at = Instant::now();
-    while told.is_ok() {
-        let Some(news) = fleet.lock().unwrap().take_news(coordinator, id) else { return };
-        if !news.is_empty() {
-            told = stream.write_all(chunk(&news.concat()).as_bytes());
-        } else if Instant::now() >= sign_at {
-            sign_at = Instant::now() + SIGN_EVERY;
-            told = stream.write_all(chunk(":\n").as_bytes());
+    let mut result = stream.write_all(head.as_bytes());
+    let mut keepalive_at = Instant::now();
+    while result.is_ok() {
+        let Some(events) = fleet.lock().unwrap().take_events(coordinator, id) else { return };
+        if !events.is_empty() {
+            result = stream.write_all(chunk(&events.concat()).as_bytes());
+        } else if Instant::now() >= keepalive_at {
+            keepalive_at = Instant::now() + KEEPALIVE_INTERVAL;
+            result = stream.write_all(chunk(":\n").as_bytes());
         }
-        thread::sleep(TELL_EVERY);
+        thread::sleep(EVENT_POLL_INTERVAL);
     }
     fleet.lock().unwrap().close_stream(coordinator, id);
 }
--- a/crates/craneknot-rehearsal/src/trial/release.rs
+++ b/crates/craneknot-rehearsal/src/trial/release.rs
@@ -11,9 +11,9 @@
 use super::script::{Planned, Step};
 
 const STEP_MILLIS: Range<u64> = 610..641; // between two versions of the list
-const RESTARTS_MOST: usize = 2; // that begin with one version
+const MAX_RESTARTS_PER_VERSION: usize = 2; // that begin with one version
 const DRAIN_STEPS: Range<usize> = 3..6; // versions that a server drains for
-const GONE_STEPS: Range<usize> = 1..4; // versions that it is gone for
+const ABSENT_STEPS: Range<usize> = 1..4; // versions that it is gone for
 
 /// What becomes of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,31 +33,31 @@
 
 /// The forms in which a restart shows in the list.
 #[derive(Clone, Copy, Debug)]
-enum Form {
+enum RestartForm {
     DrainingGoneReady,
     DrainingReady,
     ReadyAgain,
 }
 
-impl Form {
+impl RestartForm {
     fn draw(rng: &mut Pcg32) -> Self {
         match rng.random_range(0..10) {
-            0..4 => Form::DrainingGoneReady,
-            4..7 => Form::DrainingReady,
-            _ => Form::ReadyAgain,
+            0..4 => RestartForm::DrainingGoneReady,
+            4..7 => RestartForm::DrainingReady,
+            _ => RestartForm::ReadyAgain,
         }
     }
 
     /// The phases of a restart that begins with this version, by version.
     fn phases(self, rng: &mut Pcg32, version: usize) -> Vec<(usize, Phase)> {
         let drained = version + rng.random_range(DRAIN_STEPS);
-        let back = drained + rng.random_range(GONE_STEPS);
+        let restarted = drained + rng.random_range(ABSENT_STEPS);
         match self {
-            Form::DrainingGoneReady => {
-                vec![(version, Phase::Draining), (drained, Phase::Gone), (back, Phase::Ready)]
+            RestartForm::DrainingGoneReady => {
+                vec![(version, Phase::Draining), (drained, Phase::Gone), (restarted, Phase::Ready)]
             }
-            Form::DrainingReady => vec![(version, Phase::Draining), (drained, Phase::Ready)],
-            Form::ReadyAgain => vec![(version, Phase::Ready)],
+            RestartForm::DrainingReady => vec![(version, Phase::Draining), (drained, Phase::Ready)],
+            RestartForm::ReadyAgain => vec![(version, Phase::Ready)],
         }
     }
 }
@@ -68,15 +68,16 @@
     let mut busy_until = vec![0; SERVERS];
     let mut changes = vec![Vec::new(); times.len()];
     for version in 0..times.len() {
-        for _ in 0..rng.random_range(0..=RESTARTS_MOST) {
+        for _ in 0..rng.random_range(0..=MAX_RESTARTS_PER_VERSION) {
             let idle: Vec<usize> = (0..SERVERS).filter(|server| busy_until[*server] <= version).collect();
             let Some(server) = idle.choose(rng).copied() else { break };
-            let phases = Form::draw(rng).phases(rng, version);
+            let phases = RestartForm::draw(rng).phases(rng, version);
             let last = phases.last().map_or(version, |(last, _)| *last);
             busy_until[server] = last + 1;
             let end = times.get(last).copied().unwrap_or(until);
-            let meets_loss = lost.as_ref().is_some_and(|lost| times[version] < lost.end && end >= lost.start);
-            if meets_loss && zone_of_server(server) == LOST_ZONE {
+            let overlaps_loss =
+                lost.as_ref().is_some_and(|lost| times[version] < lost.end && end >= lost.start);
+            if overlaps_loss && zone_of_server(server) == LOST_ZONE {
                 continue;
             }
             for (at, phase) in phases {
--- a/crates/craneknot-rehearsal/src/trial/report.rs
+++ b/crates/craneknot-rehearsal/src/trial/report.rs
@@ -136,23 +136,23 @@
     all.map(|((outcome, reason), count)| (format!("{outcome:?} {reason:?}"), *count)).collect()
 }
 
-fn played(day: &Day) -> Vec<String> {
+fn played_steps(day: &Day) -> Vec<String> {
     let steps = day.steps.iter().filter(|planned| !matches!(planned.step, Step::Servers(_)));
     steps.map(|planned| format!("{:.2} s: {:?}", planned.at.as_secs_f64(), planned.step)).collect()
 }
 
 fn starts(timeline: &Timeline) -> Vec<Start> {
-    let of = |coordinator: usize| {
+    let process_starts = |coordinator: usize| {
         let processes = timeline.processes(coordinator).into_iter().enumerate();
-        processes.map(move |(process, life)| Start {
+        processes.map(move |(process, run)| Start {
             coordinator,
             process,
-            second: timeline.second(life.started),
-            ready_after_ms: life.ready.map(|ready| millis(ready - life.started)),
-            ended_after_ms: life.terminated.zip(life.ended).map(|(from, until)| millis(until - from)),
+            second: timeline.second(run.started),
+            ready_after_ms: run.ready.map(|ready| millis(ready - run.started)),
+            ended_after_ms: run.terminated.zip(run.ended).map(|(from, until)| millis(until - from)),
         })
     };
-    (0..COORDINATORS).flat_map(of).collect()
+    (0..COORDINATORS).flat_map(process_starts).collect()
 }
 
 fn judge_lines(summary: &Summary, judge: &Judge) -> Lines {
@@ -169,49 +169,54 @@
         lines.longest_lack_ms = lines.longest_lack_ms.max(millis(lack.length));
         if lack.breaks_rule {
             lines.lacks_beyond += 1;
-            let from = judge.timeline.begun() + lack.start;
+            let from = judge.timeline.day_start() + lack.start;
             let what = format!(
                 "proxy {} had no line for {} for {:.2?}",
                 lack.proxy, CLASSES[lack.class], lack.length
             );
-            judge.was_broken(Reading::Lines, Some(lack.coordinator), (from, from + lack.length), what);
+            judge.report_past_violation(
+                Reading::Lines,
+                Some(lack.coordinator),
+                (from, from + lack.length),
+                what,
+            );
         }
     }
-    tell_breaches(summary, judge);
+    report_breaches(summary, judge);
     lines
 }
 
-fn tell_breaches(summary: &Summary, judge: &Judge) {
-    let begun = judge.timeline.begun();
+fn report_breaches(summary: &Summary, judge: &Judge) {
+    let day_start = judge.timeline.day_start();
     for breach in &summary.drain_breaches {
-        let span = (begun + breach.first, begun + breach.first + breach.latest_after_grace);
+        let span = (day_start + breach.first, day_start + breach.first + breach.latest_after_grace);
         let what = format!(
             "proxy {} sent {} requests to server {} up to {:.2?} after the grace of its drain",
             breach.proxy, breach.sends, breach.server, breach.latest_after_grace
         );
-        judge.was_broken(Reading::Lines, Some(breach.coordinator), span, what);
+        judge.report_past_violation(Reading::Lines, Some(breach.coordinator), span, what);
     }
     for fall in summary.falls.iter().filter(|fall| fall.breaks_rule) {
         let what =
             format!("cold server {} fell, {:.2} of its work sent knowingly", fall.server, fall.knowing_share);
-        judge.was_broken(Reading::Lines, None, (begun + fall.at, begun + fall.at), what);
+        judge.report_past_violation(Reading::Lines, None, (day_start + fall.at, day_start + fall.at), what);
     }
     for breach in &summary.queue_breaches {
-        let span = (begun + breach.at, begun + breach.at);
+        let span = (day_start + breach.at, day_start + breach.at);
         let what = format!("more than {QUEUE_CAP} lines waited in the channel");
-        judge.was_broken(Reading::Lines, Some(breach.coordinator), span, what);
+        judge.report_past_violation(Reading::Lines, Some(breach.coordinator), span, what);
     }
     if summary.unsafe_repeats > 0 {
         let what = format!("{} repeats of what may not run twice", summary.unsafe_repeats);
-        judge.was_broken(Reading::Lines, None, (begun, begun), what);
+        judge.report_past_violation(Reading::Lines, None, (day_start, day_start), what);
     }
 }
 
 fn judge_operations(summary: &Summary, judge: &Judge, fleet: &Fleet) -> Operations {
     let reference = fleet.reference();
-    let lost = |windows: &[Window], place: usize| windows.get(place).map_or(0, |window| window.total.lost());
-    let window = |(place, window): (usize, &Window)| {
-        (window.start.as_secs(), window.total.lost(), lost(&reference.windows, place))
+    let lost = |windows: &[Window], index: usize| windows.get(index).map_or(0, |window| window.total.lost());
+    let window = |(index, window): (usize, &Window)| {
+        (window.start.as_secs(), window.total.lost(), lost(&reference.windows, index))
     };
     let operations = Operations {
         total: outcomes(&summary.total),
@@ -222,11 +227,11 @@
         lost: lost_groups(summary, fleet),
     };
     // What comes to a proxy between two coordinators is nobody's.
-    let steered = operations.lost.iter().filter(|group| group.coordinator.is_some());
-    let lost: u64 = steered.map(|group| group.count).sum();
+    let attributed = operations.lost.iter().filter(|group| group.coordinator.is_some());
+    let lost: u64 = attributed.map(|group| group.count).sum();
     let share = lost as f64 / operations.total.offered.max(1) as f64;
     if share > operations.reference.lost_share() + LOST_BEYOND_REFERENCE {
-        tell_lost(&operations, judge);
+        report_lost_operations(&operations, judge);
     }
     operations
 }
@@ -250,15 +255,20 @@
 }
 
 /// Tells lost operations where more were lost than under perfect late sight.
-fn tell_lost(operations: &Operations, judge: &Judge) {
+fn report_lost_operations(operations: &Operations, judge: &Judge) {
     let beyond = operations.lost_by_window.iter().filter(|(_, lost, reference)| lost > reference);
     let beyond: Vec<u64> = beyond.map(|(start, _, _)| *start).collect();
-    let steered = operations.lost.iter().filter(|group| group.coordinator.is_some());
-    for group in steered.filter(|group| beyond.contains(&group.second)) {
-        let from = judge.timeline.begun() + Duration::from_secs(group.second);
+    let attributed = operations.lost.iter().filter(|group| group.coordinator.is_some());
+    for group in attributed.filter(|group| beyond.contains(&group.second)) {
+        let from = judge.timeline.day_start() + Duration::from_secs(group.second);
         let LostGroup { class, reason, count, .. } = group;
         let what = format!("{count} operations of {class} lost that came in 5 s: {reason}");
-        judge.was_broken(Reading::Operations, group.coordinator, (from, from + OPERATIONS_WINDOW), what);
+        judge.report_past_violation(
+            Reading::Operations,
+            group.coordinator,
+            (from, from + OPERATIONS_WINDOW),
+            what,
+        );
     }
 }
 
@@ -273,7 +283,7 @@
             seed: settings.seed,
             script: format!("{:?}", settings.script).to_lowercase(),
             overlays: settings.overlays.iter().map(ToString::to_string).collect(),
-            played: played(day),
+            played: played_steps(day),
             seconds: settings.length.as_secs_f64(),
             starts: starts(&judge.timeline),
             lines,
--- a/crates/craneknot-rehearsal/src/trial/reports.rs
+++ b/crates/craneknot-rehearsal/src/trial/reports.rs
@@ -8,20 +8,20 @@
 use super::deployment::{CLASSES, COORDINATORS, REPORT_INTERVAL, ZONES};
 use crate::workload::{ClientReport, UpstreamReport, Workload};
 
-const WAITING_MOST: usize = 2_000; // reports for one coordinator and zone; older ones are dropped
+const MAX_PENDING_REPORTS: usize = 2_000; // reports for one coordinator and zone; older ones are dropped
 
 /// Reports that wait, by coordinator and zone.
 #[derive(Default)]
 pub struct Reports {
-    gathered: Option<Instant>,
-    waiting: [[VecDeque<String>; ZONES.len()]; COORDINATORS],
+    last_collected: Option<Instant>,
+    pending: [[VecDeque<String>; ZONES.len()]; COORDINATORS],
 }
 
 fn millis(span: std::time::Duration) -> f64 {
     span.as_secs_f64() * 1e3
 }
 
-fn upstream(zone: usize, report: &UpstreamReport) -> String {
+fn upstream_json(zone: usize, report: &UpstreamReport) -> String {
     let mut value = json!({
         "type": "upstream_stats", "locality": ZONES[zone], "endpoint": report.server, "total": report.total,
         "errors": report.errors, "rtt": report.mean_round_trip.map_or(0.0, millis),
@@ -33,7 +33,7 @@
     value.to_string()
 }
 
-fn client(report: &ClientReport) -> String {
+fn client_json(report: &ClientReport) -> String {
     json!({
         "type": "client_stats", "node": report.proxy, "route": CLASSES[report.class], "total": report.total,
         "errors": report.errors, "interval": millis(report.interval)
@@ -43,35 +43,35 @@
 
 impl Reports {
     /// Gathers reports once the interval is over.
-    pub fn gather(&mut self, workload: &mut Workload) {
-        if self.gathered.is_some_and(|at| at.elapsed() < REPORT_INTERVAL) {
+    pub fn collect(&mut self, workload: &mut Workload) {
+        if self.last_collected.is_some_and(|at| at.elapsed() < REPORT_INTERVAL) {
             return;
         }
-        self.gathered = Some(Instant::now());
+        self.last_collected = Some(Instant::now());
         for zone in 0..ZONES.len() {
             for report in workload.take_upstream_reports(zone) {
-                let line = upstream(zone, &report);
+                let line = upstream_json(zone, &report);
                 (0..COORDINATORS).for_each(|coordinator| self.push(coordinator, zone, line.clone()));
             }
         }
         for coordinator in 0..COORDINATORS {
             for report in workload.take_client_reports(coordinator) {
                 let zone = usize::from(report.proxy) % ZONES.len();
-                self.push(coordinator, zone, client(&report));
+                self.push(coordinator, zone, client_json(&report));
             }
         }
     }
 
     fn push(&mut self, coordinator: usize, zone: usize, line: String) {
-        let waiting = &mut self.waiting[coordinator][zone];
-        if waiting.len() == WAITING_MOST {
-            waiting.pop_front();
+        let pending = &mut self.pending[coordinator][zone];
+        if pending.len() == MAX_PENDING_REPORTS {
+            pending.pop_front();
         }
-        waiting.push_back(line);
+        pending.push_back(line);
     }
 
     /// What waits, a line a report.
     pub fn take(&mut self, coordinator: usize, zone: usize) -> String {
-        self.waiting[coordinator][zone].drain(..).map(|line| line + "\n").collect()
+        self.pending[coordinator][zone].drain(..).map(|line| line + "\n").collect()
     }
 }
--- a/crates/craneknot-rehearsal/src/trial/run.rs
+++ b/crates/craneknot-rehearsal/src/trial/run.rs
@@ -6,169 +6,175 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use super::clients::{ask_on_kept, ask_on_new, Target};
+use super::clients::{run_kept_client, run_reconnecting_client, Target};
 use super::deployment::{COORDINATORS, ZONES};
 use super::fleet::{Fleet, SharedFleet};
 use super::judge::{Judge, Reading};
 use super::overlay::Overlay;
-use super::process::{Coordinator, Launch};
+use super::process::{Coordinator, LaunchSettings};
+use super::process_monitor::monitor;
 use super::registry::Registry;
 use super::relay::CallLog;
 use super::report::TrialReport;
 use super::script::{self, Day, Step};
+use super::script_runner::ScriptRunner;
 use super::settings::{PlantedBreak, TrialSettings};
-use super::stage::Stage;
 use super::timeline::Timeline;
-use super::watch::watch;
 use super::{bad_clients, collectors, discovery, relay};
 use crate::soak::fault_proxy::FaultProxy;
 use crate::soak::schedule::NetworkFault;
 
-const ASKERS: u64 = 2; // of each kind, for each coordinator
+const HEARTBEAT_CLIENTS: u64 = 2; // of each kind, for each coordinator
 const BAD_CLIENTS: u64 = 3; // at a time, for each coordinator
-const ADVANCE_EVERY: Duration = Duration::from_millis(5); // of the workload
-const FIRST_READY: Duration = Duration::from_secs(30); // of the first start of all coordinators
-const LOOK_EVERY: Duration = Duration::from_millis(10); // while that is awaited
-const PLANTED_DELAY: u64 = 700; // ms; more than any answer may take
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(5); // of the workload
+const INITIAL_READY_WITHIN: Duration = Duration::from_secs(30); // of the first start of all coordinators
+const POLL_INTERVAL: Duration = Duration::from_millis(10); // while that is awaited
+const PLANTED_DELAY_MS: u64 = 700; // ms; more than any answer may take
 
 /// Plays one trial.
 pub fn run(settings: &TrialSettings) -> io::Result<TrialReport> {
     let day = script::draw(settings.script, settings.seed, settings.length, &settings.overlays);
-    let trial = Trial::raise(settings, &day)?;
-    trial.await_first_start();
-    trial.stage.timeline.begin_day();
-    trial.stage.fleet.lock().unwrap().begin();
-    let begun = Instant::now();
+    let trial = Trial::start(settings, &day)?;
+    trial.wait_until_ready();
+    trial.script_runner.timeline.begin_day();
+    trial.script_runner.fleet.lock().unwrap().start_day();
+    let day_start = Instant::now();
     for planned in &day.steps {
-        thread::sleep(planned.at.saturating_sub(begun.elapsed()));
-        trial.stage.play(&planned.step);
+        thread::sleep(planned.at.saturating_sub(day_start.elapsed()));
+        trial.script_runner.run_step(&planned.step);
     }
-    thread::sleep(day.length.saturating_sub(begun.elapsed()));
+    thread::sleep(day.length.saturating_sub(day_start.elapsed()));
     Ok(trial.finish(settings, &day))
 }
 
 struct Trial {
-    stage: Stage,
+    script_runner: ScriptRunner,
     judge: Arc<Judge>,
-    over: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 /// Whom the faults of whole processes strike.
-fn strikes(day: &Day, overlay: Overlay, number: usize) -> bool {
+fn has_fault(day: &Day, overlay: Overlay, number: usize) -> bool {
     day.steps.iter().any(|planned| {
         matches!(planned.step, Step::Overlay { fault, coordinator, .. } if fault == overlay && coordinator == number)
     })
 }
 
-fn launch(settings: &TrialSettings, day: &Day, number: usize) -> Launch {
-    let strikes = |overlay: Overlay| strikes(day, overlay, number);
-    let (clock_step, system_calls) = (strikes(Overlay::ClockStep), strikes(Overlay::SystemCalls));
-    Launch {
+fn launch_settings(settings: &TrialSettings, day: &Day, number: usize) -> LaunchSettings {
+    let has_fault = |overlay: Overlay| has_fault(day, overlay, number);
+    let (clock_step, system_calls) = (has_fault(Overlay::ClockStep), has_fault(Overlay::SystemCalls));
+    LaunchSettings {
         program: settings.program.clone(),
         folder: settings.folder.clone(),
         seed: settings.seed,
         fault_library: settings.fault_library.clone().filter(|_| clock_step || system_calls),
-        log_unread: strikes(Overlay::LogUnread),
+        log_unread: has_fault(Overlay::LogUnread),
         clock_step,
         system_calls,
     }
 }
 
 impl Trial {
-    fn raise(settings: &TrialSettings, day: &Day) -> io::Result<Self> {
+    fn start(settings: &TrialSettings, day: &Day) -> io::Result<Self> {
         let timeline = Arc::new(Timeline::new(COORDINATORS));
         let judge = Arc::new(Judge::new(timeline.clone()));
         let registry = Arc::new(Mutex::new(Registry::default()));
         let fleet = Fleet::new(settings, judge.clone());
         let fleet: SharedFleet = Arc::new(Mutex::new(fleet));
-        let over = Arc::new(AtomicBool::new(false));
+        let finished = Arc::new(AtomicBool::new(false));
         let mut coordinators = Vec::new();
         for number in 0..COORDINATORS {
             let log = settings.folder.join(format!("coordinator-{number}.calls"));
             let log = CallLog::create(&log, timeline.clone())?;
             let relay = FaultProxy::start(relay::serve(fleet.clone(), number, log)?)?;
-            let served = discovery::serve(registry.clone(), fleet.clone(), number)?;
-            let neighbours = (relay, FaultProxy::start(served)?);
-            let launch = launch(settings, day, number);
+            let discovery_address = discovery::serve(registry.clone(), fleet.clone(), number)?;
+            let upstreams = (relay, FaultProxy::start(discovery_address)?);
+            let launch = launch_settings(settings, day, number);
             let mut coordinator =
-                Coordinator::new(number, launch, neighbours, registry.clone(), timeline.clone())?;
+                Coordinator::new(number, launch, upstreams, registry.clone(), timeline.clone())?;
             coordinator.start()?;
             coordinators.push(Arc::new(Mutex::new(coordinator)));
         }
-        let stage = Stage::new(coordinators, fleet, registry, timeline, over.clone());
-        let mut trial = Trial { stage, judge, over, tasks: Vec::new() };
-        trial.raise_clients(settings)?;
-        trial.raise_owner();
+        let script_runner = ScriptRunner::new(coordinators, fleet, registry, timeline, finished.clone());
+        let mut trial = Trial { script_runner, judge, finished, tasks: Vec::new() };
+        trial.start_clients(settings)?;
+        trial.start_background_threads();
         Ok(trial)
     }
 
-    fn raise_clients(&mut self, settings: &TrialSettings) -> io::Result<()> {
+    fn start_clients(&mut self, settings: &TrialSettings) -> io::Result<()> {
         for number in 0..COORDINATORS {
-            let address = self.stage.coordinators[number].lock().unwrap().address();
+            let address = self.script_runner.coordinators[number].lock().unwrap().address();
             let address = match settings.planted {
                 Some(PlantedBreak::LateAnswers) => {
-                    let before = FaultProxy::start(address)?;
-                    before.set(Some(NetworkFault::Delay(PLANTED_DELAY)));
-                    before.address()
+                    let delay_proxy = FaultProxy::start(address)?;
+                    delay_proxy.set(Some(NetworkFault::Delay(PLANTED_DELAY_MS)));
+                    delay_proxy.address()
                 }
                 _ => address,
             };
-            let (judge, over) = (self.judge.clone(), self.over.clone());
+            let (judge, finished) = (self.judge.clone(), self.finished.clone());
             // Every other seed has clients that use their connections for as long as a coordinator lets them.
             let leaves_on_signal = settings.seed.is_multiple_of(2);
-            let target = Target { coordinator: number, address, judge, over, leaves_on_signal };
-            for asker in 0..ASKERS {
-                let seed = settings.seed << 16 | (number as u64) << 8 | asker;
+            let target = Target { coordinator: number, address, judge, finished, leaves_on_signal };
+            for client in 0..HEARTBEAT_CLIENTS {
+                let seed = settings.seed << 16 | (number as u64) << 8 | client;
                 let (kept, new) = (target.clone(), target.clone());
-                self.tasks.push(thread::spawn(move || ask_on_kept(&kept, seed)));
-                self.tasks.push(thread::spawn(move || ask_on_new(&new, !seed)));
+                self.tasks.push(thread::spawn(move || run_kept_client(&kept, seed)));
+                self.tasks.push(thread::spawn(move || run_reconnecting_client(&new, !seed)));
             }
             for client in 0..BAD_CLIENTS {
                 let (target, seed) = (target.clone(), settings.seed << 16 | (number as u64) << 8 | client);
-                self.tasks.push(thread::spawn(move || bad_clients::come(&target, seed)));
+                self.tasks.push(thread::spawn(move || bad_clients::run(&target, seed)));
             }
             for zone in 0..ZONES.len() {
-                let (target, fleet) = (target.clone(), self.stage.fleet.clone());
-                self.tasks.push(thread::spawn(move || collectors::collect(&target, zone, &fleet)));
+                let (target, fleet) = (target.clone(), self.script_runner.fleet.clone());
+                self.tasks.push(thread::spawn(move || collectors::run(&target, zone, &fleet)));
             }
         }
         Ok(())
     }
 
     /// The thread that advances the workload, and the one that watches the processes.
-    fn raise_owner(&mut self) {
-        let (fleet, over) = (self.stage.fleet.clone(), self.over.clone());
+    fn start_background_threads(&mut self) {
+        let (fleet, finished) = (self.script_runner.fleet.clone(), self.finished.clone());
         self.tasks.push(thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !finished.load(Ordering::Relaxed) {
                 fleet.lock().unwrap().advance();
-                thread::sleep(ADVANCE_EVERY);
+                thread::sleep(ADVANCE_INTERVAL);
             }
         }));
-        let (stage, judge) = (self.stage.clone(), self.judge.clone());
-        self.tasks.push(thread::spawn(move || watch(&stage, &judge)));
+        let (script_runner, judge) = (self.script_runner.clone(), self.judge.clone());
+        self.tasks.push(thread::spawn(move || monitor(&script_runner, &judge)));
     }
 
-    fn await_first_start(&self) {
-        let until = Instant::now() + FIRST_READY;
-        let is_ready = || (0..COORDINATORS).all(|number| self.stage.timeline.takes_proxies(number));
+    fn wait_until_ready(&self) {
+        let until = Instant::now() + INITIAL_READY_WITHIN;
+        let is_ready = || (0..COORDINATORS).all(|number| self.script_runner.timeline.accepts_proxies(number));
         while !is_ready() && Instant::now() < until {
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
         if !is_ready() {
             let now = self.judge.moment();
-            self.judge.broken(Reading::Processes, 0, 0, now, "not all coordinators are ready in 30 s".into());
+            self.judge.report_violation(
+                Reading::Processes,
+                0,
+                0,
+                now,
+                "not all coordinators are ready in 30 s".into(),
+            );
         }
     }
 
     fn finish(mut self, settings: &TrialSettings, day: &Day) -> TrialReport {
-        self.over.store(true, Ordering::Relaxed);
-        let report = TrialReport::new(settings, day, &self.judge, &self.stage.fleet.lock().unwrap());
-        for coordinator in &self.stage.coordinators {
+        self.finished.store(true, Ordering::Relaxed);
+        let report = TrialReport::new(settings, day, &self.judge, &self.script_runner.fleet.lock().unwrap());
+        for coordinator in &self.script_runner.coordinators {
             coordinator.lock().unwrap().kill();
         }
         self.tasks.drain(..).for_each(|task| drop(task.join()));
-        self.stage.join();
+        self.script_runner.join();
         report
     }
 }
--- a/crates/craneknot-rehearsal/src/trial/script.rs
+++ b/crates/craneknot-rehearsal/src/trial/script.rs
@@ -88,12 +88,12 @@
     let scale = length.as_secs_f64() / INCIDENT_LENGTH.as_secs_f64();
     let mut steps = Vec::new();
     if script == Script::Incident {
-        steps.extend(incident(&mut rng, scale));
-        steps.push(zone_restart(seed, scale));
+        steps.extend(draw_incident(&mut rng, scale));
+        steps.push(draw_zone_restart(seed, scale));
     }
-    let lost = incident_span(scale, 41.0)..incident_span(scale, 46.0);
+    let lost = scaled_time(scale, 41.0)..scaled_time(scale, 46.0);
     let lost = (script == Script::Incident).then_some(lost);
-    steps.extend(release::draw(&mut rng, incident_span(scale, 3.0), length, lost));
+    steps.extend(release::draw(&mut rng, scaled_time(scale, 3.0), length, lost));
     for fault in overlays {
         steps.extend(fault.draw(&mut rng, length));
     }
@@ -101,29 +101,29 @@
     Day { steps, length }
 }
 
-fn incident_span(scale: f64, second: f64) -> Duration {
+fn scaled_time(scale: f64, second: f64) -> Duration {
     Duration::from_secs_f64(second * scale)
 }
 
 /// The zone that one class may be confined to starts anew at once, early in the day or as a coordinator is young. What is
 /// drawn here changes nothing else of the day.
-fn zone_restart(seed: u64, scale: f64) -> Planned {
+fn draw_zone_restart(seed: u64, scale: f64) -> Planned {
     let mut rng = Pcg32::seed_from_u64(!seed);
     let second =
         if rng.random_bool(0.5) { rng.random_range(8.0..20.0) } else { rng.random_range(27.0..30.0) };
     let zone = confined_zone(seed).unwrap_or(LOST_ZONE);
-    Planned { at: incident_span(scale, second), step: Step::RestartZone { zone } }
+    Planned { at: scaled_time(scale, second), step: Step::RestartZone { zone } }
 }
 
-fn incident(rng: &mut Pcg32, scale: f64) -> Vec<Planned> {
-    let at = |second: f64, step: Step| Planned { at: incident_span(scale, second), step };
-    let later =
+fn draw_incident(rng: &mut Pcg32, scale: f64) -> Vec<Planned> {
+    let at = |second: f64, step: Step| Planned { at: scaled_time(scale, second), step };
+    let delayed =
         |planned: Planned, millis: u64| Planned { at: planned.at + Duration::from_millis(millis), ..planned };
     let absence = [Absence::Killed, Absence::Stopped, Absence::Silent][rng.random_range(0..3)];
     let silent = rng.random_bool(0.5);
     vec![
         at(27.0, Step::Kill(LOADED)),
-        later(at(27.0, Step::Start(LOADED)), BACK_AFTER),
+        delayed(at(27.0, Step::Start(LOADED)), BACK_AFTER),
         at(41.0, Step::Kill(LOST_WITH_ZONE)),
         at(41.0, Step::LoseZone { zone: LOST_ZONE, silent }),
         at(41.0, Step::Leave(ABSENT, absence)),
--- a/crates/craneknot-rehearsal/src/trial/stage.rs
+++ b/crates/craneknot-rehearsal/src/trial/script_runner.rs
@@ -11,48 +11,48 @@
 use super::fleet::SharedFleet;
 use super::overlay::Overlay;
 use super::process::Coordinator;
-use super::registry::{unix_millis, Answers, Registry};
+use super::registry::{unix_millis, DiscoveryBehaviour, Registry};
 use super::release::{Phase, ServerChange};
 use super::script::{Absence, Step};
 use super::timeline::Timeline;
 use crate::soak::schedule::NetworkFault;
 
-const LOOK_EVERY: Duration = Duration::from_millis(5); // while the end of a process is awaited
-const TOLD_FOR: Duration = Duration::from_secs(3); // how long a step counts as active
-const RESET_LASTS: Duration = Duration::from_millis(150); // of connections that were cut off; longer than any read waits
-const LIST_NOTICE: Duration = Duration::from_millis(400); // from a server's change to the list
-const SILENT_NOTICE: Duration = Duration::from_millis(2_500); // the same for a machine that falls silent
-const LATE: Duration = Duration::from_millis(1_200); // of a list that comes late
-const STOPPED: Duration = Duration::from_millis(15); // of each 20 ms, with a quarter of a core
-const RUNNING: Duration = Duration::from_millis(5);
-const NEIGHBOURS: usize = 2; // threads that keep the machine busy
+const POLL_INTERVAL: Duration = Duration::from_millis(5); // while the end of a process is awaited
+const STEP_ACTIVE_FOR: Duration = Duration::from_secs(3); // how long a step counts as active
+const RESET_DURATION: Duration = Duration::from_millis(150); // of connections that were cut off; longer than any read waits
+const LISTING_DELAY: Duration = Duration::from_millis(400); // from a server's change to the list
+const SILENT_LISTING_DELAY: Duration = Duration::from_millis(2_500); // the same for a machine that falls silent
+const LIST_DELAY: Duration = Duration::from_millis(1_200); // of a list that comes late
+const CPU_STOPPED: Duration = Duration::from_millis(15); // of each 20 ms, with a quarter of a core
+const CPU_RUNNING: Duration = Duration::from_millis(5);
+const BUSY_THREADS: usize = 2; // threads that keep the machine busy
 
 /// Everything that steps act on.
 #[derive(Clone)]
-pub struct Stage {
+pub struct ScriptRunner {
     pub coordinators: Vec<Arc<Mutex<Coordinator>>>,
     pub fleet: SharedFleet,
     pub registry: Arc<Mutex<Registry>>,
     pub timeline: Arc<Timeline>,
-    over: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
     tasks: Arc<Mutex<Vec<JoinHandle<()>>>>,
 }
 
-impl Stage {
+impl ScriptRunner {
     /// A stage on which nothing has been played.
     pub fn new(
         coordinators: Vec<Arc<Mutex<Coordinator>>>,
         fleet: SharedFleet,
         registry: Arc<Mutex<Registry>>,
         timeline: Arc<Timeline>,
-        over: Arc<AtomicBool>,
+        finished: Arc<AtomicBool>,
     ) -> Self {
-        Stage { coordinators, fleet, registry, timeline, over, tasks: Arc::default() }
+        ScriptRunner { coordinators, fleet, registry, timeline, finished, tasks: Arc::default() }
     }
 
     /// Whether the trial is over.
-    pub fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    pub fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 
     /// Waits for all that steps have left running.
@@ -61,36 +61,36 @@
         tasks.into_iter().for_each(|task| drop(task.join()));
     }
 
-    fn spawn(&self, task: impl FnOnce(&Stage) + Send + 'static) {
-        let stage = self.clone();
-        self.tasks.lock().unwrap().push(thread::spawn(move || task(&stage)));
+    fn spawn(&self, task: impl FnOnce(&ScriptRunner) + Send + 'static) {
+        let runner = self.clone();
+        self.tasks.lock().unwrap().push(thread::spawn(move || task(&runner)));
     }
 
     /// Sleeps, but not past the end of the trial.
     fn sleep(&self, span: Duration) {
         let until = Instant::now() + span;
-        while Instant::now() < until && !self.is_over() {
-            thread::sleep(LOOK_EVERY.min(until.saturating_duration_since(Instant::now())));
+        while Instant::now() < until && !self.is_finished() {
+            thread::sleep(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())));
         }
     }
 
     /// Plays one step; what takes time goes on by itself.
-    pub fn play(&self, step: &Step) {
+    pub fn run_step(&self, step: &Step) {
         match step {
             Step::Servers(changes) => self.change_servers(changes),
             Step::Overlay { fault, coordinator, span } => {
                 let span = Duration::from_millis(*span);
-                self.timeline.fault(&format!("{fault} at n{coordinator}"), span);
-                self.lay_over(*fault, *coordinator, span);
+                self.timeline.record_fault(&format!("{fault} at n{coordinator}"), span);
+                self.apply_overlay(*fault, *coordinator, span);
             }
             step => {
-                self.timeline.fault(&format!("{step:?}"), TOLD_FOR);
-                self.play_on_processes(step);
+                self.timeline.record_fault(&format!("{step:?}"), STEP_ACTIVE_FOR);
+                self.run_process_step(step);
             }
         }
     }
 
-    fn play_on_processes(&self, step: &Step) {
+    fn run_process_step(&self, step: &Step) {
         match *step {
             Step::Kill(number) => self.kill(number),
             Step::Start(number) => self.start(number),
@@ -101,8 +101,8 @@
                     Duration::from_millis(back_after),
                 );
             }
-            Step::Leave(number, how) => self.leave(number, how),
-            Step::Return(number, how) => self.return_from(number, how),
+            Step::Leave(number, absence) => self.make_absent(number, absence),
+            Step::Return(number, absence) => self.restore(number, absence),
             Step::LoseZone { zone, silent } => self.change_zone(zone, Phase::Gone, silent),
             Step::RestartZone { zone } => self.change_zone(zone, Phase::Ready, false),
             Step::RegainZone { zone, silent } => self.change_zone(zone, Phase::Ready, silent),
@@ -120,82 +120,82 @@
 
     fn start(&self, number: usize) {
         if let Err(cause) = self.coordinators[number].lock().unwrap().start() {
-            self.timeline.fault(&format!("n{number} could not be started: {cause}"), TOLD_FOR);
+            self.timeline.record_fault(&format!("n{number} could not be started: {cause}"), STEP_ACTIVE_FOR);
         }
     }
 
     fn restart(&self, number: usize, kill_after: Duration, back_after: Duration) {
-        self.timeline.terminated(number);
+        self.timeline.record_sigterm(number);
         self.coordinators[number].lock().unwrap().signal(Signal::TERM);
         self.fleet.lock().unwrap().leave_all(number);
-        self.spawn(move |stage| {
+        self.spawn(move |runner| {
             let until = Instant::now() + kill_after;
             let has_ended = || {
-                let mut coordinator = stage.coordinators[number].lock().unwrap();
+                let mut coordinator = runner.coordinators[number].lock().unwrap();
                 // The watch may have seen it first.
-                coordinator.ended().is_some() || !coordinator.runs()
+                coordinator.take_exit_status().is_some() || !coordinator.is_running()
             };
             while !has_ended() && Instant::now() < until {
-                thread::sleep(LOOK_EVERY);
+                thread::sleep(POLL_INTERVAL);
             }
-            stage.kill(number);
-            stage.sleep(back_after);
-            if !stage.is_over() {
-                stage.start(number);
+            runner.kill(number);
+            runner.sleep(back_after);
+            if !runner.is_finished() {
+                runner.start(number);
             }
         });
     }
 
-    fn leave(&self, number: usize, how: Absence) {
-        if how == Absence::Killed {
+    fn make_absent(&self, number: usize, absence: Absence) {
+        if absence == Absence::Killed {
             self.kill(number);
             return;
         }
-        self.timeline.absent(number);
+        self.timeline.begin_absence(number);
         let coordinator = self.coordinators[number].lock().unwrap();
-        match how {
+        match absence {
             Absence::Stopped => coordinator.signal(Signal::STOP),
-            _ => coordinator.neighbours().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Stall))),
+            _ => coordinator.upstreams().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Stall))),
         }
         drop(coordinator);
         self.fleet.lock().unwrap().leave_all(number);
     }
 
-    fn return_from(&self, number: usize, how: Absence) {
-        if how == Absence::Killed {
+    fn restore(&self, number: usize, absence: Absence) {
+        if absence == Absence::Killed {
             self.start(number);
             return;
         }
         let coordinator = self.coordinators[number].lock().unwrap();
-        match how {
+        match absence {
             Absence::Stopped => coordinator.signal(Signal::CONT),
-            _ => self.reset_neighbours(number, &coordinator),
+            _ => self.reset_upstreams(number, &coordinator),
         }
         drop(coordinator);
-        self.timeline.present(number);
+        self.timeline.end_absence(number);
     }
 
     /// Connections that were cut off are reset, and what was sent on them is lost; then new ones come up.
-    fn reset_neighbours(&self, number: usize, coordinator: &Coordinator) {
-        coordinator.neighbours().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Refuse)));
-        self.spawn(move |stage| {
-            stage.sleep(RESET_LASTS);
-            let coordinator = stage.coordinators[number].lock().unwrap();
-            coordinator.neighbours().iter().for_each(|proxy| proxy.set(None));
+    fn reset_upstreams(&self, number: usize, coordinator: &Coordinator) {
+        coordinator.upstreams().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Refuse)));
+        self.spawn(move |runner| {
+            runner.sleep(RESET_DURATION);
+            let coordinator = runner.coordinators[number].lock().unwrap();
+            coordinator.upstreams().iter().for_each(|proxy| proxy.set(None));
         });
     }
 
     fn change_servers(&self, changes: &[ServerChange]) {
         self.fleet.lock().unwrap().change_servers(changes);
-        self.list_later(changes.to_vec(), LIST_NOTICE);
+        self.list_after(changes.to_vec(), LISTING_DELAY);
     }
 
     /// What has become of servers is listed after a while.
-    fn list_later(&self, changes: Vec<ServerChange>, notice: Duration) {
+    fn list_after(&self, changes: Vec<ServerChange>, delay: Duration) {
         let started = unix_millis();
-        self.spawn(move |stage| {
-            stage.sleep(notice);
-            stage.registry.lock().unwrap().change(&changes, started);
+        self.spawn(move |runner| {
+            runner.sleep(delay);
+            runner.registry.lock().unwrap().change(&changes, started);
         });
     }
 
@@ -213,23 +213,23 @@
             fleet.change_servers(&changes);
         }
         drop(fleet);
-        self.list_later(changes, if is_lost { SILENT_NOTICE } else { LIST_NOTICE });
+        self.list_after(changes, if is_lost { SILENT_LISTING_DELAY } else { LISTING_DELAY });
     }
 
-    fn lay_over(&self, fault: Overlay, number: usize, span: Duration) {
+    fn apply_overlay(&self, fault: Overlay, number: usize, span: Duration) {
         match fault {
             Overlay::LogUnread | Overlay::ClockStep | Overlay::SystemCalls => {}
             Overlay::RelayThrottled | Overlay::RelayBroken | Overlay::RelaySpoilt => {
-                self.fleet.lock().unwrap().strike_calls(number, fault, span);
+                self.fleet.lock().unwrap().fail_calls(number, fault, span);
             }
-            Overlay::ListsLate => self.answer_lists(number, span, |answers| answers.late = LATE),
-            Overlay::ListsWhole => self.answer_lists(number, span, |answers| answers.whole = true),
-            Overlay::ListsSilent => self.answer_lists(number, span, |answers| answers.silent = true),
-            Overlay::QuarterCore => self.spawn(move |stage| stage.give_quarter(number, span)),
-            Overlay::BusyNeighbours => (0..NEIGHBOURS).for_each(|_| {
-                self.spawn(move |stage| {
+            Overlay::ListsLate => self.set_discovery(number, span, |behaviour| behaviour.delay = LIST_DELAY),
+            Overlay::ListsWhole => self.set_discovery(number, span, |behaviour| behaviour.full_lists = true),
+            Overlay::ListsSilent => self.set_discovery(number, span, |behaviour| behaviour.silent = true),
+            Overlay::QuarterCore => self.spawn(move |runner| runner.limit_cpu(number, span)),
+            Overlay::BusyNeighbours => (0..BUSY_THREADS).for_each(|_| {
+                self.spawn(move |runner| {
                     let until = Instant::now() + span;
-                    while Instant::now() < until && !stage.is_over() {
+                    while Instant::now() < until && !runner.is_finished() {
                         std::hint::spin_loop();
                     }
                 });
@@ -237,28 +237,28 @@
         }
     }
 
-    fn answer_lists(&self, number: usize, span: Duration, set: impl Fn(&mut Answers)) {
-        set(&mut self.registry.lock().unwrap().answers[number]);
-        self.spawn(move |stage| {
-            stage.sleep(span);
-            stage.registry.lock().unwrap().answers[number] = Answers::default();
+    fn set_discovery(&self, number: usize, span: Duration, set: impl Fn(&mut DiscoveryBehaviour)) {
+        set(&mut self.registry.lock().unwrap().behaviours[number]);
+        self.spawn(move |runner| {
+            runner.sleep(span);
+            runner.registry.lock().unwrap().behaviours[number] = DiscoveryBehaviour::default();
         });
     }
 
     /// Stops a process for three quarters of the time. One that is stopped anyway is left alone.
-    fn give_quarter(&self, number: usize, span: Duration) {
+    fn limit_cpu(&self, number: usize, span: Duration) {
         let until = Instant::now() + span;
-        while Instant::now() < until && !self.is_over() {
+        while Instant::now() < until && !self.is_finished() {
             let now = Instant::now();
-            if self.timeline.was_present(number, now, now) {
+            if self.timeline.was_reachable(number, now, now) {
                 self.coordinators[number].lock().unwrap().signal(Signal::STOP);
-                thread::sleep(STOPPED);
+                thread::sleep(CPU_STOPPED);
                 let now = Instant::now();
-                if self.timeline.was_present(number, now, now) {
+                if self.timeline.was_reachable(number, now, now) {
                     self.coordinators[number].lock().unwrap().signal(Signal::CONT);
                 }
             }
-            thread::sleep(RUNNING);
+            thread::sleep(CPU_RUNNING);
         }
     }
 }
