--- a/crates/craneknot-cli/src/trial.rs
+++ b/crates/craneknot-cli/src/trial.rs
@@ -62,7 +62,7 @@
             program: self.program.clone().map_or_else(std::env::current_exe, Ok).map_err(system)?,
             fault_library: self.fault_library.clone(),
             folder,
-            planted: None,
+            injected_fault: None,
         })
     }
 }
--- a/crates/craneknot-cli/tests/trial.rs
+++ b/crates/craneknot-cli/tests/trial.rs
@@ -8,14 +8,14 @@
 
 use craneknot_rehearsal::trial::release::Phase;
 use craneknot_rehearsal::trial::script::{draw, Step};
-use craneknot_rehearsal::trial::{run, Overlay, PlantedBreak, Reading, Script, TrialReport, TrialSettings};
+use craneknot_rehearsal::trial::{run, InjectedFault, Overlay, Reading, Script, TrialReport, TrialSettings};
 
 mod helpers;
 use helpers::fault_library;
 
 const WHOLE_DAY: Duration = Duration::from_secs(63);
 const SHORT_DAY: Duration = Duration::from_secs(15);
-const PLANTED_DAY: Duration = Duration::from_secs(9);
+const INJECTED_FAULT_DAY: Duration = Duration::from_secs(9);
 
 /// Trials need the machine to themselves: each raises three processes and their peers.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
@@ -25,7 +25,7 @@
     script: Script,
     length: Duration,
     overlays: &[Overlay],
-    planted: Option<PlantedBreak>,
+    injected_fault: Option<InjectedFault>,
 ) -> TrialReport {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let folder = tempfile::tempdir().unwrap();
@@ -37,7 +37,7 @@
         program: Path::new(env!("CARGO_BIN_EXE_craneknot")).to_owned(),
         fault_library: Some(fault_library()),
         folder: folder.path().to_owned(),
-        planted,
+        injected_fault,
     };
     run(&settings).unwrap()
 }
@@ -91,25 +91,25 @@
 
 #[test]
 fn a_log_that_nobody_reads_stops_no_coordinator() {
-    let report = trial(3, Script::Release, PLANTED_DAY, &[Overlay::LogUnread], None);
+    let report = trial(3, Script::Release, INJECTED_FAULT_DAY, &[Overlay::LogUnread], None);
     assert!(report.passed(), "{}", report.text());
 }
 
 #[test]
 fn the_judge_tells_proxies_that_lack_lines() {
-    let report = trial(1, Script::Release, PLANTED_DAY, &[], Some(PlantedBreak::LinesDropped));
-    assert!(report.found(Reading::Lines) > 0, "{}", report.text());
+    let report = trial(1, Script::Release, INJECTED_FAULT_DAY, &[], Some(InjectedFault::LinesDropped));
+    assert!(report.finding_count(Reading::Lines) > 0, "{}", report.text());
 }
 
 #[test]
 fn the_judge_tells_operations_that_get_no_answer() {
-    let report = trial(1, Script::Release, PLANTED_DAY, &[], Some(PlantedBreak::SilentServers));
-    assert!(report.found(Reading::Operations) > 0, "{}", report.text());
+    let report = trial(1, Script::Release, INJECTED_FAULT_DAY, &[], Some(InjectedFault::SilentServers));
+    assert!(report.finding_count(Reading::Operations) > 0, "{}", report.text());
 }
 
 #[test]
 fn the_judge_tells_heartbeats_that_are_answered_late() {
-    let report = trial(1, Script::Release, PLANTED_DAY, &[], Some(PlantedBreak::LateAnswers));
-    assert!(report.found(Reading::Control) > 0, "{}", report.text());
-    assert_eq!(report.found(Reading::Lines), 0, "{}", report.text());
+    let report = trial(1, Script::Release, INJECTED_FAULT_DAY, &[], Some(InjectedFault::LateAnswers));
+    assert!(report.finding_count(Reading::Control) > 0, "{}", report.text());
+    assert_eq!(report.finding_count(Reading::Lines), 0, "{}", report.text());
 }
--- a/crates/craneknot-rehearsal/src/trial/fleet.rs
+++ b/crates/craneknot-rehearsal/src/trial/fleet.rs
@@ -16,7 +16,7 @@
 use super::relay::CallOutcome;
 use super::release::{Phase, ServerChange};
 use super::reports::Reports;
-use super::settings::{PlantedBreak, TrialSettings};
+use super::settings::{InjectedFault, TrialSettings};
 use crate::workload::{self, Order, ServerAction, Summary, Workload, WorkloadSettings};
 
 const DIAL_DELAY_MILLIS: std::ops::Range<u64> = 100..1_400; // from the loss of a coordinator to the next one
@@ -25,7 +25,7 @@
 const CALL_FAULT_PROBABILITY: f64 = 0.5; // that a call goes wrong while calls do
 const LIMITS_HELD_AFTER_BROKEN_CALL: Duration = Duration::from_millis(500); // of time limits after a call that broke
 const LIMITS_HELD_AFTER_UNREADABLE_ANSWER: Duration = Duration::from_millis(1_500); // after an answer that cannot be read
-const PLANTED_SILENCE_AT: Duration = Duration::from_secs(2); // in the day: servers fall silent where that is planted
+const INJECTED_SILENCE_AT: Duration = Duration::from_secs(2); // in the day: servers fall silent where that is planted
 
 /// The fleet as the threads of the stand-ins share it.
 pub type SharedFleet = Arc<Mutex<Fleet>>;
@@ -69,7 +69,7 @@
     server_history: Vec<workload::ServerChange>,
     judge: Arc<Judge>,
     rng: Pcg32,
-    planted: Option<PlantedBreak>,
+    injected_fault: Option<InjectedFault>,
 }
 
 impl Fleet {
@@ -91,7 +91,7 @@
             server_history: Vec::new(),
             judge,
             rng: Pcg32::seed_from_u64(settings.seed),
-            planted: settings.planted,
+            injected_fault: settings.injected_fault,
         }
     }
 
@@ -126,8 +126,8 @@
             return;
         }
         self.workload.advance(self.now());
-        if self.planted == Some(PlantedBreak::SilentServers) && self.now() > PLANTED_SILENCE_AT {
-            self.planted = None;
+        if self.injected_fault == Some(InjectedFault::SilentServers) && self.now() > INJECTED_SILENCE_AT {
+            self.injected_fault = None;
             (0..SERVERS).for_each(|server| self.silence_server(server, true));
         }
         self.publish_acknowledgements();
@@ -330,8 +330,8 @@
 
     fn apply_one(&mut self, coordinator: usize, text: &str) -> bool {
         let Some(order) = orders::parse_order(text) else { return false };
-        let is_dropped =
-            self.planted == Some(PlantedBreak::LinesDropped) && matches!(order, Order::SetLine { .. });
+        let is_dropped = self.injected_fault == Some(InjectedFault::LinesDropped)
+            && matches!(order, Order::SetLine { .. });
         is_dropped || self.workload.apply(coordinator, &order).is_ok()
     }
 
--- a/crates/craneknot-rehearsal/src/trial/mod.rs
+++ b/crates/craneknot-rehearsal/src/trial/mod.rs
@@ -34,4 +34,4 @@
 pub use report::TrialReport;
 pub use run::run;
 pub use script::Script;
-pub use settings::{PlantedBreak, TrialSettings};
+pub use settings::{InjectedFault, TrialSettings};
--- a/crates/craneknot-rehearsal/src/trial/report.rs
+++ b/crates/craneknot-rehearsal/src/trial/report.rs
@@ -301,7 +301,7 @@
     }
 
     /// The findings of one reading.
-    pub fn found(&self, reading: Reading) -> usize {
+    pub fn finding_count(&self, reading: Reading) -> usize {
         self.findings.iter().filter(|finding| finding.reading == reading).count()
     }
 
--- a/crates/craneknot-rehearsal/src/trial/run.rs
+++ b/crates/craneknot-rehearsal/src/trial/run.rs
@@ -18,7 +18,7 @@
 use super::report::TrialReport;
 use super::script::{self, Day, Step};
 use super::script_runner::ScriptRunner;
-use super::settings::{PlantedBreak, TrialSettings};
+use super::settings::{InjectedFault, TrialSettings};
 use super::timeline::Timeline;
 use super::{bad_clients, collectors, discovery, relay};
 use crate::soak::fault_proxy::FaultProxy;
@@ -29,7 +29,7 @@
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(5); // of the workload
 const INITIAL_READY_WITHIN: Duration = Duration::from_secs(30); // of the first start of all coordinators
 const POLL_INTERVAL: Duration = Duration::from_millis(10); // while that is awaited
-const PLANTED_DELAY_MS: u64 = 700; // ms; more than any answer may take
+const INJECTED_DELAY_MS: u64 = 700; // ms; more than any answer may take
 
 /// Plays one trial.
 pub fn run(settings: &TrialSettings) -> io::Result<TrialReport> {
@@ -106,10 +106,10 @@
     fn start_clients(&mut self, settings: &TrialSettings) -> io::Result<()> {
         for number in 0..COORDINATORS {
             let address = self.script_runner.coordinators[number].lock().unwrap().address();
-            let address = match settings.planted {
-                Some(PlantedBreak::LateAnswers) => {
+            let address = match settings.injected_fault {
+                Some(InjectedFault::LateAnswers) => {
                     let delay_proxy = FaultProxy::start(address)?;
-                    delay_proxy.set(Some(NetworkFault::Delay(PLANTED_DELAY_MS)));
+                    delay_proxy.set(Some(NetworkFault::Delay(INJECTED_DELAY_MS)));
                     delay_proxy.address()
                 }
                 _ => address,
--- a/crates/craneknot-rehearsal/src/trial/settings.rs
+++ b/crates/craneknot-rehearsal/src/trial/settings.rs
@@ -8,7 +8,7 @@
 
 /// A break of the stand-ins, not of the node, that the judge must tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlantedBreak {
+pub enum InjectedFault {
     /// The relay takes lines of tables and does not carry them out.
     LinesDropped,
     /// Every server falls silent while discovery lists it.
@@ -31,5 +31,5 @@
     pub fault_library: Option<PathBuf>,
     /// Where configurations and logs are kept.
     pub folder: PathBuf,
-    pub planted: Option<PlantedBreak>,
+    pub injected_fault: Option<InjectedFault>,
 }
