--- a/crates/craneknot-rehearsal/src/trial/bad_clients.rs
+++ b/crates/craneknot-rehearsal/src/trial/bad_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that send what is no message, or nothing: each must be closed or told why in time.
+//! Clients that send invalid messages or nothing. A coordinator must close each connection or answer with an error in
+//! time.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -13,14 +14,14 @@
 use super::deployment::PROXIES;
 use super::judge::{Answer, Asked, Request};
 
-const REJECTED_WITHIN: Duration = Duration::from_secs(3); // of connecting
-const ENDLESS_WITHIN: Duration = Duration::from_secs(6); // where the message goes on without end
-const EXTRA_WAIT: Duration = Duration::from_millis(1_500); // past the due time, to tell late from never
-const POLL_INTERVAL: Duration = Duration::from_millis(20); // between looks for an answer while a message goes on
+const REJECTED_WITHIN: Duration = Duration::from_secs(3); // after connecting
+const ENDLESS_WITHIN: Duration = Duration::from_secs(6); // for a message that never ends
+const EXTRA_WAIT: Duration = Duration::from_millis(1_500); // beyond the due time, to distinguish late from missing answers
+const POLL_INTERVAL: Duration = Duration::from_millis(20); // between checks for an answer while a message is being sent
 const ENDLESS_CHUNK: [u8; 1_024] = [b'x'; 1_024];
-const PAUSE_MILLIS: std::ops::Range<u64> = 50..400; // between two clients
+const PAUSE_MILLIS: std::ops::Range<u64> = 50..400; // between consecutive clients
 
-/// What a bad client does.
+/// The protocol violation of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Misbehaviour {
     Silent,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Comes as one bad client after another, until the trial is over.
+/// Runs one misbehaving client after another until the trial is finished.
 pub fn run(target: &Target, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     while !target.is_finished() {
@@ -97,16 +98,16 @@
         due: misbehaviour.due_within(),
     };
     let mut stream = connection.reader.into_inner();
-    // One that is closed before it has written is turned away as well.
+    // A connection that is closed before the client has written counts as rejected too.
     let _ = stream.write_all(&misbehaviour.bytes());
     let is_rejected = wait_for_rejection(target, &mut stream, misbehaviour, request.opened);
     if !is_rejected && !target.is_reachable() {
-        return; // it went elsewhere first
+        return; // the client left for another coordinator first
     }
     target.judge_answer(request, if is_rejected { Answer::Came } else { Answer::Never });
 }
 
-/// Waits for a close or any message; false: neither came.
+/// Waits until the connection is closed or any message arrives; returns false if neither happens.
 fn wait_for_rejection(
     target: &Target,
     stream: &mut TcpStream,
--- a/crates/craneknot-rehearsal/src/trial/clients.rs
+++ b/crates/craneknot-rehearsal/src/trial/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that ask for heartbeats all the time, on connections that they keep and on new ones.
+//! Clients that continuously request heartbeats, on kept connections and on new ones.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,32 +12,32 @@
 
 use super::judge::{Answer, Asked, Judge, Moment, Request, ANSWER_WITHIN};
 
-/// What asks for a sign of life.
+/// The message that requests a heartbeat.
 pub const HEARTBEAT: &[u8] = b"{\"type\":\"hb\"}\n";
-const CLIENT_TIMEOUT: Duration = Duration::from_secs(4); // for an answer; longer than any due time by far
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(4); // for an answer; far longer than any due time
 const RECONNECT_DELAY: Duration = Duration::from_millis(15); // after a connection was refused or has ended
-const PAUSE_MILLIS: std::ops::Range<u64> = 10..60; // between two questions
-const KEEP_PROBABILITY: f64 = 0.98; // that a kept connection is kept after an answer
+const PAUSE_MILLIS: std::ops::Range<u64> = 10..60; // between two requests
+const KEEP_PROBABILITY: f64 = 0.98; // that a kept connection stays open after an answer
 
 /// A coordinator as its clients see it.
 #[derive(Clone)]
 pub struct Target {
     pub coordinator: usize,
-    /// Where clients dial: the coordinator, or what stands before it.
+    /// Where clients connect: the coordinator, or a fault proxy in front of it.
     pub address: SocketAddr,
     pub judge: Arc<Judge>,
     pub finished: Arc<AtomicBool>,
-    /// Whether clients go elsewhere once SIGTERM comes, so that a coordinator may end by itself at once.
+    /// Whether clients move to another coordinator at SIGTERM, so that the process can exit immediately.
     pub leaves_on_signal: bool,
 }
 
 impl Target {
-    /// Whether the trial is over.
+    /// Whether the trial is finished.
     pub fn is_finished(&self) -> bool {
         self.finished.load(Ordering::Relaxed)
     }
 
-    /// Whether a client should use a coordinator now: nothing reaches one that is stopped or cut off.
+    /// Whether a client should use the coordinator now; a stopped or disconnected one can't be reached.
     pub fn is_reachable(&self) -> bool {
         let now = Instant::now();
         let timeline = &self.judge.timeline;
@@ -46,7 +46,7 @@
         timeline.was_reachable(self.coordinator, now, now) && !(self.leaves_on_signal && is_terminated)
     }
 
-    /// The process that a client dials now, if one runs.
+    /// The process that a client connects to now, if one is running.
     pub fn process(&self) -> Option<usize> {
         let timeline = &self.judge.timeline;
         let last = timeline.last_process(self.coordinator)?;
@@ -54,7 +54,7 @@
         (runs && self.is_reachable()).then_some(last)
     }
 
-    /// Judges an answer, unless the trial ended first.
+    /// Judges an answer, unless the trial finished before it.
     pub fn judge_answer(&self, request: Request, answer: Answer) {
         if answer == Answer::Came && request.asked != Asked::BadClient {
             self.judge.timeline.record_answer(self.coordinator, request.process);
@@ -73,7 +73,7 @@
 }
 
 impl Connection {
-    /// Dials the process that runs; nothing: none does, or it does not take the connection.
+    /// Connects to the running process; returns `None` if none is running or it doesn't accept the connection.
     pub fn open(target: &Target) -> Option<Self> {
         let process = target.process()?;
         let opened = target.judge.moment();
@@ -84,7 +84,7 @@
         Some(Connection { reader: BufReader::new(stream), process, opened })
     }
 
-    /// Writes; false: the connection has ended.
+    /// Writes the bytes; returns false if the connection has ended.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.reader.get_mut().write_all(bytes).is_ok()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A question on this connection.
+    /// A request on this connection.
     pub fn request(&self, target: &Target, asked: Asked, sent: Moment) -> Request {
         Request {
             asked,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Asks on a connection that is kept, until the trial is over.
+/// Requests heartbeats on a kept connection until the trial is finished.
 pub fn run_kept_client(target: &Target, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut kept: Option<Connection> = None;
@@ -126,7 +126,7 @@
             continue;
         };
         let sent = target.judge.moment();
-        // A connection that had ended before the question was written owes nothing.
+        // A connection that had ended before the request was written is not judged.
         if connection.write(HEARTBEAT) {
             let answer = connection.read_heartbeat_answer();
             target.judge_answer(connection.request(target, Asked::HeartbeatOnKept, sent), answer);
@@ -136,7 +136,8 @@
     }
 }
 
-/// Asks on one new connection after another, until the trial is over. The time runs from the dial.
+/// Requests heartbeats on one new connection after another until the trial is finished. The time counts from the
+/// start of the connection attempt.
 pub fn run_reconnecting_client(target: &Target, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     while !target.is_finished() {
--- a/crates/craneknot-rehearsal/src/trial/collectors.rs
+++ b/crates/craneknot-rehearsal/src/trial/collectors.rs
@@ -1,4 +1,4 @@
-//! The zones' collectors: each connects to a coordinator, names its zone, and passes reports on.
+//! The collectors of the zones: each connects to a coordinator, names its zone and forwards reports.
 
 use std::thread;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const RECONNECT_DELAY: Duration = Duration::from_millis(50); // after a connection was refused or has ended
 
-/// Reports for a zone until the trial is over, and asks for a heartbeat after each round.
+/// Sends the reports of a zone until the trial is finished, and requests a heartbeat after each batch.
 pub fn run(target: &Target, zone: usize, fleet: &SharedFleet) {
     let mut kept: Option<Connection> = None;
     while !target.is_finished() {
--- a/crates/craneknot-rehearsal/src/trial/deployment.rs
+++ b/crates/craneknot-rehearsal/src/trial/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that a trial plays: its settings as a node is given them, and the figures that the judge goes by.
+//! The deployment of a trial: its settings as passed to a node, and the limits that the judge applies.
 
 use std::time::Duration;
 
@@ -16,46 +16,46 @@
 pub const SERVERS: usize = 30;
 /// The zones.
 pub const ZONES: [&str; 2] = ["pier", "yard"];
-/// One server in so many stands in the second zone, which is the one that is lost.
+/// Every n-th server is in the second zone, which is the one that is lost.
 pub const SECOND_ZONE_EVERY: usize = 3;
 /// The zone that is lost.
 pub const LOST_ZONE: usize = 1;
 /// The classes of operations.
 pub const CLASSES: [&str; 3] = ["quote", "track", "book"];
 
-/// How long a proxy may lack a line (`extra.bare`).
+/// How long a proxy may have no line for a class (`extra.bare`).
 pub const NO_LINE_LIMIT: Duration = Duration::from_millis(2_800);
-/// How long a proxy may keep a line to a server that drains (`rules.stop-sending-within`).
+/// How long a proxy may keep a line to a draining server (`rules.stop-sending-within`).
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_700);
 /// How long after its start a server is warm (`rules.ramp-time`).
 pub const WARM_AFTER: Duration = Duration::from_millis(14_000);
-/// How long a coordinator may go without asking for the list before it counts as told (`rules.ask-within`).
+/// How long a coordinator may go without requesting the list before it counts as notified (`rules.ask-within`).
 pub const ASK_WITHIN: Duration = Duration::from_secs(10);
-/// Lines a second that leave a coordinator's channel (`extra.egress-per-s`).
+/// Lines per second that a coordinator's channel sends (`extra.egress-per-s`).
 pub const LINES_PER_SECOND: f64 = 14_000.0;
-/// Lines that may wait in the channel (`extra.queue-cap`).
+/// Lines that may be queued in the channel (`extra.queue-cap`).
 pub const QUEUE_CAP: f64 = 28_000.0;
-/// Lines that each message costs on top of its own (`extra.envelope`).
+/// Overhead of each message, in lines, in addition to its own lines (`extra.envelope`).
 pub const MESSAGE_LINES: f64 = 3.0;
-/// Mean time from the channel to the proxy (`extra.push-delay`).
+/// Mean transit time from the channel to the proxy (`extra.push-delay`).
 pub const PUSH_DELAY: Duration = Duration::from_millis(180);
-/// The longest such time (`extra.worst-transit`).
+/// Longest transit time from the channel to the proxy (`extra.worst-transit`).
 pub const WORST_TRANSIT: Duration = Duration::from_millis(450);
-/// How often reports are gathered (`extra.interval`).
+/// Interval at which reports are collected (`extra.interval`).
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 const AIMS: [Duration; 3] =
     [Duration::from_millis(1_000), Duration::from_millis(1_200), Duration::from_millis(1_500)];
 const DEADLINES: [Duration; 3] =
     [Duration::from_millis(2_500), Duration::from_millis(3_000), Duration::from_millis(4_000)];
-const UNSAFE_CLASS: usize = 2; // may not run twice
-const COLD_SHARE: f64 = 0.2; // of its capacity, that a server has when it starts
-const FALL_MULTIPLE: f64 = 3.0; // of its present capacity, at which a cold server falls
-const FALL_WINDOW: Duration = Duration::from_secs(3); // over which that is counted
+const UNSAFE_CLASS: usize = 2; // must not be executed twice
+const COLD_SHARE: f64 = 0.2; // of its full capacity, available to a server when it starts
+const FALL_MULTIPLE: f64 = 3.0; // of its present capacity; the load at which a cold server fails
+const FALL_WINDOW: Duration = Duration::from_secs(3); // over which the load of a cold server is measured
 const CORES: f64 = 2.0; // of each server
-const LOAD: f64 = 0.35; // of the capacity of all servers when warm
+const LOAD: f64 = 0.35; // share of the capacity of all warm servers
 
-/// The zone of a server, by its place.
+/// The zone of a server, by its index.
 pub fn zone_of_server(server: usize) -> usize {
     usize::from(server % SECOND_ZONE_EVERY == SECOND_ZONE_EVERY - 1)
 }
@@ -65,17 +65,17 @@
     usize::from(proxy) % ZONES.len()
 }
 
-/// The identifier of a server, by its place.
+/// The identifier of a server, by its index.
 pub fn server_id(server: usize) -> String {
     format!("s-{:08x}", (server as u32 + 1).wrapping_mul(0x9e37_79b1))
 }
 
-/// The only zone of the class that may not run twice, by seed: the zone that is lost, the other, or none.
+/// The zone that the class which must not run twice is confined to, by seed: the lost zone, the other one, or none.
 pub fn confined_zone(seed: u64) -> Option<usize> {
     [Some(LOST_ZONE), Some(1 - LOST_ZONE), None][(seed % 3) as usize]
 }
 
-/// The settings as a node's configuration holds them.
+/// The settings in the form of a node's configuration.
 pub fn settings(seed: u64) -> Value {
     let profile = |index: usize| {
         let semantics = if index == UNSAFE_CLASS { "single_shot" } else { "free" };
@@ -104,7 +104,7 @@
     })
 }
 
-/// The same deployment as the workload takes it; the servers' true speeds are drawn.
+/// The same deployment as settings of the workload; the true speeds of the servers are random.
 pub fn workload(seed: u64) -> WorkloadSettings {
     let mut rng = Pcg32::seed_from_u64(seed);
     let server = |server: usize| ServerSpec {
--- a/crates/craneknot-rehearsal/src/trial/discovery.rs
+++ b/crates/craneknot-rehearsal/src/trial/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on sockets: whole lists and watches, late, whole or silent as the trial has it.
+//! Discovery over sockets: full lists and watches, with the delays, full lists and silences that the trial sets.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -10,9 +10,9 @@
 use super::registry::{Entry, Registry};
 use crate::soak::http::{self, read_request, respond};
 
-const POLL_INTERVAL: Duration = Duration::from_millis(10); // between looks for something newer
+const POLL_INTERVAL: Duration = Duration::from_millis(10); // between checks for a newer version
 
-/// Serves one coordinator; gives the address.
+/// Serves one coordinator; returns the address.
 pub fn serve(
     registry: Arc<Mutex<Registry>>,
     fleet: SharedFleet,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The list, once there is something newer or the wait is over; and the servers as it has them.
+/// Returns the list and its servers once there is a newer version or the wait has timed out.
 fn build_answer(
     registry: &Mutex<Registry>,
     coordinator: usize,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Holds an answer back for as long as the trial wants it late or silent.
+/// Delays an answer for as long as the trial makes discovery late or silent.
 fn wait_until_allowed(registry: &Mutex<Registry>, coordinator: usize) {
     let behaviour = |registry: &Mutex<Registry>| registry.lock().unwrap().behaviours[coordinator];
     thread::sleep(behaviour(registry).delay);
--- a/crates/craneknot-rehearsal/src/trial/fleet.rs
+++ b/crates/craneknot-rehearsal/src/trial/fleet.rs
@@ -1,4 +1,4 @@
-//! The proxies: who is joined to which coordinator, what the relay tells of them, and the workload that they carry.
+//! The proxies: which coordinator each is joined to, the relay's events about them, and the workload that they carry.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -19,21 +19,21 @@
 use super::settings::{InjectedFault, TrialSettings};
 use crate::workload::{self, Order, ServerAction, Summary, Workload, WorkloadSettings};
 
-const DIAL_DELAY_MILLIS: std::ops::Range<u64> = 100..1_400; // from the loss of a coordinator to the next one
-const REDIAL_INTERVAL: Duration = Duration::from_millis(200); // where none takes proxies
-const MOVE_DELAY: Duration = Duration::from_millis(50); // of a proxy that moves, between two streams
-const CALL_FAULT_PROBABILITY: f64 = 0.5; // that a call goes wrong while calls do
-const LIMITS_HELD_AFTER_BROKEN_CALL: Duration = Duration::from_millis(500); // of time limits after a call that broke
-const LIMITS_HELD_AFTER_UNREADABLE_ANSWER: Duration = Duration::from_millis(1_500); // after an answer that cannot be read
-const INJECTED_SILENCE_AT: Duration = Duration::from_secs(2); // in the day: servers fall silent where that is planted
+const DIAL_DELAY_MILLIS: std::ops::Range<u64> = 100..1_400; // from the loss of a coordinator to the next connection attempt
+const REDIAL_INTERVAL: Duration = Duration::from_millis(200); // while no coordinator accepts proxies
+const MOVE_DELAY: Duration = Duration::from_millis(50); // between the two streams of a moving proxy
+const CALL_FAULT_PROBABILITY: f64 = 0.5; // that a call fails while a call fault is active
+const LIMITS_HELD_AFTER_BROKEN_CALL: Duration = Duration::from_millis(500); // suspension of time limits after a broken call
+const LIMITS_HELD_AFTER_UNREADABLE_ANSWER: Duration = Duration::from_millis(1_500); // the same after an unreadable answer
+const INJECTED_SILENCE_AT: Duration = Duration::from_secs(2); // since the start of the day; for the injected fault of silent servers
 
-/// The fleet as the threads of the stand-ins share it.
+/// The fleet as shared by the threads of the simulated peers.
 pub type SharedFleet = Arc<Mutex<Fleet>>;
 
 #[derive(Clone, Copy, Debug)]
 enum ProxyState {
     Joined(usize),
-    /// It dials then: one coordinator, or any.
+    /// It connects at that time, to the given coordinator or to any.
     Dialling {
         at: Instant,
         to: Option<usize>,
@@ -59,13 +59,13 @@
     seed: u64,
     day_start: Option<Instant>,
     proxy_states: Vec<ProxyState>,
-    /// By proxy: when it joined which coordinator, or left, oldest first.
+    /// By proxy: the times at which it joined a coordinator or left, oldest first.
     join_history: Vec<Vec<(Duration, Option<usize>)>>,
     moves: Vec<Move>,
     call_faults: Vec<CallFault>,
     event_streams: Vec<EventStreams>,
     reports: Reports,
-    /// What became of servers, for the reference.
+    /// The changes of servers, for the reference run.
     server_history: Vec<workload::ServerChange>,
     judge: Arc<Judge>,
     rng: Pcg32,
@@ -73,7 +73,7 @@
 }
 
 impl Fleet {
-    /// A fleet that has not begun: no proxy is joined, and calls are turned away.
+    /// Creates a fleet whose day has not started: no proxy is joined, and calls are rejected.
     pub fn new(settings: &TrialSettings, judge: Arc<Judge>) -> Self {
         let workload_settings = deployment::workload(settings.seed);
         let unattached = ProxyState::Dialling { at: Instant::now(), to: None };
@@ -95,9 +95,9 @@
         }
     }
 
-    /// The day begins: servers run, and proxies join coordinators in turn.
+    /// Starts the day: servers run, and proxies join the coordinators in turn.
     pub fn start_day(&mut self) {
-        // At time zero, so that they are warm.
+        // Started at time zero, so that they are warm.
         for server in 0..SERVERS {
             self.act_on_server(server, ServerAction::Start);
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// All coordinators are started with the whole list.
+    /// Marks all servers as known to all coordinators, which are started with the full list.
     fn notify_initial_list(&mut self) {
         let all =
             |coordinator| (0..SERVERS).map(move |server| Notice { coordinator, server, is_ready: true });
@@ -120,7 +120,7 @@
         self.day_start.map_or(Duration::ZERO, |day_start| day_start.elapsed())
     }
 
-    /// Lets the workload come up to date, and has proxies dial and move.
+    /// Advances the workload to the present, and lets proxies connect and move.
     pub fn advance(&mut self) {
         if self.day_start.is_none() {
             return;
@@ -201,7 +201,7 @@
         }
     }
 
-    /// A proxy's stream ends; it dials another coordinator a moment later.
+    /// Ends a proxy's stream; the proxy connects to another coordinator after a delay.
     fn leave(&mut self, proxy: u16) {
         let ProxyState::Joined(coordinator) = self.proxy_states[usize::from(proxy)] else { return };
         let now = self.now();
@@ -221,19 +221,19 @@
         (0..PROXIES).filter(is_joined).collect()
     }
 
-    /// All proxies of a coordinator leave it.
+    /// Makes all proxies of a coordinator leave it.
     pub fn leave_all(&mut self, coordinator: usize) {
         self.joined(coordinator).into_iter().for_each(|proxy| self.leave(proxy));
     }
 
-    /// A coordinator's process has ended, and with it its streams and tables.
+    /// Handles the end of a coordinator's process, which ends its streams and tables.
     pub fn coordinator_ended(&mut self, coordinator: usize) {
         self.leave_all(coordinator);
         let _ = self.workload.coordinator_ended(coordinator);
         self.event_streams[coordinator].close_all();
     }
 
-    /// Proxies move to a coordinator within a span, one in so many.
+    /// Moves every `one_in`-th proxy to a coordinator, at random times within a span.
     pub fn move_proxies(&mut self, to: usize, within: Duration, one_in: u16) {
         for proxy in (0..PROXIES).filter(|proxy| proxy % one_in.max(1) == 0) {
             let at = Instant::now() + within.mul_f64(self.rng.random_range(0.0..1.0));
@@ -241,7 +241,7 @@
         }
     }
 
-    /// What becomes of servers, whatever the list says yet.
+    /// Changes servers, independently of what the list says so far.
     pub fn change_servers(&mut self, changes: &[ServerChange]) {
         for change in changes {
             match change.phase {
@@ -255,7 +255,7 @@
         }
     }
 
-    /// A server falls silent, or is no longer.
+    /// Makes a server silent, or ends its silence.
     pub fn silence_server(&mut self, server: usize, silent: bool) {
         self.act_on_server(server, ServerAction::Silence(silent));
     }
@@ -263,12 +263,12 @@
     fn act_on_server(&mut self, server: usize, action: ServerAction) {
         let (id, at) = (server_id(server), self.now());
         self.workload.advance(at);
-        // All servers of the list are the workload's.
+        // The workload has all servers of the list.
         let _ = self.workload.change_server(&id, action);
         self.server_history.push(workload::ServerChange { at, server: id, action });
     }
 
-    /// The list has told coordinators of servers.
+    /// Records that coordinators were notified of changes of servers.
     pub fn apply_notices(&mut self, notices: &[Notice]) {
         for notice in notices {
             let id = server_id(notice.server);
@@ -279,19 +279,19 @@
         }
     }
 
-    /// Time limits of a coordinator's proxies wait for so long from now on.
+    /// Suspends the time limits of a coordinator's proxies for a span from now on.
     pub fn hold_off_limits(&mut self, coordinator: usize, span: Duration) {
         let now = self.now();
         self.workload.advance(now);
         let _ = self.workload.hold_off_limits(coordinator, span);
     }
 
-    /// Calls of a coordinator go wrong for so long.
+    /// Makes calls of a coordinator fail for a span.
     pub fn fail_calls(&mut self, coordinator: usize, fault: Overlay, span: Duration) {
         self.call_faults.push(CallFault { coordinator, fault, until: Instant::now() + span });
     }
 
-    /// What becomes of a coordinator's next call.
+    /// Draws the outcome of a coordinator's next call.
     pub fn draw_call_outcome(&mut self, coordinator: usize) -> CallOutcome {
         if self.day_start.is_none() {
             return CallOutcome::Throttled;
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Carries out the orders of one call up to the first that can't be used; how many were.
+    /// Executes the orders of one call up to the first invalid one; returns how many were executed.
     pub fn apply(&mut self, coordinator: usize, texts: &[&str]) -> usize {
         let now = self.now();
         self.workload.advance(now);
@@ -335,44 +335,44 @@
         is_dropped || self.workload.apply(coordinator, &order).is_ok()
     }
 
-    /// A stream of a coordinator's news opens, and begins with what stands.
+    /// Opens an event stream of a coordinator; it begins with the proxies that are joined.
     pub fn open_stream(&mut self, coordinator: usize) -> u64 {
         let initial_events =
             self.joined(coordinator).into_iter().map(|proxy| self.attach_event(proxy)).collect();
         self.event_streams[coordinator].open(initial_events)
     }
 
-    /// What a stream has to tell; nothing: it is over.
+    /// Takes the queued events of a stream; returns `None` if it is closed.
     pub fn take_events(&mut self, coordinator: usize, stream: u64) -> Option<Vec<String>> {
         self.event_streams[coordinator].take(stream)
     }
 
-    /// A stream has ended.
+    /// Closes a stream.
     pub fn close_stream(&mut self, coordinator: usize, stream: u64) {
         self.event_streams[coordinator].close(stream);
     }
 
-    /// What a zone's collector passes on to a coordinator.
+    /// Takes the reports that a zone's collector forwards to a coordinator.
     pub fn take_reports(&mut self, coordinator: usize, zone: usize) -> String {
         self.reports.take(coordinator, zone)
     }
 
-    /// The coordinator that a proxy was joined to then, if any.
+    /// The coordinator that a proxy was joined to at a time, if any.
     pub fn joined_at(&self, proxy: u16, at: Duration) -> Option<usize> {
         let join_history = &self.join_history[usize::from(proxy)];
         join_history.iter().rev().find(|(since, _)| *since <= at).and_then(|(_, coordinator)| *coordinator)
     }
 
-    /// What became of the day so far.
+    /// The summary of the day so far.
     pub fn summary(&self) -> Summary {
         self.workload.summary()
     }
 
-    /// The same day under perfect late sight.
+    /// The same day under a policy that sees the true state with a delay.
     pub fn reference(&self) -> Summary {
         let reference =
             Workload::reference(&self.workload_settings, self.seed, &self.server_history, self.now());
-        // All servers of the history are the workload's.
+        // The workload has all servers of the history.
         reference.unwrap_or_default()
     }
 }
--- a/crates/craneknot-rehearsal/src/trial/judge.rs
+++ b/crates/craneknot-rehearsal/src/trial/judge.rs
@@ -1,4 +1,4 @@
-//! Judges by due times what the peers of the coordinators saw, and tells what was active at the time.
+//! Judges by due times what the peers of the coordinators observed, and reports the faults active at the time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -9,15 +9,15 @@
 use super::timeline::Timeline;
 use crate::soak::coverage::MachineLateness;
 
-/// A process that runs answers what it is asked within.
+/// A running process answers requests within this time.
 pub const ANSWER_WITHIN: Duration = Duration::from_millis(500);
-/// A process is ready within so long of its start.
+/// A process is ready within this time of its start.
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A mark is acknowledged once a full channel is drained and the longest way is over.
+/// A mark is acknowledged within this time: draining a full channel and the longest transit, with a reserve.
 pub const MARK_WITHIN: Duration = Duration::from_millis(2_000 + 450 + 300);
-const MAX_FINDINGS: usize = 200; // enough to find causes
+const MAX_FINDINGS: usize = 200; // enough to find the causes
 
-/// What was asked of a coordinator, or came to it.
+/// The kind of request to a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Asked {
@@ -28,80 +28,80 @@
     Mark,
 }
 
-/// What became of something that had a due time.
+/// The outcome of a request that had a due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It came.
+    /// The answer arrived.
     Came,
-    /// The connection ended without it.
+    /// The connection ended without an answer.
     Closed,
-    /// Nothing came for as long as the peer waited.
+    /// No answer arrived for as long as the peer waited.
     Never,
     /// No connection was made.
     Refused,
 }
 
-/// What a broken rule belongs to.
+/// The category of a broken rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reading {
-    /// Proxies without a line, drains, cold servers, the channel.
+    /// Proxies with no line, drains, cold servers, the channel.
     Lines,
     /// Operations answered late or never.
     Operations,
-    /// Heartbeats, rejects and marks.
+    /// Heartbeats, rejections and marks.
     Control,
-    /// Starts and unexpected ends of processes.
+    /// Starts and unexpected exits of processes.
     Processes,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
-    /// Since the trial began.
+    /// Since the start of the day, in seconds.
     pub second: f64,
     pub reading: Reading,
-    /// Whom it belongs to; nothing: no coordinator in particular.
+    /// The coordinator concerned; `None` if no particular one is.
     pub coordinator: Option<usize>,
     /// The number of the coordinator's process.
     pub process: Option<usize>,
     pub what: String,
     /// The faults that were active then.
     pub active: Vec<String>,
-    /// How late the judge's own machine was over the same span.
+    /// Scheduling delay of the judge's own machine over the same span.
     pub machine_late_ms: u64,
-    /// It would have kept the rule but for what the machine was late.
+    /// The rule would have been kept without the scheduling delay of the machine.
     pub by_machine: bool,
 }
 
-/// Figures of one kind of question.
+/// Counts of one kind of request.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Tally {
     pub asked: u64,
     /// Answered after the due time.
     pub late: u64,
-    /// Of those: in time, but for what the judge's own machine was late.
+    /// Of the late ones: would have been in time without the scheduling delay of the judge's own machine.
     pub late_by_machine: u64,
     pub lost: u64,
-    /// Not judged: its process was ended, stopped or cut off meanwhile, or not ready.
+    /// Not judged: the process was terminated, stopped or disconnected meanwhile, or not ready.
     pub excused: u64,
     pub slowest_ms: u64,
 }
 
-/// A moment, and how late the machine had been by then.
+/// A point in time, and the total scheduling delay of the machine by then.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
     pub at: Instant,
     lateness: Duration,
 }
 
-/// Something that was asked of one process.
+/// A request to one process.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub asked: Asked,
     pub coordinator: usize,
     pub process: usize,
-    /// When its connection was opened.
+    /// When the connection was opened.
     pub opened: Instant,
     pub sent: Moment,
     pub due: Duration,
@@ -109,7 +109,7 @@
 
 #[derive(Default)]
 struct Observations {
-    /// How late the machine had been by when, oldest first.
+    /// Samples of the total scheduling delay of the machine, oldest first.
     samples: Vec<Moment>,
     tallies: BTreeMap<Asked, Tally>,
     findings: Vec<Finding>,
@@ -124,27 +124,27 @@
 }
 
 impl Judge {
-    /// Judges by a timeline.
+    /// Creates a judge that uses a timeline.
     pub fn new(timeline: Arc<Timeline>) -> Self {
         Judge { timeline, lateness: MachineLateness::measure(), observations: Mutex::default() }
     }
 
-    /// Now.
+    /// The present time, with the scheduling delay by now.
     pub fn moment(&self) -> Moment {
         Moment { at: Instant::now(), lateness: self.lateness.total() }
     }
 
-    /// How late the machine has been since.
+    /// The scheduling delay of the machine since a moment.
     pub fn machine_lateness_since(&self, moment: Moment) -> Duration {
         self.lateness.total().saturating_sub(moment.lateness)
     }
 
-    /// How late the machine has been in all.
+    /// The total scheduling delay of the machine.
     pub fn machine_late(&self) -> Duration {
         self.lateness.total()
     }
 
-    /// A rule is broken by a process, from a moment until now.
+    /// Reports that a process has broken a rule, from a moment until now.
     pub fn report_violation(
         &self,
         reading: Reading,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A rule was broken over a span that lies behind.
+    /// Reports that a rule was broken over a past span.
     pub fn report_past_violation(
         &self,
         reading: Reading,
@@ -207,13 +207,13 @@
         }
     }
 
-    /// Notes how late the machine has been by now.
+    /// Records the total scheduling delay of the machine by now.
     pub fn sample(&self) {
         let moment = self.moment();
         self.observations.lock().unwrap().samples.push(moment);
     }
 
-    /// How late the machine was over a span, as far as it was sampled.
+    /// The scheduling delay of the machine over a span, as far as it was sampled.
     fn machine_lateness_between(&self, from: Instant, until: Instant) -> Duration {
         let observations = self.observations.lock().unwrap();
         let by = |at: Instant| {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Judges what became of a question.
+    /// Judges the outcome of a request.
     pub fn judge_answer(&self, request: Request, answer: Answer) {
         let took = request.sent.at.elapsed();
         let is_late = took > request.due;
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Nothing is owed by a process that was not ready yet, or that was killed, stopped or cut off before the due time;
-    /// nor on a connection that was dialled after SIGTERM, if it was refused or the process has ended by itself.
+    /// Whether a missing or late answer is excused: the process was not ready yet, or was killed, stopped or disconnected
+    /// before the due time; or the connection was opened after SIGTERM, and was refused or the process has exited.
     fn is_excused(&self, request: &Request, answer: Answer) -> bool {
         let processes = self.timeline.processes(request.coordinator);
         let Some(process) = processes.get(request.process) else { return true };
@@ -294,7 +294,7 @@
         !was_ready || was_killed || came_after_signal && has_ended || !was_reachable
     }
 
-    /// The tallies and findings so far, and how many findings were not kept.
+    /// The tallies and findings so far, and the number of findings that were dropped.
     pub fn results(&self) -> (BTreeMap<Asked, Tally>, Vec<Finding>, u64) {
         let observations = self.observations.lock().unwrap();
         (observations.tallies.clone(), observations.findings.clone(), observations.dropped)
--- a/crates/craneknot-rehearsal/src/trial/mod.rs
+++ b/crates/craneknot-rehearsal/src/trial/mod.rs
@@ -1,10 +1,10 @@
-//! A trial of `craneknot node`: real processes on loopback among stand-ins, a scripted day of faults, and a judge that
-//! shares nothing with what it judges.
+//! A trial of `craneknot node`: real processes on loopback among simulated peers, a scripted day of faults, and a judge
+//! that shares no code with the program under test.
 //!
-//! [`script`] draws the day from a seed, with [`release`] and [`overlay`]; [`stage`] carries it out on [`process`]es and
-//! stand-ins. [`fleet`] holds the proxies and the workload, [`registry`] the list of servers; [`relay`] and [`discovery`]
-//! put them on sockets, [`collectors`] pass reports on. [`clients`] and [`bad_clients`] ask the coordinators. [`judge`]
-//! goes by due times and the [`timeline`]; [`report`] is what came of it.
+//! [`script`] generates the day from a seed, with [`release`] and [`overlay`]; [`script_runner`] executes it on
+//! [`process`]es and simulated peers. [`fleet`] holds the proxies and the workload, [`registry`] the list of servers;
+//! [`relay`] and [`discovery`] serve them over sockets, [`collectors`] forward reports. [`clients`] and [`bad_clients`]
+//! send requests to the coordinators. [`judge`] checks due times against the [`timeline`]; [`report`] holds the results.
 
 pub mod bad_clients;
 pub mod clients;
--- a/crates/craneknot-rehearsal/src/trial/orders.rs
+++ b/crates/craneknot-rehearsal/src/trial/orders.rs
@@ -1,9 +1,9 @@
-//! Orders in the relay's words, read as the workload takes them.
+//! Parses orders of the relay's text form into those of the workload.
 
 use super::deployment::CLASSES;
 use crate::workload::Order;
 
-/// Reads one order; nothing: it is none.
+/// Parses one order; returns `None` if the text is not a valid order.
 pub fn parse_order(text: &str) -> Option<Order> {
     let fields: Vec<&str> = text.split(',').collect();
     match fields[..] {
@@ -35,7 +35,7 @@
     text.parse().ok().filter(|amount: &f64| amount.is_finite() && *amount >= 0.0)
 }
 
-/// The number of a table; `*` stands for all.
+/// Parses the number of a table; `*` means all tables.
 fn parse_table(text: &str) -> Option<Option<u16>> {
     if text == "*" {
         return Some(None);
@@ -43,7 +43,7 @@
     text.parse().ok().map(Some)
 }
 
-/// Places of classes; `*` stands for all, which the workload takes as none named.
+/// Parses names of classes into indices; `*` means all classes, which the workload expects as an empty list.
 fn parse_classes(text: &str) -> Option<Vec<usize>> {
     if text == "*" {
         return Some(Vec::new());
--- a/crates/craneknot-rehearsal/src/trial/overlay.rs
+++ b/crates/craneknot-rehearsal/src/trial/overlay.rs
@@ -1,4 +1,4 @@
-//! Faults that are laid over a script, drawn by seed: of processes, of the relay, of the list, of the machine.
+//! Faults that are added to a script, drawn by seed: of processes, the relay, the list of servers and the machine.
 
 use std::fmt;
 use std::ops::Range;
@@ -11,38 +11,38 @@
 use super::deployment::COORDINATORS;
 use super::script::{Planned, Step, LOADED};
 
-const WINDOWS: Range<usize> = 2..6; // of one fault in a day
-const WINDOW_MILLIS: Range<u64> = 800..4_000; // how long one lasts
-const LOADED_PROBABILITY: f64 = 0.5; // that a fault strikes the coordinator that gets all proxies
+const WINDOWS: Range<usize> = 2..6; // number of occurrences of one fault in a day
+const WINDOW_MILLIS: Range<u64> = 800..4_000; // length of one occurrence
+const LOADED_PROBABILITY: f64 = 0.5; // that a fault affects the coordinator that gets all proxies
 
-/// A fault that can be laid over any script.
+/// A fault that can be added to any script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Overlay {
-    /// Nobody reads the log of a coordinator, and the pipe is full.
+    /// The log of a coordinator is a full pipe without a reader.
     LogUnread,
-    /// The wall clock is an hour off in every process but the first of a coordinator.
+    /// The wall clock is off by an hour in every process of a coordinator except the first.
     ClockStep,
-    /// System calls of a coordinator fail now and then.
+    /// System calls of a coordinator fail occasionally.
     SystemCalls,
-    /// The relay turns calls away.
+    /// The relay rejects calls.
     RelayThrottled,
-    /// The relay breaks calls after their last byte.
+    /// The relay resets connections after the last byte of a call.
     RelayBroken,
-    /// The relay's answers cannot be read.
+    /// The relay's answers are truncated and can't be parsed.
     RelaySpoilt,
-    /// The list comes late.
+    /// Discovery delivers the list late.
     ListsLate,
-    /// The list comes whole in place of changes.
+    /// Discovery delivers the full list in place of changes.
     ListsWhole,
-    /// Discovery answers nothing.
+    /// Discovery doesn't answer.
     ListsSilent,
-    /// A coordinator gets a quarter of a core.
+    /// A coordinator gets a quarter of a CPU core.
     QuarterCore,
-    /// Other work keeps the machine busy.
+    /// Other threads keep the machine busy.
     BusyNeighbours,
 }
 
-/// All of them, by the names of the command line.
+/// All faults with their command-line names.
 pub const ALL: [(&str, Overlay); 11] = [
     ("log-unread", Overlay::LogUnread),
     ("clock-step", Overlay::ClockStep),
@@ -57,14 +57,14 @@
     ("busy-neighbours", Overlay::BusyNeighbours),
 ];
 
-/// A name that is no fault's.
+/// The error for an unknown fault name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownOverlay(pub String);
 
 impl fmt::Display for UnknownOverlay {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let names: Vec<&str> = ALL.iter().map(|(name, _)| *name).collect();
-        write!(formatter, "{:?} is no fault; there are {}", self.0, names.join(", "))
+        write!(formatter, "unknown fault {:?}; expected one of {}", self.0, names.join(", "))
     }
 }
 
@@ -87,12 +87,12 @@
 }
 
 impl Overlay {
-    /// Whether it holds for a coordinator all day.
+    /// Whether the fault affects a coordinator for the whole day.
     pub fn lasts_all_day(self) -> bool {
         matches!(self, Overlay::LogUnread | Overlay::ClockStep | Overlay::SystemCalls | Overlay::QuarterCore)
     }
 
-    /// Draws when it strikes, and whom.
+    /// Draws the times of the fault and the coordinators affected.
     pub fn draw(self, rng: &mut Pcg32, length: Duration) -> Vec<Planned> {
         let day_millis = length.as_millis() as u64;
         if self.lasts_all_day() {
--- a/crates/craneknot-rehearsal/src/trial/process.rs
+++ b/crates/craneknot-rehearsal/src/trial/process.rs
@@ -1,4 +1,4 @@
-//! The processes of one coordinator: configuration, start, signals, and what becomes of their log.
+//! The processes of one coordinator: configuration, start, signals and log output.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -15,28 +15,28 @@
 use super::timeline::Timeline;
 use crate::soak::fault_proxy::FaultProxy;
 
-const CLOCK_STEP_SECONDS: i64 = 3_600; // s; how far a stepped clock is off
-const FIRST_LOOPBACK_SUBNET: u8 = 16; // second part of the loopback address of the first coordinator
-const PIPE_BYTES: usize = 64 * 1024; // that a pipe holds by default
+const CLOCK_STEP_SECONDS: i64 = 3_600; // offset of a stepped clock
+const FIRST_LOOPBACK_SUBNET: u8 = 16; // second octet of the loopback address of the first coordinator
+const PIPE_BYTES: usize = 64 * 1024; // default capacity of a pipe
 const FAULT_RULES: &str = "accept4=ECONNABORTED@0.02;accept4=ENFILE@0.02;socket=ENOBUFS@0.05;connect=ENETUNREACH@0.02;\
                            recv=EINTR@0.05;recv=SHORT@0.05;writev=EINTR@0.05;writev=SHORT@0.05;writev=ENOBUFS@0.02;\
                            epoll_ctl=ENOMEM@0.02;epoll_wait=EINTR@0.05";
 
-/// What all processes of a coordinator are started with.
+/// Settings with which all processes of a coordinator are started.
 #[derive(Clone, Debug)]
 pub struct LaunchSettings {
     pub program: PathBuf,
     pub folder: PathBuf,
-    /// Of the trial.
+    /// The seed of the trial.
     pub seed: u64,
-    /// Preloaded where a fault needs it.
+    /// The library to preload, if a fault needs it.
     pub fault_library: Option<PathBuf>,
     pub log_unread: bool,
     pub clock_step: bool,
     pub system_calls: bool,
 }
 
-/// A coordinator through all of its processes.
+/// A coordinator with its successive processes.
 pub struct Coordinator {
     number: usize,
     address: SocketAddr,
@@ -46,12 +46,12 @@
     registry: Arc<Mutex<Registry>>,
     timeline: Arc<Timeline>,
     child: Option<Child>,
-    /// The reading end of the log that nobody reads.
+    /// The read end of a log pipe, kept open but never read.
     unread_log: Option<io::PipeReader>,
 }
 
-/// A loopback address of this trial's own, with a port that the system chose: nobody else binds there, so that it stays
-/// free between two processes of a coordinator.
+/// Chooses a loopback address unique to this trial, with a port assigned by the system. No other process binds to it, so
+/// that it stays free between two processes of a coordinator.
 fn reserve_address(number: usize) -> io::Result<SocketAddr> {
     let [.., third, fourth] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, FIRST_LOOPBACK_SUBNET + number as u8, third, fourth);
@@ -59,7 +59,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator that is not started yet.
+    /// Creates a coordinator that has not been started.
     pub fn new(
         number: usize,
         launch_settings: LaunchSettings,
@@ -82,12 +82,12 @@
         })
     }
 
-    /// Where its processes listen.
+    /// The address on which its processes listen.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The proxies in front of relay and discovery.
+    /// The fault proxies in front of relay and discovery.
     pub fn upstreams(&self) -> [&FaultProxy; 2] {
         [&self.relay, &self.discovery]
     }
@@ -110,7 +110,7 @@
         })
     }
 
-    /// The number that the next process gets.
+    /// The number of the next process.
     fn process_number(&self) -> usize {
         self.timeline.processes(self.number).len()
     }
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Where a process logs: a file of its own, or a pipe that is full and that nobody reads.
+    /// The log output of a process: a file of its own, or a full pipe without a reader.
     fn log_sink(&mut self) -> io::Result<Stdio> {
         if !self.launch_settings.log_unread {
             let path = self.path(&format!("{}.log", self.process_number()));
@@ -150,17 +150,17 @@
     /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // One that has ended since is judged by its end.
+            // An error means that the process has exited; its exit is judged separately.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Whether a process was started that is not known to have ended.
+    /// Whether a process was started that is not known to have exited.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Whether the process has ended by itself, and how; told once.
+    /// Returns the exit status once after the process has exited by itself.
     pub fn take_exit_status(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -168,7 +168,7 @@
         Some(status.to_string())
     }
 
-    /// Kills the process if it still runs.
+    /// Kills the process if it is still running.
     pub fn kill(&mut self) {
         let Some(mut child) = self.child.take() else { return };
         if matches!(child.try_wait(), Ok(None)) {
--- a/crates/craneknot-rehearsal/src/trial/process_monitor.rs
+++ b/crates/craneknot-rehearsal/src/trial/process_monitor.rs
@@ -1,4 +1,4 @@
-//! Watches the processes of a trial: who has ended by itself, and who is not ready in time.
+//! Monitors the processes of a trial for unexpected exits and late starts.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -6,11 +6,11 @@
 use super::judge::{Judge, Reading, READY_WITHIN};
 use super::script_runner::ScriptRunner;
 
-const POLL_INTERVAL: Duration = Duration::from_millis(20); // between looks
+const POLL_INTERVAL: Duration = Duration::from_millis(20); // between checks
 
-const LIMITS_HELD_AFTER_READY: Duration = Duration::from_secs(1); // in which nobody is late
+const LIMITS_HELD_AFTER_READY: Duration = Duration::from_secs(1); // without time limits
 
-/// Watches until the trial is over.
+/// Monitors the processes until the trial is finished.
 pub fn monitor(runner: &ScriptRunner, judge: &Judge) {
     let mut reported_late = vec![None; runner.coordinators.len()];
     let mut seen_ready = vec![None; runner.coordinators.len()];
@@ -27,7 +27,7 @@
     }
 }
 
-/// Time limits begin no sooner than so long after a process's first answer.
+/// Suspends time limits until a delay after a process's first answer.
 fn hold_limits_after_ready(runner: &ScriptRunner, number: usize, last_ready: &mut Option<usize>) {
     let processes = runner.timeline.processes(number);
     let is_ready = processes.last().is_some_and(|process| process.ready.is_some());
@@ -38,7 +38,7 @@
     }
 }
 
-/// When the processes that run were started.
+/// The start times of the running processes.
 fn running_since(runner: &ScriptRunner) -> Vec<Option<Instant>> {
     let start_time = |number| {
         let last = runner.timeline.processes(number).last().copied();
@@ -47,7 +47,7 @@
     (0..runner.coordinators.len()).map(start_time).collect()
 }
 
-/// A process that ends though nobody asked it to has crashed.
+/// Reports a process that exited without SIGTERM as a crash.
 fn check_exit(runner: &ScriptRunner, judge: &Judge, number: usize) {
     let Some(status) = runner.coordinators[number].lock().unwrap().take_exit_status() else { return };
     runner.fleet.lock().unwrap().coordinator_ended(number);
@@ -59,7 +59,7 @@
             number,
             process,
             judge.moment(),
-            format!("ended by itself: {status}"),
+            format!("exited unexpectedly: {status}"),
         );
     }
 }
--- a/crates/craneknot-rehearsal/src/trial/registry.rs
+++ b/crates/craneknot-rehearsal/src/trial/registry.rs
@@ -1,4 +1,4 @@
-//! The list of servers as discovery holds it, and what each coordinator has been told of it.
+//! Discovery's list of servers, and the versions that each coordinator has been notified of.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -6,23 +6,23 @@
 use super::deployment::{server_id, zone_of_server, COORDINATORS, SERVERS, ZONES};
 use super::release::{Phase, ServerChange};
 
-const LAST_RELEASE: Duration = Duration::from_secs(1_800); // before the trial: all servers started then
-/// By then whatever discovery has to tell counts as told, whether it arrived or not.
+const LAST_RELEASE: Duration = Duration::from_secs(1_800); // before the trial; the start time of all servers
+/// After this time a coordinator counts as notified of a change, whether the notification arrived or not.
 pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// One server as listed.
+/// The entry of one server in the list.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub phase: Phase,
-    /// The version of the list that brought this.
+    /// The version of the list with the last change of this entry.
     pub version: u64,
-    /// When it last started, in milliseconds since 1970.
+    /// When the server last started, in milliseconds since 1970.
     pub started: u64,
-    /// When the list changed so.
+    /// When the entry last changed.
     pub changed: Option<Instant>,
 }
 
-/// How discovery answers a coordinator for now.
+/// How discovery currently answers a coordinator.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscoveryBehaviour {
     pub delay: Duration,
@@ -30,7 +30,7 @@
     pub silent: bool,
 }
 
-/// News of a server for one coordinator.
+/// A notification of one coordinator about the state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Notice {
     pub coordinator: usize,
@@ -38,15 +38,16 @@
     pub is_ready: bool,
 }
 
-/// The list.
+/// The list of servers, with the state of each coordinator.
 pub struct Registry {
     entries: Vec<Entry>,
     version: u64,
-    /// By coordinator and server: the version that it counts as told, and whether it was written to it.
+    /// By coordinator and server: the version that the coordinator counts as notified of, whether it was written to it or
+    /// not.
     notified: Vec<Vec<u64>>,
-    /// By coordinator: the list as it was last written to it.
+    /// By coordinator: the list as last written to it.
     written: Vec<Vec<Entry>>,
-    /// By coordinator.
+    /// By coordinator: how discovery answers it.
     pub behaviours: Vec<DiscoveryBehaviour>,
 }
 
@@ -100,12 +101,12 @@
         self.version
     }
 
-    /// The servers as listed.
+    /// The entries of the list.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Servers change in one version; those that are ready started at that time, in milliseconds since 1970.
+    /// Changes servers in one version; those that are ready started at the given time, in milliseconds since 1970.
     pub fn change(&mut self, changes: &[ServerChange], started: u64) {
         self.version += 1;
         for change in changes {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The list as JSON: whole, or what changed after a version.
+    /// The list as JSON: in full, or the changes after a version.
     pub fn list(&self, after: Option<u64>) -> String {
         let listed = self.entries.iter().enumerate().filter(|(_, entry)| match after {
             Some(version) => entry.version > version,
@@ -128,7 +129,7 @@
         list_json(self.version, after.is_none(), listed)
     }
 
-    /// The list as JSON, as a coordinator last had it.
+    /// The list as last written to a coordinator, as JSON.
     pub fn last_written_list(&self, coordinator: usize) -> String {
         let entries = &self.written[coordinator];
         let version = entries.iter().map(|entry| entry.version).max().unwrap_or(0);
@@ -136,7 +137,7 @@
         list_json(version, true, listed)
     }
 
-    /// The list as it stands now was written to a coordinator; what is news to it.
+    /// Records that the list was written to a coordinator; returns the changes that were new to it.
     pub fn record_written(&mut self, coordinator: usize, entries: Vec<Entry>) -> Vec<Notice> {
         let notices = entries.iter().enumerate().filter_map(|(server, entry)| {
             let notified = &mut self.notified[coordinator][server];
@@ -149,7 +150,8 @@
         notices
     }
 
-    /// What counts as told by now though it was never written, to coordinators that run since those times.
+    /// Returns the changes that coordinators, running since the given times, count as notified of though they were never
+    /// written.
     pub fn take_overdue(&mut self, running_since: &[Option<Instant>]) -> Vec<Notice> {
         let mut notices = Vec::new();
         for (coordinator, notified) in self.notified.iter_mut().enumerate() {
@@ -166,7 +168,7 @@
         notices
     }
 
-    /// The places of servers, by identifier.
+    /// The indices of servers, by identifier.
     pub fn server_indices() -> BTreeMap<String, usize> {
         (0..SERVERS).map(|server| (server_id(server), server)).collect()
     }
--- a/crates/craneknot-rehearsal/src/trial/relay.rs
+++ b/crates/craneknot-rehearsal/src/trial/relay.rs
@@ -1,4 +1,4 @@
-//! The relay on sockets: calls that carry orders, streams of news, and the ways in which a call goes wrong.
+//! The relay over sockets: calls with orders, event streams, and failures of calls.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -12,42 +12,42 @@
 use super::timeline::Timeline;
 use crate::soak::http::{self, read_request, respond};
 
-const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(5); // between looks for news
-const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1); // between signs of life
+const EVENT_POLL_INTERVAL: Duration = Duration::from_millis(5); // between checks for new events
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1); // between keepalive comments on an idle stream
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It is carried out and answered.
+    /// It is executed and answered.
     Answered,
-    /// It is turned away.
+    /// It is rejected.
     Throttled,
-    /// It is carried out or not, and the connection breaks.
+    /// It is executed or not, and the connection is reset.
     Broken { carried_out: bool },
-    /// It is carried out or not, and the answer cannot be read.
+    /// It is executed or not, and the answer is truncated.
     Spoilt { carried_out: bool },
 }
 
-/// Serves one coordinator; gives the address.
+/// Serves one coordinator; returns the address.
 pub fn serve(fleet: SharedFleet, coordinator: usize, log: CallLog) -> io::Result<SocketAddr> {
     http::serve(move |stream| handle_connection(&fleet, coordinator, &log, stream))
 }
 
-/// Keeps every call with its time and outcome.
+/// The log of all calls with their times and outcomes.
 pub struct CallLog {
     timeline: Arc<Timeline>,
     file: Mutex<File>,
 }
 
 impl CallLog {
-    /// Writes to a new file.
+    /// Creates a log in a new file.
     pub fn create(path: &Path, timeline: Arc<Timeline>) -> io::Result<Self> {
         Ok(CallLog { timeline, file: Mutex::new(File::create(path)?) })
     }
 
     fn record(&self, outcome: CallOutcome, orders: &str) {
         let second = self.timeline.second(Instant::now());
-        // A trial goes on without its log.
+        // A failure to write the log doesn't stop the trial.
         let _ = writeln!(self.file.lock().unwrap(), "{second:.3} {outcome:?} {orders}");
     }
 }
@@ -82,7 +82,7 @@
     )
 }
 
-/// Carries out a call as the trial has it; an error ends the connection.
+/// Handles a call with the outcome that the trial draws; an error ends the connection.
 fn handle_call(
     fleet: &SharedFleet,
     coordinator: usize,
@@ -116,7 +116,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Tells news until the connection ends.
+/// Sends events until the connection ends.
 fn stream_events(fleet: &SharedFleet, coordinator: usize, stream: &mut TcpStream) {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     let id = fleet.lock().unwrap().open_stream(coordinator);
--- a/crates/craneknot-rehearsal/src/trial/release.rs
+++ b/crates/craneknot-rehearsal/src/trial/release.rs
@@ -1,4 +1,4 @@
-//! A release in place without end: servers restart under their identifiers, several in one version of the list.
+//! A continuous in-place release: servers restart under the same identifiers, several in one version of the list.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use super::script::{Planned, Step};
 
 const STEP_MILLIS: Range<u64> = 610..641; // between two versions of the list
-const MAX_RESTARTS_PER_VERSION: usize = 2; // that begin with one version
-const DRAIN_STEPS: Range<usize> = 3..6; // versions that a server drains for
-const ABSENT_STEPS: Range<usize> = 1..4; // versions that it is gone for
+const MAX_RESTARTS_PER_VERSION: usize = 2; // restarts that begin in one version
+const DRAIN_STEPS: Range<usize> = 3..6; // versions for which a server drains
+const ABSENT_STEPS: Range<usize> = 1..4; // versions for which it is removed
 
-/// What becomes of a server.
+/// The state that a server changes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has started just now.
+    /// It has just started.
     Ready,
     Draining,
     Gone,
 }
 
-/// A server's change.
+/// A change of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerChange {
     pub server: usize,
     pub phase: Phase,
 }
 
-/// The forms in which a restart shows in the list.
+/// The ways in which a restart appears in the list.
 #[derive(Clone, Copy, Debug)]
 enum RestartForm {
     DrainingGoneReady,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The phases of a restart that begins with this version, by version.
+    /// The phases of a restart that begins in this version, with their versions.
     fn phases(self, rng: &mut Pcg32, version: usize) -> Vec<(usize, Phase)> {
         let drained = version + rng.random_range(DRAIN_STEPS);
         let restarted = drained + rng.random_range(ABSENT_STEPS);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Draws the versions of a release. Servers of a lost zone are left alone while it is lost.
+/// Draws the versions of a release. Servers of the lost zone are not restarted while it is lost.
 pub fn draw(rng: &mut Pcg32, from: Duration, until: Duration, lost: Option<Range<Duration>>) -> Vec<Planned> {
     let times = version_times(rng, from, until);
     let mut busy_until = vec![0; SERVERS];
--- a/crates/craneknot-rehearsal/src/trial/report.rs
+++ b/crates/craneknot-rehearsal/src/trial/report.rs
@@ -1,4 +1,4 @@
-//! What a trial found: figures for each reading, and each broken rule with its time, place and surroundings.
+//! The results of a trial: figures for each category, and each broken rule with its time, coordinator and active faults.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -14,8 +14,8 @@
 use super::timeline::Timeline;
 use crate::workload::{Reason, Summary, Window};
 
-const OPERATIONS_WINDOW: Duration = Duration::from_secs(5); // of the workload's counts
-/// Operations lost beyond those of the reference that pass, as a share of all: the platform states no figure.
+const OPERATIONS_WINDOW: Duration = Duration::from_secs(5); // of the counts of the workload
+/// Operations that may be lost in addition to those of the reference, as a share of all; the platform states no limit.
 const LOST_BEYOND_REFERENCE: f64 = 0.001;
 
 /// One start of a process.
@@ -23,18 +23,18 @@
 pub struct Start {
     pub coordinator: usize,
     pub process: usize,
-    /// Since the day began; less than nothing: before it.
+    /// Since the start of the day, in seconds; negative before it.
     pub second: f64,
-    /// From the start to the first answer.
+    /// From the start of the process to its first answer.
     pub ready_after_ms: Option<u64>,
-    /// From SIGTERM to the end.
+    /// From SIGTERM to the exit.
     pub ended_after_ms: Option<u64>,
 }
 
-/// Reading A: what proxies held.
+/// Category A: the lines that proxies had.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Lines {
-    /// Lacks of a line beyond the limit.
+    /// Periods with no line that exceeded the limit.
     pub lacks_beyond: usize,
     pub longest_lack_ms: u64,
     pub drain_breaches: usize,
@@ -57,50 +57,50 @@
     pub failed: u64,
 }
 
-/// Reading B: what became of operations.
+/// Category B: the outcomes of operations.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Operations {
     pub total: Outcomes,
-    /// The same day under a policy that sees the true state late.
+    /// The same day under a policy that sees the true state with a delay.
     pub reference: Outcomes,
     /// By outcome and reason.
     pub reasons: BTreeMap<String, u64>,
     pub reference_reasons: BTreeMap<String, u64>,
-    /// Lost operations by the start of a window in seconds, beside the reference's.
+    /// Lost operations by the start of a window in seconds, followed by those of the reference.
     pub lost_by_window: Vec<(u64, u64, u64)>,
-    /// Lost operations by the window in which they came, coordinator, class and reason.
+    /// Lost operations by the window of their arrival, coordinator, class and reason.
     pub lost: Vec<LostGroup>,
 }
 
-/// Lost operations that have much in common.
+/// Lost operations of one window, coordinator, class and reason.
 #[derive(Clone, Debug, Serialize)]
 pub struct LostGroup {
-    /// Start of the window in which they came, in seconds.
+    /// Start of the window of their arrival, in seconds.
     pub second: u64,
-    /// The coordinator that their proxies were joined to; nothing: they were between two.
+    /// The coordinator that their proxies were joined to; `None` if they were joined to none.
     pub coordinator: Option<usize>,
     pub class: &'static str,
     pub reason: String,
     pub count: u64,
 }
 
-/// All of it.
+/// The whole report.
 #[derive(Clone, Debug, Serialize)]
 pub struct TrialReport {
     pub seed: u64,
     pub script: String,
     pub overlays: Vec<String>,
-    /// The steps of the script but for the release, by their seconds.
+    /// The steps of the script except those of the release, with their times in seconds.
     pub played: Vec<String>,
     pub seconds: f64,
     pub starts: Vec<Start>,
     pub lines: Lines,
     pub operations: Operations,
-    /// Reading C, by what was asked.
+    /// Category C, by kind of request.
     pub control: BTreeMap<Asked, Tally>,
     pub machine_late_ms: u64,
     pub findings: Vec<Finding>,
-    /// Findings that were not kept.
+    /// Number of findings that were dropped.
     pub findings_dropped: u64,
 }
 
@@ -121,7 +121,7 @@
 }
 
 impl Outcomes {
-    /// Answered later than half a second after their time, or never.
+    /// Operations answered more than half a second after their deadline, or never.
     pub fn lost(&self) -> u64 {
         self.later + self.never
     }
@@ -197,17 +197,19 @@
         judge.report_past_violation(Reading::Lines, Some(breach.coordinator), span, what);
     }
     for fall in summary.falls.iter().filter(|fall| fall.breaks_rule) {
-        let what =
-            format!("cold server {} fell, {:.2} of its work sent knowingly", fall.server, fall.knowing_share);
+        let what = format!(
+            "cold server {} failed under load, {:.2} of its work sent knowingly",
+            fall.server, fall.knowing_share
+        );
         judge.report_past_violation(Reading::Lines, None, (day_start + fall.at, day_start + fall.at), what);
     }
     for breach in &summary.queue_breaches {
         let span = (day_start + breach.at, day_start + breach.at);
-        let what = format!("more than {QUEUE_CAP} lines waited in the channel");
+        let what = format!("more than {QUEUE_CAP} lines were queued in the channel");
         judge.report_past_violation(Reading::Lines, Some(breach.coordinator), span, what);
     }
     if summary.unsafe_repeats > 0 {
-        let what = format!("{} repeats of what may not run twice", summary.unsafe_repeats);
+        let what = format!("{} repeats of operations that must not run twice", summary.unsafe_repeats);
         judge.report_past_violation(Reading::Lines, None, (day_start, day_start), what);
     }
 }
@@ -226,7 +228,7 @@
         lost_by_window: summary.windows.iter().enumerate().map(window).collect(),
         lost: lost_groups(summary, fleet),
     };
-    // What comes to a proxy between two coordinators is nobody's.
+    // Operations that arrive at a proxy without a coordinator are attributed to none.
     let attributed = operations.lost.iter().filter(|group| group.coordinator.is_some());
     let lost: u64 = attributed.map(|group| group.count).sum();
     let share = lost as f64 / operations.total.offered.max(1) as f64;
@@ -254,7 +256,7 @@
     groups.into_iter().map(group).collect()
 }
 
-/// Tells lost operations where more were lost than under perfect late sight.
+/// Reports lost operations of the windows in which more were lost than in the reference run.
 fn report_lost_operations(operations: &Operations, judge: &Judge) {
     let beyond = operations.lost_by_window.iter().filter(|(_, lost, reference)| lost > reference);
     let beyond: Vec<u64> = beyond.map(|(start, _, _)| *start).collect();
@@ -262,7 +264,7 @@
     for group in attributed.filter(|group| beyond.contains(&group.second)) {
         let from = judge.timeline.day_start() + Duration::from_secs(group.second);
         let LostGroup { class, reason, count, .. } = group;
-        let what = format!("{count} operations of {class} lost that came in 5 s: {reason}");
+        let what = format!("{count} operations of {class} lost that arrived within 5 s: {reason}");
         judge.report_past_violation(
             Reading::Operations,
             group.coordinator,
@@ -273,7 +275,7 @@
 }
 
 impl TrialReport {
-    /// The report of a trial that is over.
+    /// Creates the report of a finished trial.
     pub fn new(settings: &TrialSettings, day: &Day, judge: &Judge, fleet: &Fleet) -> Self {
         let summary = fleet.summary();
         let lines = judge_lines(&summary, judge);
@@ -295,12 +297,12 @@
         }
     }
 
-    /// Whether no rule was broken, but for what the judge's own machine was late.
+    /// Whether no rule was broken, apart from those broken by the scheduling delay of the judge's own machine.
     pub fn passed(&self) -> bool {
         self.findings.iter().all(|finding| finding.by_machine)
     }
 
-    /// The findings of one reading.
+    /// The number of findings in one category.
     pub fn finding_count(&self, reading: Reading) -> usize {
         self.findings.iter().filter(|finding| finding.reading == reading).count()
     }
--- a/crates/craneknot-rehearsal/src/trial/reports.rs
+++ b/crates/craneknot-rehearsal/src/trial/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of the workload in the collectors' form, until a collector passes them on.
+//! Reports of the workload in the collectors' format, queued until a collector forwards them.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,9 +8,9 @@
 use super::deployment::{CLASSES, COORDINATORS, REPORT_INTERVAL, ZONES};
 use crate::workload::{ClientReport, UpstreamReport, Workload};
 
-const MAX_PENDING_REPORTS: usize = 2_000; // reports for one coordinator and zone; older ones are dropped
+const MAX_PENDING_REPORTS: usize = 2_000; // for one coordinator and zone; older ones are dropped
 
-/// Reports that wait, by coordinator and zone.
+/// Pending reports, by coordinator and zone.
 #[derive(Default)]
 pub struct Reports {
     last_collected: Option<Instant>,
@@ -42,7 +42,7 @@
 }
 
 impl Reports {
-    /// Gathers reports once the interval is over.
+    /// Collects reports once the interval has passed.
     pub fn collect(&mut self, workload: &mut Workload) {
         if self.last_collected.is_some_and(|at| at.elapsed() < REPORT_INTERVAL) {
             return;
@@ -70,7 +70,7 @@
         pending.push_back(line);
     }
 
-    /// What waits, a line a report.
+    /// Takes the pending reports, one per line.
     pub fn take(&mut self, coordinator: usize, zone: usize) -> String {
         self.pending[coordinator][zone].drain(..).map(|line| line + "\n").collect()
     }
--- a/crates/craneknot-rehearsal/src/trial/run.rs
+++ b/crates/craneknot-rehearsal/src/trial/run.rs
@@ -1,4 +1,4 @@
-//! Raises the processes and stand-ins, plays the script, and gives the judge's report.
+//! Starts the processes and simulated peers, executes the script and returns the judge's report.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,13 +25,13 @@
 use crate::soak::schedule::NetworkFault;
 
 const HEARTBEAT_CLIENTS: u64 = 2; // of each kind, for each coordinator
-const BAD_CLIENTS: u64 = 3; // at a time, for each coordinator
+const BAD_CLIENTS: u64 = 3; // concurrently, for each coordinator
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(5); // of the workload
-const INITIAL_READY_WITHIN: Duration = Duration::from_secs(30); // of the first start of all coordinators
-const POLL_INTERVAL: Duration = Duration::from_millis(10); // while that is awaited
-const INJECTED_DELAY_MS: u64 = 700; // ms; more than any answer may take
+const INITIAL_READY_WITHIN: Duration = Duration::from_secs(30); // for the first start of all coordinators
+const POLL_INTERVAL: Duration = Duration::from_millis(10); // while waiting for the first start
+const INJECTED_DELAY_MS: u64 = 700; // longer than any answer may take
 
-/// Plays one trial.
+/// Runs one trial.
 pub fn run(settings: &TrialSettings) -> io::Result<TrialReport> {
     let day = script::draw(settings.script, settings.seed, settings.length, &settings.overlays);
     let trial = Trial::start(settings, &day)?;
@@ -54,7 +54,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Whom the faults of whole processes strike.
+/// Whether a fault affects a coordinator during the day.
 fn has_fault(day: &Day, overlay: Overlay, number: usize) -> bool {
     day.steps.iter().any(|planned| {
         matches!(planned.step, Step::Overlay { fault, coordinator, .. } if fault == overlay && coordinator == number)
@@ -115,7 +115,7 @@
                 _ => address,
             };
             let (judge, finished) = (self.judge.clone(), self.finished.clone());
-            // Every other seed has clients that use their connections for as long as a coordinator lets them.
+            // With every other seed, clients use their connections for as long as a coordinator allows.
             let leaves_on_signal = settings.seed.is_multiple_of(2);
             let target = Target { coordinator: number, address, judge, finished, leaves_on_signal };
             for client in 0..HEARTBEAT_CLIENTS {
@@ -136,7 +136,7 @@
         Ok(())
     }
 
-    /// The thread that advances the workload, and the one that watches the processes.
+    /// Starts the thread that advances the workload, and the one that monitors the processes.
     fn start_background_threads(&mut self) {
         let (fleet, finished) = (self.script_runner.fleet.clone(), self.finished.clone());
         self.tasks.push(thread::spawn(move || {
--- a/crates/craneknot-rehearsal/src/trial/script.rs
+++ b/crates/craneknot-rehearsal/src/trial/script.rs
@@ -1,4 +1,4 @@
-//! What happens when on a trial's day, drawn from one seed: the same seed gives the same script.
+//! The script of a trial's day, drawn from a seed: the same seed gives the same script.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use super::overlay::Overlay;
 use super::release::{self, ServerChange};
 
-/// How long the day of the incident lasts; another length scales its times.
+/// Length of the day of the incident; with another length, its times are scaled.
 pub const INCIDENT_LENGTH: Duration = Duration::from_secs(63);
 
-const BACK_AFTER: u64 = 500; // ms; from the end of a process to the next, whatever the scale
-const KILL_AFTER_TERMINATE: u64 = 700; // ms; the platform's earliest
-const MOVE_WITHIN: u64 = 1_400; // ms; in which the proxies of a coordinator that is back come to it
+const BACK_AFTER: u64 = 500; // ms; from the end of a process to the start of the next, regardless of the scale
+const KILL_AFTER_TERMINATE: u64 = 700; // ms; the earliest that the platform sends SIGKILL
+const MOVE_WITHIN: u64 = 1_400; // ms; within which proxies move to a coordinator that has returned
 
-/// The coordinator that is absent while another comes back.
+/// The coordinator that is absent while another one returns.
 pub const ABSENT: usize = 0;
-/// The coordinator that is lost with a zone.
+/// The coordinator that is killed together with the loss of a zone.
 pub const LOST_WITH_ZONE: usize = 1;
-/// The coordinator that is killed first, gets all proxies, and is restarted as planned.
+/// The coordinator that is killed first, gets all proxies, and undergoes the planned restart.
 pub const LOADED: usize = 2;
 
-/// How a coordinator is absent.
+/// The way in which a coordinator is absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
     Killed,
@@ -34,48 +34,48 @@
 /// One step of the day.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// SIGKILL.
+    /// Sends SIGKILL to a coordinator.
     Kill(usize),
-    /// A new process.
+    /// Starts a new process of a coordinator.
     Start(usize),
-    /// SIGTERM; SIGKILL and a new process follow by themselves, so many milliseconds later.
+    /// Sends SIGTERM; SIGKILL and the start of a new process follow after the given milliseconds.
     Restart { coordinator: usize, kill_after: u64, back_after: u64 },
-    /// A coordinator is stopped or cut off.
+    /// A coordinator is killed, stopped or disconnected.
     Leave(usize, Absence),
-    /// It is back.
+    /// The coordinator returns from its absence.
     Return(usize, Absence),
-    /// All servers of a zone are lost: their processes end, or their machines fall silent.
+    /// All servers of a zone are lost: their processes end, or their machines stop responding.
     LoseZone { zone: usize, silent: bool },
-    /// They start anew.
+    /// The servers of the zone start again.
     RegainZone { zone: usize, silent: bool },
-    /// All servers of a zone start anew in place: the list never shows them as anything but ready.
+    /// All servers of a zone restart in place: the list always shows them as ready.
     RestartZone { zone: usize },
-    /// Servers change, in one version of the list.
+    /// Changes servers in one version of the list.
     Servers(Vec<ServerChange>),
-    /// Proxies move to a coordinator within so many milliseconds, one in so many.
+    /// Moves every `one_in`-th proxy to a coordinator within the given milliseconds.
     Move { to: usize, within: u64, one_in: u16 },
-    /// A fault is laid over for so many milliseconds.
+    /// Adds a fault for the given milliseconds.
     Overlay { fault: Overlay, coordinator: usize, span: u64 },
 }
 
-/// A step at its time.
+/// A step with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// Since the day began.
+    /// Since the start of the day.
     pub at: Duration,
     pub step: Step,
 }
 
-/// Which day is played.
+/// The kind of day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Script {
-    /// A release without end alone.
+    /// A continuous release alone.
     Release,
-    /// The day of the incident.
+    /// A continuous release with the faults of the incident.
     Incident,
 }
 
-/// A whole day.
+/// The script of a whole day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
     pub steps: Vec<Planned>,
@@ -105,8 +105,8 @@
     Duration::from_secs_f64(second * scale)
 }
 
-/// The zone that one class may be confined to starts anew at once, early in the day or as a coordinator is young. What is
-/// drawn here changes nothing else of the day.
+/// Draws the restart of the zone that one class may be confined to: all its servers restart at once, early in the day or
+/// shortly after a coordinator's start. It uses a generator of its own, so that the rest of the day doesn't depend on it.
 fn draw_zone_restart(seed: u64, scale: f64) -> Planned {
     let mut rng = Pcg32::seed_from_u64(!seed);
     let second =
--- a/crates/craneknot-rehearsal/src/trial/script_runner.rs
+++ b/crates/craneknot-rehearsal/src/trial/script_runner.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a script on the processes and stand-ins.
+//! Executes the steps of a script on the processes and simulated peers.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -17,17 +17,17 @@
 use super::timeline::Timeline;
 use crate::soak::schedule::NetworkFault;
 
-const POLL_INTERVAL: Duration = Duration::from_millis(5); // while the end of a process is awaited
-const STEP_ACTIVE_FOR: Duration = Duration::from_secs(3); // how long a step counts as active
-const RESET_DURATION: Duration = Duration::from_millis(150); // of connections that were cut off; longer than any read waits
-const LISTING_DELAY: Duration = Duration::from_millis(400); // from a server's change to the list
-const SILENT_LISTING_DELAY: Duration = Duration::from_millis(2_500); // the same for a machine that falls silent
-const LIST_DELAY: Duration = Duration::from_millis(1_200); // of a list that comes late
-const CPU_STOPPED: Duration = Duration::from_millis(15); // of each 20 ms, with a quarter of a core
+const POLL_INTERVAL: Duration = Duration::from_millis(5); // while waiting for the exit of a process
+const STEP_ACTIVE_FOR: Duration = Duration::from_secs(3); // how long a step is reported as an active fault
+const RESET_DURATION: Duration = Duration::from_millis(150); // of disconnected connections; longer than any read timeout
+const LISTING_DELAY: Duration = Duration::from_millis(400); // from a change of a server to its listing
+const SILENT_LISTING_DELAY: Duration = Duration::from_millis(2_500); // the same for a machine that stops responding
+const LIST_DELAY: Duration = Duration::from_millis(1_200); // of a late list
+const CPU_STOPPED: Duration = Duration::from_millis(15); // in each 20 ms, for a quarter of a core
 const CPU_RUNNING: Duration = Duration::from_millis(5);
 const BUSY_THREADS: usize = 2; // threads that keep the machine busy
 
-/// Everything that steps act on.
+/// Executes steps on the coordinators, the fleet and the registry.
 #[derive(Clone)]
 pub struct ScriptRunner {
     pub coordinators: Vec<Arc<Mutex<Coordinator>>>,
@@ -39,7 +39,7 @@
 }
 
 impl ScriptRunner {
-    /// A stage on which nothing has been played.
+    /// Creates a runner that has executed no step.
     pub fn new(
         coordinators: Vec<Arc<Mutex<Coordinator>>>,
         fleet: SharedFleet,
@@ -50,12 +50,12 @@
         ScriptRunner { coordinators, fleet, registry, timeline, finished, tasks: Arc::default() }
     }
 
-    /// Whether the trial is over.
+    /// Whether the trial is finished.
     pub fn is_finished(&self) -> bool {
         self.finished.load(Ordering::Relaxed)
     }
 
-    /// Waits for all that steps have left running.
+    /// Waits for all background tasks of steps.
     pub fn join(&self) {
         let tasks = std::mem::take(&mut *self.tasks.lock().unwrap());
         tasks.into_iter().for_each(|task| drop(task.join()));
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Plays one step; what takes time goes on by itself.
+    /// Executes one step; longer actions continue in the background.
     pub fn run_step(&self, step: &Step) {
         match step {
             Step::Servers(changes) => self.change_servers(changes),
@@ -132,7 +132,7 @@
             let until = Instant::now() + kill_after;
             let has_ended = || {
                 let mut coordinator = runner.coordinators[number].lock().unwrap();
-                // The watch may have seen it first.
+                // The process monitor may have taken the exit status first.
                 coordinator.take_exit_status().is_some() || !coordinator.is_running()
             };
             while !has_ended() && Instant::now() < until {
@@ -175,7 +175,7 @@
         self.timeline.end_absence(number);
     }
 
-    /// Connections that were cut off are reset, and what was sent on them is lost; then new ones come up.
+    /// Resets disconnected connections, losing what was sent on them; then new ones can be opened.
     fn reset_upstreams(&self, number: usize, coordinator: &Coordinator) {
         coordinator.upstreams().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Refuse)));
         self.spawn(move |runner| {
@@ -190,7 +190,7 @@
         self.list_after(changes.to_vec(), LISTING_DELAY);
     }
 
-    /// What has become of servers is listed after a while.
+    /// Lists changes of servers after a delay.
     fn list_after(&self, changes: Vec<ServerChange>, delay: Duration) {
         let started = unix_millis();
         self.spawn(move |runner| {
@@ -199,7 +199,7 @@
         });
     }
 
-    /// A zone's servers are lost or back. Discovery sees a machine that falls silent later than a process that ends.
+    /// Changes all servers of a zone. Discovery notices a machine that stops responding later than a process that ends.
     fn change_zone(&self, zone: usize, phase: Phase, silent: bool) {
         let servers = (0..SERVERS).filter(|server| zone_of_server(*server) == zone);
         let changes: Vec<ServerChange> = servers.map(|server| ServerChange { server, phase }).collect();
@@ -245,7 +245,7 @@
         });
     }
 
-    /// Stops a process for three quarters of the time. One that is stopped anyway is left alone.
+    /// Stops a process for three quarters of the time, unless it is stopped for another reason.
     fn limit_cpu(&self, number: usize, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until && !self.is_finished() {
--- a/crates/craneknot-rehearsal/src/trial/settings.rs
+++ b/crates/craneknot-rehearsal/src/trial/settings.rs
@@ -1,4 +1,4 @@
-//! What is asked of a trial.
+//! The settings of a trial.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use super::overlay::Overlay;
 use super::script::Script;
 
-/// A break of the stand-ins, not of the node, that the judge must tell.
+/// A fault of the simulated peers, not of the node, that the judge must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The relay takes lines of tables and does not carry them out.
+    /// The relay accepts lines of tables without executing them.
     LinesDropped,
-    /// Every server falls silent while discovery lists it.
+    /// Every server stops responding while discovery still lists it.
     SilentServers,
-    /// What the coordinators answer comes too late.
+    /// The answers of the coordinators arrive too late.
     LateAnswers,
 }
 
-/// What is asked for.
+/// The settings of one trial.
 #[derive(Clone, Debug)]
 pub struct TrialSettings {
     pub seed: u64,
     pub script: Script,
     pub length: Duration,
-    /// Faults that are laid over the script.
+    /// Faults that are added to the script.
     pub overlays: Vec<Overlay>,
-    /// The program whose `node` is on trial.
+    /// The program whose `node` command is tested.
     pub program: PathBuf,
     /// The library of failing system calls and stepped clocks.
     pub fault_library: Option<PathBuf>,
-    /// Where configurations and logs are kept.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
     pub injected_fault: Option<InjectedFault>,
 }
--- a/crates/craneknot-rehearsal/src/trial/timeline.rs
+++ b/crates/craneknot-rehearsal/src/trial/timeline.rs
@@ -1,4 +1,4 @@
-//! What became of each coordinator when: its processes, when it could not be reached, and which faults were laid on.
+//! The history of each coordinator: its processes, the times when it was unreachable, and the active faults.
 
 use std::sync::{Mutex, OnceLock};
 use std::time::{Duration, Instant};
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Process {
     pub started: Instant,
-    /// When it first answered.
+    /// When it first answered a request.
     pub ready: Option<Instant>,
     /// When it was sent SIGTERM.
     pub terminated: Option<Instant>,
-    /// When it was sent SIGKILL while it ran.
+    /// When it was sent SIGKILL while running.
     pub killed: Option<Instant>,
-    /// When it had ended, whatever ended it.
+    /// When it was found to have exited, for any reason.
     pub ended: Option<Instant>,
 }
 
-/// A span in which something held; one that has not ended is open.
+/// A span of time; one that has not ended has no end.
 #[derive(Clone, Debug)]
 struct Span<T> {
     subject: T,
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct History {
     processes: Vec<Vec<Process>>,
-    /// By coordinator: it is stopped, or nothing reaches it.
+    /// Spans in which a coordinator was stopped or disconnected.
     absences: Vec<Span<usize>>,
     faults: Vec<Span<String>>,
 }
@@ -47,30 +47,30 @@
 }
 
 impl Timeline {
-    /// Nothing has happened yet to so many coordinators.
+    /// Creates an empty history of a number of coordinators.
     pub fn new(coordinators: usize) -> Self {
         let history = History { processes: vec![Vec::new(); coordinators], ..History::default() };
         Timeline { created: Instant::now(), day_start: OnceLock::new(), history: Mutex::new(history) }
     }
 
-    /// The day begins now, unless it has begun.
+    /// Starts the day now, unless it has started.
     pub fn begin_day(&self) {
         self.day_start.get_or_init(Instant::now);
     }
 
-    /// When the day began; until it has, when the trial was raised.
+    /// The start of the day; before that, the creation of the timeline.
     pub fn day_start(&self) -> Instant {
         self.day_start.get().copied().unwrap_or(self.created)
     }
 
-    /// A moment, in seconds since the day began; less than nothing before it.
+    /// A moment in seconds since the start of the day; negative before it.
     pub fn second(&self, at: Instant) -> f64 {
         let day_start = self.day_start();
         let before = day_start.saturating_duration_since(at).as_secs_f64();
         at.saturating_duration_since(day_start).as_secs_f64() - before
     }
 
-    /// A process has been started.
+    /// Records the start of a process.
     pub fn record_start(&self, coordinator: usize) {
         let process =
             Process { started: Instant::now(), ready: None, terminated: None, killed: None, ended: None };
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A process, by its number, has answered; the first time counts.
+    /// Records an answer of a process, by its number; only the first is kept.
     pub fn record_answer(&self, coordinator: usize, process: usize) {
         let mut history = self.history.lock().unwrap();
         if let Some(process) = history.processes[coordinator].get_mut(process) {
@@ -92,24 +92,24 @@
         }
     }
 
-    /// The last process was sent SIGTERM.
+    /// Records that SIGTERM was sent to the last process.
     pub fn record_sigterm(&self, coordinator: usize) {
         self.update_last_process(coordinator, |process, now| process.terminated = Some(now));
     }
 
-    /// The last process was sent SIGKILL while it ran.
+    /// Records that SIGKILL was sent to the last process while it was running.
     pub fn record_sigkill(&self, coordinator: usize) {
         self.update_last_process(coordinator, |process, now| process.killed = Some(now));
     }
 
-    /// The last process has ended.
+    /// Records the exit of the last process.
     pub fn record_exit(&self, coordinator: usize) {
         self.update_last_process(coordinator, |process, now| {
             process.ended.get_or_insert(now);
         });
     }
 
-    /// The processes of a coordinator, the last one last.
+    /// The processes of a coordinator, oldest first.
     pub fn processes(&self, coordinator: usize) -> Vec<Process> {
         self.history.lock().unwrap().processes[coordinator].clone()
     }
@@ -119,13 +119,13 @@
         self.history.lock().unwrap().processes[coordinator].len().checked_sub(1)
     }
 
-    /// From now on the coordinator is stopped or cut off.
+    /// Records that a coordinator is stopped or disconnected from now on.
     pub fn begin_absence(&self, coordinator: usize) {
         let span = Span { subject: coordinator, from: Instant::now(), until: None };
         self.history.lock().unwrap().absences.push(span);
     }
 
-    /// The coordinator is back.
+    /// Records that a coordinator is reachable again.
     pub fn end_absence(&self, coordinator: usize) {
         let mut history = self.history.lock().unwrap();
         let open =
@@ -133,13 +133,13 @@
         open.for_each(|span| span.until = Some(Instant::now()));
     }
 
-    /// Whether a coordinator could be reached all the time.
+    /// Whether a coordinator was reachable during a whole span.
     pub fn was_reachable(&self, coordinator: usize, from: Instant, until: Instant) -> bool {
         let history = self.history.lock().unwrap();
         !history.absences.iter().any(|span| span.subject == coordinator && span.overlaps(from, until))
     }
 
-    /// Whether a proxy that dials a coordinator now would be taken.
+    /// Whether a coordinator would accept the connection of a proxy now.
     pub fn accepts_proxies(&self, coordinator: usize) -> bool {
         let now = Instant::now();
         let last = self.processes(coordinator).last().copied();
@@ -149,7 +149,7 @@
         serves && self.was_reachable(coordinator, now, now)
     }
 
-    /// A fault is laid on from now on for so long.
+    /// Records a fault that is active from now on for a span.
     pub fn record_fault(&self, name: &str, span: Duration) {
         let now = Instant::now();
         let span = Span { subject: name.to_owned(), from: now, until: Some(now + span) };
@@ -167,7 +167,7 @@
             .collect()
     }
 
-    /// The number of the process of a coordinator that was the last to start by then.
+    /// The number of the last process of a coordinator that had started by a time.
     pub fn process_at(&self, coordinator: usize, at: Instant) -> Option<usize> {
         self.processes(coordinator).iter().rposition(|process| process.started <= at)
     }
--- a/crates/craneknot-rehearsal/tests/answers.rs
+++ b/crates/craneknot-rehearsal/tests/answers.rs
@@ -1,4 +1,4 @@
-//! The soak's judge of answers, with moments that the tests choose.
+//! Tests the soak's judge of answers with simulated times.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use craneknot_rehearsal::soak::oracle::{Answer, Oracle, Reply, Request};
 use craneknot_rehearsal::soak::schedule::{Fault, Planned};
 
-/// What an oracle counts after one request.
+/// The counters of an oracle after one request.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Counts {
     answered: u64,
@@ -60,8 +60,8 @@
     assert_eq!(judged(request(sent), &running(), Answer::Rejected, millis(501)), late);
     let in_time = Counts { answered: 1, ..Counts::default() };
     assert_eq!(judged(request(sent), &running(), Answer::Answered, millis(500)), in_time);
-    let turned_away = Counts { rejected: 1, ..Counts::default() };
-    assert_eq!(judged(request(sent), &running(), Answer::Rejected, millis(500)), turned_away);
+    let rejected = Counts { rejected: 1, ..Counts::default() };
+    assert_eq!(judged(request(sent), &running(), Answer::Rejected, millis(500)), rejected);
 }
 
 #[test]
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_client_that_gives_up_before_its_answer_is_due_tells_nothing() {
+fn a_client_that_gives_up_before_its_answer_is_due_is_excused() {
     let sent = Instant::now();
     let life = Life { paused: vec![Span::open(sent)], ..running() };
     let excused = Counts { excused: 1, ..Counts::default() };
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn a_crowd_excuses_no_connection_that_was_open_before() {
+fn a_connection_burst_excuses_no_connection_that_was_open_before() {
     let opened = Instant::now();
-    let crowd = Span::closed(opened + millis(100), opened + millis(4_100));
-    let life = Life { crowded: vec![crowd], ..running() };
+    let burst = Span::closed(opened + millis(100), opened + millis(4_100));
+    let life = Life { crowded: vec![burst], ..running() };
     let open_before = Request { sent: opened + millis(200), ..request(opened) };
     assert_eq!(judged(open_before, &life, Answer::Answered, millis(501)).late, 1);
-    let behind = request(opened + millis(200));
-    assert_eq!(judged(behind, &life, Answer::Answered, millis(3_000)).answered, 1);
+    let opened_during_burst = request(opened + millis(200));
+    assert_eq!(judged(opened_during_burst, &life, Answer::Answered, millis(3_000)).answered, 1);
 }
 
 #[test]
-fn a_late_answer_is_told_with_its_connection_and_the_faults_of_its_time() {
+fn a_late_answer_is_reported_with_its_connection_and_the_faults_of_its_time() {
     let opened = Instant::now();
     let sent = opened + millis(3_000);
     let oracle = Oracle::new(MachineLateness::default());
@@ -132,13 +132,13 @@
     let asked = Request { sent, ..request(opened) };
     let reply = Reply { answer: Answer::Answered, at: sent + millis(750) };
     oracle.judge(4, "a heartbeat", asked, &running(), reply);
-    let told = oracle.all_broken().concat();
+    let reported = oracle.all_broken().concat();
     for part in
         ["node 4", "answered late, after 750", "250.000ms past", "3.0s old", "Kill { back_after: 500 }"]
     {
-        assert!(told.contains(part), "{part} is not in: {told}");
+        assert!(reported.contains(part), "{part} is not in: {reported}");
     }
-    assert!(!told.contains("Pause"), "{told}");
+    assert!(!reported.contains("Pause"), "{reported}");
 }
 
 #[test]
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn an_answer_on_an_open_connection_after_sigterm_is_counted_apart() {
+fn an_answer_on_an_open_connection_after_sigterm_is_counted_separately() {
     let opened = Instant::now();
     let life = Life { terminated: Some(opened + millis(50)), ..running() };
     let asked = Request { sent: opened + millis(60), ..request(opened) };
--- a/crates/craneknot-rehearsal/tests/settings_keys.rs
+++ b/crates/craneknot-rehearsal/tests/settings_keys.rs
@@ -1,4 +1,4 @@
-//! Each key of the settings that a node may be given is played by a judge or named here as not played.
+//! Checks that each settings key of a node is either exercised by the trial or the soak, or listed here as not exercised.
 
 use std::collections::BTreeSet;
 
@@ -6,9 +6,10 @@
 use craneknot_rehearsal::trial::deployment;
 use serde_json::Value;
 
-/// Keys that no judge of this repository plays with more than the value that stands in its settings.
-const NOT_PLAYED: &[&str] = &[
-    // A class closed to kinds, or to the proxy's own zone (the walk over the decisions plays both); keyed repeats.
+/// Keys that neither trial nor soak exercises with more than a single fixed value.
+const NOT_EXERCISED: &[&str] = &[
+    // Classes restricted to kinds or to the proxy's own zone (the random walk over the decisions exercises both); keyed
+    // repeats.
     "profiles.only-kinds",
     "extra.home-only",
     "profiles.group",
@@ -23,7 +24,7 @@
     "extra.in-flight-max",
     "extra.park",
     "extra.shift-fee",
-    // Budgets and ways of the proxies.
+    // Budgets and behaviour of the proxies.
     "extra.update-cap",
     "extra.reload-span",
     "extra.ejects",
@@ -41,7 +42,7 @@
     "caps.cpu-us-per-s",
     "caps.peers",
     "caps.probing",
-    // How a result is counted, and what an instance is beside others.
+    // How a result is scored, and the place of an instance among others.
     "extra.cost-per-line",
     "charges.connection",
     "charges.cross-zone",
@@ -66,11 +67,11 @@
     "worth-by",
 ];
 
-/// The paths of all values, with the entries of lists taken together.
+/// Collects the paths of all values; the entries of a list share one path.
 fn keys(value: &Value, path: &str, found: &mut BTreeSet<String>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let child_path = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(key, value)| keys(value, &below(key), found)),
+        Value::Object(fields) => fields.iter().for_each(|(key, value)| keys(value, &child_path(key), found)),
         Value::Array(entries) if entries.iter().any(Value::is_object) => {
             entries.iter().for_each(|entry| keys(entry, path, found));
         }
@@ -84,26 +85,26 @@
     found
 }
 
-fn whole() -> Value {
+fn all_settings() -> Value {
     serde_json::from_str(include_str!("whole_settings.json")).unwrap()
 }
 
 #[test]
-fn each_key_of_the_settings_is_played_or_named_as_not_played() {
+fn each_key_of_the_settings_is_exercised_or_listed_as_not_exercised() {
     let trials =
         (0..3).map(|seed| keys_of(&deployment::settings(seed))).fold(BTreeSet::new(), |a, b| &a | &b);
-    let played = &trials | &keys_of(&node::settings(3, 240));
-    let named: BTreeSet<String> = NOT_PLAYED.iter().map(|key| (*key).to_owned()).collect();
-    let whole = keys_of(&whole());
+    let exercised = &trials | &keys_of(&node::settings(3, 240));
+    let listed: BTreeSet<String> = NOT_EXERCISED.iter().map(|key| (*key).to_owned()).collect();
+    let all_settings = keys_of(&all_settings());
     let neither: Vec<_> =
-        whole.iter().filter(|key| !played.contains(*key) && !named.contains(*key)).collect();
-    assert!(neither.is_empty(), "neither played nor named: {neither:?}");
-    let unknown: Vec<_> = (&played | &named).difference(&whole).cloned().collect();
-    assert!(unknown.is_empty(), "in no settings of the platform: {unknown:?}");
+        all_settings.iter().filter(|key| !exercised.contains(*key) && !listed.contains(*key)).collect();
+    assert!(neither.is_empty(), "neither exercised nor listed: {neither:?}");
+    let unknown: Vec<_> = (&exercised | &listed).difference(&all_settings).cloned().collect();
+    assert!(unknown.is_empty(), "unknown to the settings of the platform: {unknown:?}");
 }
 
 #[test]
-fn a_class_confined_to_a_zone_is_played_by_the_trial_and_the_soak() {
+fn a_class_confined_to_a_zone_is_exercised_by_the_trial_and_the_soak() {
     let confined = |value: Value| keys_of(&value).contains("profiles.only-zones");
     assert!(confined(node::settings(3, 240)));
     let trials: Vec<bool> = (0..3).map(|seed| confined(deployment::settings(seed))).collect();
