--- a/crates/craneknot-rehearsal/src/trial/process_monitor.rs
+++ b/crates/craneknot-rehearsal/src/trial/process_monitor.rs
@@ -8,7 +8,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20); // between checks
 
-const LIMITS_HELD_AFTER_READY: Duration = Duration::from_secs(1); // without time limits
+const LIMITS_HELD_AFTER_READY: Duration = Duration::from_secs(1); // suspension of time limits
 
 /// Monitors the processes until the trial is finished.
 pub fn monitor(runner: &ScriptRunner, judge: &Judge) {
--- a/crates/craneknot-rehearsal/src/trial/report.rs
+++ b/crates/craneknot-rehearsal/src/trial/report.rs
@@ -165,19 +165,19 @@
         unsafe_repeats: summary.unsafe_repeats,
         ..Lines::default()
     };
-    for lack in &summary.lacks {
-        lines.longest_lack_ms = lines.longest_lack_ms.max(millis(lack.length));
-        if lack.breaks_rule {
+    for period in &summary.lacks {
+        lines.longest_lack_ms = lines.longest_lack_ms.max(millis(period.length));
+        if period.breaks_rule {
             lines.lacks_beyond += 1;
-            let from = judge.timeline.day_start() + lack.start;
+            let from = judge.timeline.day_start() + period.start;
             let what = format!(
                 "proxy {} had no line for {} for {:.2?}",
-                lack.proxy, CLASSES[lack.class], lack.length
+                period.proxy, CLASSES[period.class], period.length
             );
             judge.report_past_violation(
                 Reading::Lines,
-                Some(lack.coordinator),
-                (from, from + lack.length),
+                Some(period.coordinator),
+                (from, from + period.length),
                 what,
             );
         }
@@ -198,7 +198,7 @@
     }
     for fall in summary.falls.iter().filter(|fall| fall.breaks_rule) {
         let what = format!(
-            "cold server {} failed under load, {:.2} of its work sent knowingly",
+            "cold server {} failed under load, {:.2} of its work from proxies informed of its start",
             fall.server, fall.knowing_share
         );
         judge.report_past_violation(Reading::Lines, None, (day_start + fall.at, day_start + fall.at), what);
@@ -316,12 +316,12 @@
         let verdict = if self.passed() { "passed" } else { "FAILED" };
         let _ = writeln!(
             text,
-            "seed {}, {}, {} s, over it {:?}: {verdict}; machine late {} ms in all",
+            "seed {}, {}, {} s, overlays {:?}: {verdict}; machine late {} ms in total",
             self.seed, self.script, self.seconds, self.overlays, self.machine_late_ms
         );
         let _ = writeln!(
             text,
-            "  lines: {lacks_beyond} lacks beyond the limit, longest {longest_lack_ms} ms, {drain_breaches} drains, {cold_falls_beyond} of {} falls, {queue_breaches} queues (longest {:.0} lines)",
+            "  lines: {lacks_beyond} no-line periods beyond the limit, longest {longest_lack_ms} ms, {drain_breaches} drain breaches, {cold_falls_beyond} of {} cold falls, {queue_breaches} queue breaches (longest {:.0} lines)",
             self.lines.cold_falls, self.lines.longest_queue_lines
         );
         let (total, reference) = (&self.operations.total, &self.operations.reference);
