--- a/crates/craneknot-cli/tests/trial.rs
+++ b/crates/craneknot-cli/tests/trial.rs
@@ -8,7 +8,7 @@
 
 use craneknot_rehearsal::trial::release::Phase;
 use craneknot_rehearsal::trial::script::{draw, Step};
-use craneknot_rehearsal::trial::{run, Overlay, PlantedBreak, Reading, Script, TrialReport, TrialSettings};
+use craneknot_rehearsal::trial::{run, InjectedFault, Overlay, Reading, Script, TrialReport, TrialSettings};
 
 mod helpers;
 use helpers::fault_library;
@@ -25,7 +25,7 @@
     script: Script,
     length: Duration,
     overlays: &[Overlay],
-    planted: Option<PlantedBreak>,
+    injected_fault: Option<InjectedFault>,
 ) -> TrialReport {
     let _guard = TRIAL_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let folder = tempfile::tempdir().unwrap();
@@ -37,7 +37,7 @@
         program: Path::new(env!("CARGO_BIN_EXE_craneknot")).to_owned(),
         fault_library: Some(fault_library()),
         folder: folder.path().to_owned(),
-        planted,
+        injected_fault,
     };
     run(&settings).unwrap()
 }
@@ -97,19 +97,19 @@
 
 #[test]
 fn proxies_without_lines_are_detected() {
-    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(PlantedBreak::LinesDropped));
-    assert!(report.found(Reading::Lines) > 0, "{}", report.text());
+    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(InjectedFault::LinesDropped));
+    assert!(report.finding_count(Reading::Lines) > 0, "{}", report.text());
 }
 
 #[test]
 fn unanswered_operations_are_detected() {
-    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(PlantedBreak::SilentServers));
-    assert!(report.found(Reading::Operations) > 0, "{}", report.text());
+    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(InjectedFault::SilentServers));
+    assert!(report.finding_count(Reading::Operations) > 0, "{}", report.text());
 }
 
 #[test]
 fn late_heartbeat_answers_are_detected() {
-    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(PlantedBreak::LateAnswers));
-    assert!(report.found(Reading::Control) > 0, "{}", report.text());
-    assert_eq!(report.found(Reading::Lines), 0, "{}", report.text());
+    let report = run_trial(1, Script::Release, PLANTED_LENGTH, &[], Some(InjectedFault::LateAnswers));
+    assert!(report.finding_count(Reading::Control) > 0, "{}", report.text());
+    assert_eq!(report.finding_count(Reading::Lines), 0, "{}", report.text());
 }
--- a/crates/craneknot-rehearsal/src/trial/judge.rs
+++ b/crates/craneknot-rehearsal/src/trial/judge.rs
@@ -1,4 +1,4 @@
-//! Judges by due times what the peers of the coordinators saw, and tells what was active at the time.
+//! Judges by due times what the peers of the coordinators observed, and reports the faults active at the time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -9,15 +9,15 @@
 use super::timeline::Timeline;
 use crate::soak::coverage::MachineLateness;
 
-/// A process that runs answers what it is asked within.
+/// A running process answers requests within this time.
 pub const ANSWER_WITHIN: Duration = Duration::from_millis(500);
-/// A process is ready within so long of its start.
+/// A process is ready within this time of its start.
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A mark is acknowledged once a full channel is drained and the longest way is over.
+/// A mark is acknowledged within this time: draining a full channel and the longest transit, with a reserve.
 pub const MARK_WITHIN: Duration = Duration::from_millis(2_000 + 450 + 300);
-const FINDINGS_KEPT: usize = 200; // enough to find causes
+const MAX_FINDINGS: usize = 200; // enough to find the causes
 
-/// What was asked of a coordinator, or came to it.
+/// The kind of request to a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Asked {
@@ -28,88 +28,88 @@
     Mark,
 }
 
-/// What became of something that had a due time.
+/// The outcome of a request that had a due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It came.
+    /// The answer arrived.
     Came,
-    /// The connection ended without it.
+    /// The connection ended without an answer.
     Closed,
-    /// Nothing came for as long as the peer waited.
+    /// No answer arrived for as long as the peer waited.
     Never,
     /// No connection was made.
     Refused,
 }
 
-/// What a broken rule belongs to.
+/// The category of a broken rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reading {
-    /// Proxies without a line, drains, cold servers, the channel.
+    /// Proxies with no line, drains, cold servers, the channel.
     Lines,
     /// Operations answered late or never.
     Operations,
-    /// Heartbeats, rejects and marks.
+    /// Heartbeats, rejections and marks.
     Control,
-    /// Starts and unexpected ends of processes.
+    /// Starts and unexpected exits of processes.
     Processes,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Finding {
-    /// Since the trial began.
+    /// Since the start of the day, in seconds.
     pub second: f64,
     pub reading: Reading,
-    /// Whom it belongs to; nothing: no coordinator in particular.
+    /// The coordinator concerned; `None` if no particular one is.
     pub coordinator: Option<usize>,
     /// The number of the coordinator's process.
     pub process: Option<usize>,
     pub what: String,
     /// The faults that were active then.
     pub active: Vec<String>,
-    /// How late the judge's own machine was over the same span.
+    /// Scheduling delay of the judge's own machine over the same span.
     pub machine_late_ms: u64,
-    /// It would have kept the rule but for what the machine was late.
+    /// The rule would have been kept without the scheduling delay of the machine.
     pub by_machine: bool,
 }
 
-/// Figures of one kind of question.
+/// Counts of one kind of request.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Tally {
     pub asked: u64,
     /// Answered after the due time.
     pub late: u64,
-    /// Of those: in time, but for what the judge's own machine was late.
+    /// Of the late ones: would have been in time without the scheduling delay of the judge's own machine.
     pub late_by_machine: u64,
     pub lost: u64,
-    /// Not judged: its process was ended, stopped or cut off meanwhile, or not ready.
+    /// Not judged: the process was terminated, stopped or disconnected meanwhile, or not ready.
     pub excused: u64,
     pub slowest_ms: u64,
 }
 
-/// A moment, and how late the machine had been by then.
+/// A point in time, and the total scheduling delay of the machine by then.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
     pub at: Instant,
     lateness: Duration,
 }
 
-/// Something that was asked of one process.
+/// A request to one process.
 #[derive(Clone, Copy, Debug)]
-pub struct Question {
+pub struct Request {
     pub asked: Asked,
     pub coordinator: usize,
     pub process: usize,
-    /// When its connection was opened.
+    /// When the connection was opened.
     pub opened: Instant,
     pub sent: Moment,
     pub due: Duration,
 }
 
 #[derive(Default)]
-struct Seen {
-    /// How late the machine had been by when, oldest first.
+struct Observations {
+    /// Samples of the total scheduling delay of the machine, oldest first.
     samples: Vec<Moment>,
     tallies: BTreeMap<Asked, Tally>,
     findings: Vec<Finding>,
@@ -120,33 +120,40 @@
 pub struct Judge {
     pub timeline: Arc<Timeline>,
     lateness: MachineLateness,
-    seen: Mutex<Seen>,
+    observations: Mutex<Observations>,
 }
 
 impl Judge {
-    /// Judges by a timeline.
+    /// Creates a judge that uses a timeline.
     pub fn new(timeline: Arc<Timeline>) -> Self {
-        Judge { timeline, lateness: MachineLateness::measure(), seen: Mutex::default() }
+        Judge { timeline, lateness: MachineLateness::measure(), observations: Mutex::default() }
     }
 
-    /// Now.
+    /// The present time, with the scheduling delay by now.
     pub fn moment(&self) -> Moment {
         Moment { at: Instant::now(), lateness: self.lateness.total() }
     }
 
-    /// How late the machine has been since.
-    pub fn late_since(&self, moment: Moment) -> Duration {
+    /// The scheduling delay of the machine since a moment.
+    pub fn machine_lateness_since(&self, moment: Moment) -> Duration {
         self.lateness.total().saturating_sub(moment.lateness)
     }
 
-    /// How late the machine has been in all.
+    /// The total scheduling delay of the machine.
     pub fn machine_late(&self) -> Duration {
         self.lateness.total()
     }
 
-    /// A rule is broken by a process, from a moment until now.
-    pub fn broken(&self, reading: Reading, coordinator: usize, process: usize, since: Moment, what: String) {
-        self.keep(self.finding(reading, coordinator, process, since, what));
+    /// Reports that a process has broken a rule, from a moment until now.
+    pub fn report_violation(
+        &self,
+        reading: Reading,
+        coordinator: usize,
+        process: usize,
+        since: Moment,
+        what: String,
+    ) {
+        self.store(self.finding(reading, coordinator, process, since, what));
     }
 
     fn finding(
@@ -163,14 +170,14 @@
             coordinator: Some(coordinator),
             process: Some(process),
             what,
-            active: self.timeline.active(since.at, Instant::now()),
-            machine_late_ms: self.late_since(since).as_millis() as u64,
+            active: self.timeline.active_faults(since.at, Instant::now()),
+            machine_late_ms: self.machine_lateness_since(since).as_millis() as u64,
             by_machine: false,
         }
     }
 
-    /// A rule was broken over a span that lies behind.
-    pub fn was_broken(
+    /// Reports that a rule was broken over a past span.
+    pub fn report_past_violation(
         &self,
         reading: Reading,
         coordinator: Option<usize>,
@@ -184,34 +191,34 @@
             coordinator,
             process: coordinator.and_then(|number| self.timeline.process_at(number, from)),
             what,
-            active: self.timeline.active(from, until),
-            machine_late_ms: self.late_between(from, until).as_millis() as u64,
+            active: self.timeline.active_faults(from, until),
+            machine_late_ms: self.machine_lateness_between(from, until).as_millis() as u64,
             by_machine: false,
         };
-        self.keep(finding);
+        self.store(finding);
     }
 
-    fn keep(&self, finding: Finding) {
-        let mut seen = self.seen.lock().unwrap();
-        if seen.findings.len() < FINDINGS_KEPT {
-            seen.findings.push(finding);
+    fn store(&self, finding: Finding) {
+        let mut observations = self.observations.lock().unwrap();
+        if observations.findings.len() < MAX_FINDINGS {
+            observations.findings.push(finding);
         } else {
-            seen.dropped += 1;
+            observations.dropped += 1;
         }
     }
 
-    /// Notes how late the machine has been by now.
+    /// Records the total scheduling delay of the machine by now.
     pub fn sample(&self) {
         let moment = self.moment();
-        self.seen.lock().unwrap().samples.push(moment);
+        self.observations.lock().unwrap().samples.push(moment);
     }
 
-    /// How late the machine was over a span, as far as it was sampled.
-    fn late_between(&self, from: Instant, until: Instant) -> Duration {
-        let seen = self.seen.lock().unwrap();
+    /// The scheduling delay of the machine over a span, as far as it was sampled.
+    fn machine_lateness_between(&self, from: Instant, until: Instant) -> Duration {
+        let observations = self.observations.lock().unwrap();
         let by = |at: Instant| {
-            let before = seen.samples.partition_point(|sample| sample.at <= at);
-            before.checked_sub(1).map_or(Duration::ZERO, |place| seen.samples[place].lateness)
+            let before = observations.samples.partition_point(|sample| sample.at <= at);
+            before.checked_sub(1).map_or(Duration::ZERO, |index| observations.samples[index].lateness)
         };
         by(until).saturating_sub(by(from))
     }
@@ -220,43 +227,43 @@
     pub fn judge_mark(&self, coordinator: usize, latency: Duration) {
         let is_late = latency > MARK_WITHIN;
         let verdict = if is_late { Verdict::Late } else { Verdict::InTime };
-        self.count(Asked::Mark, verdict, latency);
+        self.record_tally(Asked::Mark, verdict, latency);
         if is_late {
             let now = Instant::now();
             let span = (now.checked_sub(latency).unwrap_or(now), now);
             let what = format!("a mark was acknowledged after {latency:.1?}, due in {MARK_WITHIN:?}");
-            self.was_broken(Reading::Control, Some(coordinator), span, what);
+            self.report_past_violation(Reading::Control, Some(coordinator), span, what);
         }
     }
 
-    /// Judges what became of a question.
-    pub fn judge(&self, question: Question, answer: Answer) {
-        let took = question.sent.at.elapsed();
-        let is_late = took > question.due;
+    /// Judges the outcome of a request.
+    pub fn judge_answer(&self, request: Request, answer: Answer) {
+        let took = request.sent.at.elapsed();
+        let is_late = took > request.due;
         let verdict = match answer {
             Answer::Came if !is_late => Verdict::InTime,
-            _ if self.is_excused(&question, answer) => Verdict::Excused,
-            Answer::Came if took.saturating_sub(self.late_since(question.sent)) <= question.due => {
+            _ if self.is_excused(&request, answer) => Verdict::Excused,
+            Answer::Came if took.saturating_sub(self.machine_lateness_since(request.sent)) <= request.due => {
                 Verdict::LateByMachine
             }
             Answer::Came => Verdict::Late,
             Answer::Closed | Answer::Never | Answer::Refused => Verdict::Lost,
         };
-        self.count(question.asked, verdict, took);
+        self.record_tally(request.asked, verdict, took);
         if !matches!(verdict, Verdict::InTime | Verdict::Excused) {
             let what = format!(
                 "{:?} {verdict:?}: {answer:?} after {took:.1?}, due in {:?}",
-                question.asked, question.due
+                request.asked, request.due
             );
             let finding =
-                self.finding(Reading::Control, question.coordinator, question.process, question.sent, what);
-            self.keep(Finding { by_machine: verdict == Verdict::LateByMachine, ..finding });
+                self.finding(Reading::Control, request.coordinator, request.process, request.sent, what);
+            self.store(Finding { by_machine: verdict == Verdict::LateByMachine, ..finding });
         }
     }
 
-    fn count(&self, asked: Asked, verdict: Verdict, took: Duration) {
-        let mut seen = self.seen.lock().unwrap();
-        let tally = seen.tallies.entry(asked).or_default();
+    fn record_tally(&self, asked: Asked, verdict: Verdict, took: Duration) {
+        let mut observations = self.observations.lock().unwrap();
+        let tally = observations.tallies.entry(asked).or_default();
         tally.asked += 1;
         match verdict {
             Verdict::InTime => {}
@@ -273,24 +280,24 @@
         }
     }
 
-    /// Nothing is owed by a process that was not ready yet, or that was killed, stopped or cut off before the due time;
-    /// nor on a connection that was dialled after SIGTERM, if it was refused or the process has ended by itself.
-    fn is_excused(&self, question: &Question, answer: Answer) -> bool {
-        let processes = self.timeline.processes(question.coordinator);
-        let Some(process) = processes.get(question.process) else { return true };
-        let due = question.sent.at + question.due;
-        let was_ready = process.ready.is_some_and(|ready| ready <= question.sent.at);
+    /// Whether a missing or late answer is excused: the process was not ready yet, or was killed, stopped or disconnected
+    /// before the due time; or the connection was opened after SIGTERM, and was refused or the process has exited.
+    fn is_excused(&self, request: &Request, answer: Answer) -> bool {
+        let processes = self.timeline.processes(request.coordinator);
+        let Some(process) = processes.get(request.process) else { return true };
+        let due = request.sent.at + request.due;
+        let was_ready = process.ready.is_some_and(|ready| ready <= request.sent.at);
         let was_killed = process.killed.is_some_and(|killed| killed <= due);
-        let came_after_signal = process.terminated.is_some_and(|at| question.opened >= at);
+        let came_after_signal = process.terminated.is_some_and(|at| request.opened >= at);
         let has_ended = process.ended.is_some() || answer == Answer::Refused;
-        let was_present = self.timeline.was_present(question.coordinator, question.sent.at, due);
-        !was_ready || was_killed || came_after_signal && has_ended || !was_present
+        let was_reachable = self.timeline.was_reachable(request.coordinator, request.sent.at, due);
+        !was_ready || was_killed || came_after_signal && has_ended || !was_reachable
     }
 
-    /// The tallies and findings so far, and how many findings were not kept.
+    /// The tallies and findings so far, and the number of findings that were dropped.
     pub fn results(&self) -> (BTreeMap<Asked, Tally>, Vec<Finding>, u64) {
-        let seen = self.seen.lock().unwrap();
-        (seen.tallies.clone(), seen.findings.clone(), seen.dropped)
+        let observations = self.observations.lock().unwrap();
+        (observations.tallies.clone(), observations.findings.clone(), observations.dropped)
     }
 }
 
