--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -20,7 +20,7 @@
 use craneknot_node::shell::StartError;
 use craneknot_reactor::{SignalFlags, SteadyClock};
 use craneknot_rehearsal::conduct::{Kept, Programs};
-use craneknot_rehearsal::soak::{Day, Load, SoakSettings};
+use craneknot_rehearsal::soak::{Load, Scenario, SoakSettings};
 use craneknot_rehearsal::Script;
 use craneknot_settings::{load, schema_text, AgentSettings, CoordinatorSettings, Problems};
 use serde::Serialize;
@@ -360,7 +360,7 @@
             let kept = tempfile::tempdir().map_err(system)?;
             let settings = SoakSettings {
                 seed,
-                day: if incident { Day::Incident } else { Day::Random },
+                scenario: if incident { Scenario::Incident } else { Scenario::Random },
                 nodes: usize::from(nodes),
                 length: Duration::from_secs(seconds),
                 load: Load { busy: usize::from(busy), throttled: throttle },
--- a/crates/craneknot-cli/tests/soak.rs
+++ b/crates/craneknot-cli/tests/soak.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use craneknot_rehearsal::soak::{run, schedule, Day, Load, SoakSettings};
+use craneknot_rehearsal::soak::{run, schedule, Load, Scenario, SoakSettings};
 
 mod helpers;
 use helpers::fault_library;
@@ -13,18 +13,18 @@
 
 #[test]
 fn one_seed_gives_one_schedule() {
-    let first = schedule::draw(7, 10, 12, LENGTH, Day::Random);
+    let first = schedule::draw(7, 10, 12, LENGTH, Scenario::Random);
     assert!(first.len() > 20, "{} faults", first.len());
-    assert_eq!(first, schedule::draw(7, 10, 12, LENGTH, Day::Random));
-    assert_ne!(first, schedule::draw(8, 10, 12, LENGTH, Day::Random));
+    assert_eq!(first, schedule::draw(7, 10, 12, LENGTH, Scenario::Random));
+    assert_ne!(first, schedule::draw(8, 10, 12, LENGTH, Scenario::Random));
 }
 
 /// Plays a soak of this program; nothing may be broken.
-fn plays_without_a_break(seed: u64, day: Day, length: Duration) {
+fn plays_without_a_break(seed: u64, day: Scenario, length: Duration) {
     let folder = tempfile::tempdir().unwrap();
     let settings = SoakSettings {
         seed,
-        day,
+        scenario: day,
         nodes: 10,
         length,
         load: Load::default(),
@@ -35,10 +35,10 @@
     let report = run(&settings).unwrap();
     assert!(report.answered > 1_000, "seed {seed}: {} heartbeats answered", report.answered);
     assert!(
-        report.broken.is_empty(),
+        report.violations.is_empty(),
         "{day:?} day, craneknot soak --seed {seed} --nodes 10 --seconds {}\n{}\n{}",
         length.as_secs(),
-        report.broken.join("\n"),
+        report.violations.join("\n"),
         report.schedule.join("\n")
     );
 }
@@ -46,7 +46,7 @@
 #[test]
 fn the_invariants_hold_in_random_faults_that_overlap() {
     for seed in [1, 2] {
-        plays_without_a_break(seed, Day::Random, LENGTH);
+        plays_without_a_break(seed, Scenario::Random, LENGTH);
     }
 }
 
@@ -54,5 +54,5 @@
 /// the users reported on leaves proxies without a line on it.
 #[test]
 fn the_invariants_hold_on_the_incident_day() {
-    plays_without_a_break(2, Day::Incident, INCIDENT_LENGTH);
+    plays_without_a_break(2, Scenario::Incident, INCIDENT_LENGTH);
 }
--- a/crates/craneknot-rehearsal/src/soak/clients.rs
+++ b/crates/craneknot-rehearsal/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a node: some ask for signs of life again and again, on connections that they keep or open anew, in one piece
-//! or in halves; collectors report; crowds come and say nothing.
+//! Clients of a node: some send heartbeats over kept or new connections, whole or in two writes; collectors
+//! send reports; bursts of clients connect at once, and some clients stay silent.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
@@ -12,91 +12,97 @@
 use rand_pcg::Pcg32;
 
 use super::fleet::{Fleet, CLASSES, ZONES};
-use super::node::Life;
-use super::oracle::{Answer, Oracle, Reply, Request};
+use super::invariants::{Answer, InvariantChecker, Reply, Request};
+use super::node::ProcessHistory;
 
 const HEARTBEAT: &[u8] = b"{\"type\":\"hb\"}\n";
-const PATIENCE: Duration = Duration::from_secs(6); // for an answer; longer than any pause and crowd
-const REDIAL: Duration = Duration::from_millis(20); // after a connection was refused or has ended
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-const CROWD_GONE_WITHIN: Duration = Duration::from_secs(6); // clients that say nothing are closed by then
-const READY_LOOK: Duration = Duration::from_millis(10); // between looks for an address
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6); // longer than any pause and burst
+const RECONNECT_DELAY: Duration = Duration::from_millis(20); // after a refused or closed connection
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const SILENT_CLOSE_DEADLINE: Duration = Duration::from_secs(6); // silent connections are closed by then
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What all clients of one node share.
+/// State shared by all clients of one node.
 #[derive(Clone)]
-pub struct Surroundings {
+pub struct ClientContext {
     pub node: usize,
-    pub life: Arc<Mutex<Life>>,
-    pub oracle: Arc<Oracle>,
-    pub over: Arc<AtomicBool>,
+    pub history: Arc<Mutex<ProcessHistory>>,
+    pub checker: Arc<InvariantChecker>,
+    pub finished: Arc<AtomicBool>,
 }
 
-impl Surroundings {
-    fn life(&self) -> Life {
-        self.life.lock().unwrap().clone()
+impl ClientContext {
+    fn history(&self) -> ProcessHistory {
+        self.history.lock().unwrap().clone()
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::Relaxed)
     }
 
-    fn judge(&self, what: &str, request: Request, reply: Reply) {
+    fn check_reply(&self, request_kind: &str, request: Request, reply: Reply) {
         if reply.answer == Answer::Answered {
-            let mut life = self.life.lock().unwrap();
-            if life.epoch == request.epoch {
-                life.ready = true;
-                life.ready_at = life.ready_at.or_else(|| Some(Instant::now()));
+            let mut history = self.history.lock().unwrap();
+            if history.epoch == request.epoch {
+                history.ready = true;
+                history.ready_at = history.ready_at.or_else(|| Some(Instant::now()));
             }
         }
-        // What ended with the soak is nobody's fault.
-        if !self.is_over() {
-            self.oracle.judge(self.node, what, request, &self.life(), reply);
+        // Requests that were in flight at the end of the soak are not checked.
+        if !self.is_finished() {
+            self.checker.check_reply(self.node, request_kind, request, &self.history(), reply);
         }
     }
 }
 
-/// A connection to one process.
+/// A connection to one process of the node.
 struct Connection {
     reader: BufReader<TcpStream>,
     epoch: u64,
     opened: Instant,
-    oracle: Arc<Oracle>,
+    checker: Arc<InvariantChecker>,
 }
 
 impl Connection {
-    fn open(around: &Surroundings) -> Option<Self> {
-        let life = around.life();
-        let stream = life.address.and_then(|address| TcpStream::connect(address).ok())?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    fn open(context: &ClientContext) -> Option<Self> {
+        let history = context.history();
+        let stream = history.address.and_then(|address| TcpStream::connect(address).ok())?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
-        let (reader, oracle) = (BufReader::new(stream), around.oracle.clone());
-        Some(Connection { reader, epoch: life.epoch, opened: Instant::now(), oracle })
+        let (reader, checker) = (BufReader::new(stream), context.checker.clone());
+        Some(Connection { reader, epoch: history.epoch, opened: Instant::now(), checker })
     }
 
-    /// A request on it whose last byte is written now.
+    /// A request whose last byte is written now.
     fn request(&self) -> Request {
-        let machine_late = self.oracle.lateness.total();
-        let on_ended = self.has_ended();
-        Request { epoch: self.epoch, opened: self.opened, sent: Instant::now(), machine_late, on_ended }
+        let machine_lateness = self.checker.lateness.total();
+        let connection_had_ended = self.is_closed_by_peer();
+        Request {
+            epoch: self.epoch,
+            opened: self.opened,
+            sent: Instant::now(),
+            machine_lateness,
+            connection_had_ended,
+        }
     }
 
     fn write(&mut self, bytes: &[u8]) -> bool {
         self.reader.get_mut().write_all(bytes).is_ok()
     }
 
-    /// Whether the other side had ended it by now: what is written then is a request to nobody.
-    fn has_ended(&self) -> bool {
+    /// Whether the peer has already closed the connection, so that nobody receives a request written now.
+    fn is_closed_by_peer(&self) -> bool {
         let stream = self.reader.get_ref();
         if stream.set_nonblocking(true).is_err() {
             return true;
         }
         let peeked = stream.peek(&mut [0; 1]);
         let is_open = stream.set_nonblocking(false).is_ok();
-        let waits = peeked.as_ref().is_err_and(|cause| cause.kind() == ErrorKind::WouldBlock);
-        !is_open || !waits && !matches!(peeked, Ok(count) if count > 0)
+        let would_block = peeked.as_ref().is_err_and(|cause| cause.kind() == ErrorKind::WouldBlock);
+        !is_open || !would_block && !matches!(peeked, Ok(count) if count > 0)
     }
 
-    fn answer(&mut self) -> Reply {
+    fn read_reply(&mut self) -> Reply {
         let mut line = String::new();
         let answer = match self.reader.read_line(&mut line) {
             Ok(count) if count > 0 && line.contains("hb_ok") => Answer::Answered,
@@ -110,79 +116,80 @@
     }
 }
 
-/// Asks until the soak is over.
-pub fn ask(around: &Surroundings, seed: u64) {
+/// Sends heartbeats until the soak ends.
+pub fn send_heartbeats(context: &ClientContext, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut connection: Option<Connection> = None;
-    while !around.is_over() {
+    while !context.is_finished() {
         let Some(open) = connection.as_mut() else {
-            connection = Connection::open(around);
+            connection = Connection::open(context);
             if connection.is_none() {
-                thread::sleep(REDIAL);
+                thread::sleep(RECONNECT_DELAY);
             }
             continue;
         };
-        let cut = if rng.random_bool(0.4) { rng.random_range(1..HEARTBEAT.len()) } else { HEARTBEAT.len() };
+        let first_part =
+            if rng.random_bool(0.4) { rng.random_range(1..HEARTBEAT.len()) } else { HEARTBEAT.len() };
         let (mut rest, mut written) = (HEARTBEAT, true);
-        if cut < HEARTBEAT.len() {
-            written = open.write(&HEARTBEAT[..cut]);
-            rest = &HEARTBEAT[cut..];
+        if first_part < HEARTBEAT.len() {
+            written = open.write(&HEARTBEAT[..first_part]);
+            rest = &HEARTBEAT[first_part..];
             thread::sleep(Duration::from_millis(rng.random_range(0..40)));
         }
         let request = open.request();
         if !written || !open.write(rest) {
-            // It had ended before the request was whole.
+            // The connection was closed before the request was complete.
             connection = None;
-            thread::sleep(REDIAL);
+            thread::sleep(RECONNECT_DELAY);
             continue;
         }
-        let last = rng.random_bool(0.1);
-        if last {
+        let is_last = rng.random_bool(0.1);
+        if is_last {
             let _ = open.reader.get_ref().shutdown(Shutdown::Write);
         }
-        let reply = open.answer();
-        around.judge("a heartbeat", request, reply);
-        if last || reply.answer != Answer::Answered || rng.random_bool(0.1) {
+        let reply = open.read_reply();
+        context.check_reply("a heartbeat", request, reply);
+        if is_last || reply.answer != Answer::Answered || rng.random_bool(0.1) {
             connection = None;
         }
         thread::sleep(Duration::from_millis(rng.random_range(0..120)));
     }
 }
 
-/// Reports for a zone, and asks for a sign of life now and then, until the soak is over.
-pub fn collect(around: &Surroundings, zone: &str, fleet: &Mutex<Fleet>) {
+/// Sends reports for a zone, and a heartbeat in every second round, until the soak ends.
+pub fn run_collector(context: &ClientContext, zone: &str, fleet: &Mutex<Fleet>) {
     let mut connection: Option<Connection> = None;
     let mut round = 0;
-    while !around.is_over() {
+    while !context.is_finished() {
         let Some(open) = connection.as_mut() else {
-            connection = Connection::open(around);
+            connection = Connection::open(context);
             if let Some(open) = connection.as_mut() {
                 open.write(format!("{{\"type\":\"telemetry\",\"locality\":\"{zone}\"}}\n").as_bytes());
             }
-            thread::sleep(REDIAL);
+            thread::sleep(RECONNECT_DELAY);
             continue;
         };
         round += 1;
-        let written = open.write(reports(zone, around.node, fleet).as_bytes());
-        let asks = round % 2 == 0;
+        let written = open.write(report_lines(zone, context.node, fleet).as_bytes());
+        let sends_heartbeat = round % 2 == 0;
         let request = open.request();
-        if !written || asks && !open.write(HEARTBEAT) {
+        if !written || sends_heartbeat && !open.write(HEARTBEAT) {
             connection = None;
             continue;
         }
-        if asks {
-            let reply = open.answer();
-            around.judge("a collector's heartbeat", request, reply);
+        if sends_heartbeat {
+            let reply = open.read_reply();
+            context.check_reply("a collector's heartbeat", request, reply);
             if reply.answer != Answer::Answered {
                 connection = None;
             }
         }
-        thread::sleep(REPORT_EVERY);
+        thread::sleep(REPORT_INTERVAL);
     }
 }
 
-/// What a zone's proxies met, and what came to them.
-fn reports(zone: &str, node: usize, fleet: &Mutex<Fleet>) -> String {
+/// Load reports of a zone: the outcomes that its proxies observed per server, and their operations per class.
+fn report_lines(zone: &str, node: usize, fleet: &Mutex<Fleet>) -> String {
     let fleet = fleet.lock().unwrap();
     let mut lines = String::new();
     for server in fleet.servers.iter().filter(|server| server.phase == "SERVING") {
@@ -203,60 +210,66 @@
     lines
 }
 
-/// Connections made now, of which each is to ask once; written at once, answered when [`CrowdOfAskers::judge`] is
-/// called.
-pub struct CrowdOfAskers {
-    around: Surroundings,
-    waiting: Vec<(Connection, Request)>,
+/// Connections opened together that each send one heartbeat at once; the replies are read by
+/// [`HeartbeatBurst::check_replies`].
+pub struct HeartbeatBurst {
+    context: ClientContext,
+    sent: Vec<(Connection, Request)>,
 }
 
-impl CrowdOfAskers {
-    /// Opens so many connections, and asks on each.
-    pub fn come(around: &Surroundings, count: usize) -> Self {
-        let asked = (0..count).filter_map(|_| {
-            let mut open = Connection::open(around)?;
+impl HeartbeatBurst {
+    /// Opens `count` connections and sends a heartbeat on each.
+    pub fn open(context: &ClientContext, count: usize) -> Self {
+        let requests = (0..count).filter_map(|_| {
+            let mut open = Connection::open(context)?;
             let request = open.request();
             open.write(HEARTBEAT).then_some((open, request))
         });
-        CrowdOfAskers { around: around.clone(), waiting: asked.collect() }
+        HeartbeatBurst { context: context.clone(), sent: requests.collect() }
     }
 
-    /// Waits for the answers, for each by itself, so that none is read later than it came.
-    pub fn judge(self) {
-        let around = &self.around;
+    /// Waits for each reply in a thread of its own, so that none is read later than it arrived.
+    pub fn check_replies(self) {
+        let context = &self.context;
         thread::scope(|scope| {
-            for (mut open, request) in self.waiting {
-                scope.spawn(move || around.judge("a crowd's heartbeat", request, open.answer()));
+            for (mut open, request) in self.sent {
+                scope
+                    .spawn(move || context.check_reply("a heartbeat of a burst", request, open.read_reply()));
             }
         });
     }
 }
 
-/// Connections that say nothing: each is closed or told why in time, unless its process ends.
-pub fn come_silently(around: &Surroundings, count: usize) {
-    let silent: Vec<(Connection, Instant)> =
-        (0..count).filter_map(|_| Some((Connection::open(around)?, Instant::now()))).collect();
-    for (mut open, came) in silent {
+/// Opens connections that send nothing: unless its process ends, the node must close each in time or state why
+/// it rejects it.
+pub fn check_silent_connections(context: &ClientContext, count: usize) {
+    let connections: Vec<(Connection, Instant)> =
+        (0..count).filter_map(|_| Some((Connection::open(context)?, Instant::now()))).collect();
+    for (mut open, opened) in connections {
         let mut line = String::new();
-        let ended = open.reader.read_line(&mut line).is_ok() || came.elapsed() < PATIENCE;
-        let life = around.life();
-        let runs_on = life.epoch == open.epoch && life.terminated.is_none() && life.killed.is_none();
-        let is_late = !ended || came.elapsed() > CROWD_GONE_WITHIN;
-        let was_paused = life.last_paused().is_some_and(|until| until > came);
-        if is_late && runs_on && !was_paused && !around.is_over() {
-            around.oracle.broken(format!("node {}: a silent client stayed", around.node));
+        let was_closed = open.reader.read_line(&mut line).is_ok() || opened.elapsed() < ANSWER_TIMEOUT;
+        let history = context.history();
+        let is_running =
+            history.epoch == open.epoch && history.terminated.is_none() && history.killed.is_none();
+        let is_late = !was_closed || opened.elapsed() > SILENT_CLOSE_DEADLINE;
+        let was_paused = history.last_pause_end().is_some_and(|until| until > opened);
+        if is_late && is_running && !was_paused && !context.is_finished() {
+            context.checker.report_violation(format!(
+                "node {}: a silent connection was not closed in time",
+                context.node
+            ));
         }
     }
 }
 
-/// Waits until a process answers; when it did not by then, false.
-pub fn await_ready(around: &Surroundings, most: Duration) -> bool {
-    let until = Instant::now() + most;
-    while Instant::now() < until && !around.is_over() {
-        if around.life().ready {
+/// Waits until the process has answered a heartbeat; returns false on a timeout.
+pub fn await_ready(context: &ClientContext, timeout: Duration) -> bool {
+    let until = Instant::now() + timeout;
+    while Instant::now() < until && !context.is_finished() {
+        if context.history().ready {
             return true;
         }
-        thread::sleep(READY_LOOK);
+        thread::sleep(READY_POLL_INTERVAL);
     }
-    around.life().ready
+    context.history().ready
 }
--- a/crates/craneknot-rehearsal/src/soak/fault_proxy.rs
+++ b/crates/craneknot-rehearsal/src/soak/fault_proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy between a node and one neighbour that cuts, stalls, resets, splits and delays at any byte.
+//! A TCP proxy between a node and the relay or discovery, which stalls, resets, refuses, splits and delays
+//! connections at any byte.
 
 use std::collections::BTreeSet;
 use std::io::{self, Read, Write};
@@ -9,35 +10,35 @@
 
 use super::schedule::NetworkFault;
 
-const LOOK_EVERY: Duration = Duration::from_millis(5); // how soon a stalled connection sees that the fault is over
-const READ_BEFORE_RESET: Duration = Duration::from_millis(20);
-const IDLE_READ: Duration = Duration::from_millis(50); // how long a read waits before it looks at the faults again
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+const RESET_DELAY: Duration = Duration::from_millis(20);
+const READ_TIMEOUT: Duration = Duration::from_millis(50); // between checks for a change of the fault
 
 #[derive(Default)]
 struct State {
     fault: Option<NetworkFault>,
-    /// Bytes that may cross before a reset.
-    left: usize,
-    /// Connections that are open, by their numbers.
-    open: BTreeSet<u64>,
+    /// Bytes that may still pass before a reset.
+    bytes_until_reset: usize,
+    /// The numbers of the open connections.
+    open_connections: BTreeSet<u64>,
     next_connection: u64,
-    /// One connection is struck alone.
+    /// The connection that alone has a fault.
     lagging: Option<Lagging>,
-    /// No new connection is taken, and open ones end: the neighbour has moved away.
+    /// New connections are closed and open ones are reset: the upstream address has moved.
     closed: bool,
 }
 
-/// One connection that lags behind and then breaks.
+/// A connection that stalls and is then reset.
 #[derive(Clone, Copy)]
 struct Lagging {
     connection: u64,
-    /// Nothing crosses yet.
-    is_held: bool,
-    /// Bytes that cross once it is let go, before the reset.
-    left: usize,
+    /// Nothing passes yet.
+    is_stalled: bool,
+    /// Bytes that pass after the stall, before the reset.
+    bytes_until_reset: usize,
 }
 
-/// A proxy on a port of its own. It takes connections until it is closed.
+/// A proxy on a port of its own, which accepts connections until it is closed.
 #[derive(Clone)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -45,59 +46,63 @@
 }
 
 impl FaultProxy {
-    /// Listens, and passes on to `upstream`.
+    /// Starts to listen, and forwards connections to `upstream`.
     pub fn start(upstream: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let proxy = FaultProxy { address: listener.local_addr()?, state: Arc::default() };
-        let own = proxy.clone();
+        let acceptor = proxy.clone();
         thread::spawn(move || {
-            while !own.is_closed() {
-                // Out of descriptors for a moment: the peer waits in the backlog.
-                let Ok((near, _)) = listener.accept() else {
-                    thread::sleep(LOOK_EVERY);
+            while !acceptor.is_closed() {
+                // The process is out of descriptors for a moment; the peer waits in the backlog.
+                let Ok((client, _)) = listener.accept() else {
+                    thread::sleep(ACCEPT_RETRY_DELAY);
                     continue;
                 };
-                if own.is_closed() {
+                if acceptor.is_closed() {
                     return;
                 }
-                if own.fault() == Some(NetworkFault::Refuse) {
-                    reset(&near);
+                if acceptor.fault() == Some(NetworkFault::Refuse) {
+                    reset(&client);
                     continue;
                 }
-                if let Ok(far) = TcpStream::connect(upstream) {
-                    own.pass(near, far);
+                if let Ok(server) = TcpStream::connect(upstream) {
+                    acceptor.forward_connection(client, server);
                 }
             }
         });
         Ok(proxy)
     }
 
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Strikes all connections with a fault, or ends it.
-    pub fn set(&self, fault: Option<NetworkFault>) {
+    /// Applies a fault to all connections, or to one for [`NetworkFault::LagOne`]; `None` ends it.
+    pub fn set_fault(&self, fault: Option<NetworkFault>) {
         let mut state = self.state.lock().unwrap();
-        state.left = match fault {
+        state.bytes_until_reset = match fault {
             Some(NetworkFault::ResetAfter(bytes)) => bytes,
             _ => 0,
         };
         if let Some(NetworkFault::LagOne { place, bytes }) = fault {
-            let open: Vec<u64> = state.open.iter().copied().collect();
-            let connection = open.get(place % open.len().max(1)).copied();
-            state.lagging = connection.map(|connection| Lagging { connection, is_held: true, left: bytes });
+            let open_connections: Vec<u64> = state.open_connections.iter().copied().collect();
+            let connection = open_connections.get(place % open_connections.len().max(1)).copied();
+            state.lagging = connection.map(|connection| Lagging {
+                connection,
+                is_stalled: true,
+                bytes_until_reset: bytes,
+            });
         } else if let Some(lagging) = &mut state.lagging {
-            lagging.is_held = false;
+            lagging.is_stalled = false;
         }
         state.fault = fault;
     }
 
-    /// Takes no more connections and ends the open ones.
+    /// Accepts no more connections and resets the open ones.
     pub fn close(&self) {
         self.state.lock().unwrap().closed = true;
-        // The accept that waits sees it then.
+        // Wakes the blocked accept, which then sees the flag.
         let _ = TcpStream::connect(self.address);
     }
 
@@ -109,24 +114,24 @@
         self.state.lock().unwrap().closed
     }
 
-    fn pass(&self, near: TcpStream, far: TcpStream) {
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let connection = self.opened();
-        let (near, far) = (Arc::new(near), Arc::new(far));
-        let (up, down) = (self.clone(), self.clone());
-        let (near_too, far_too) = (near.clone(), far.clone());
+    fn forward_connection(&self, client: TcpStream, server: TcpStream) {
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let connection = self.register_connection();
+        let (client, server) = (Arc::new(client), Arc::new(server));
+        let (upload, download) = (self.clone(), self.clone());
+        let (client_reader, server_reader) = (client.clone(), server.clone());
         thread::spawn(move || {
-            up.copy(connection, &near, &far);
-            up.state.lock().unwrap().open.remove(&connection);
+            upload.copy(connection, &client, &server);
+            upload.state.lock().unwrap().open_connections.remove(&connection);
         });
-        thread::spawn(move || down.copy(connection, &far_too, &near_too));
+        thread::spawn(move || download.copy(connection, &server_reader, &client_reader));
     }
 
-    fn opened(&self) -> u64 {
+    fn register_connection(&self) -> u64 {
         let mut state = self.state.lock().unwrap();
         state.next_connection += 1;
         let connection = state.next_connection;
-        state.open.insert(connection);
+        state.open_connections.insert(connection);
         connection
     }
 
@@ -134,10 +139,10 @@
         self.state.lock().unwrap().lagging.filter(|lagging| lagging.connection == connection)
     }
 
-    /// Copies one direction until an end or a fault ends it.
+    /// Copies one direction until the connection ends or a fault ends it.
     fn copy(&self, connection: u64, mut from: &TcpStream, to: &TcpStream) {
         let mut buffer = [0; 16 * 1024];
-        let _ = from.set_read_timeout(Some(IDLE_READ));
+        let _ = from.set_read_timeout(Some(READ_TIMEOUT));
         loop {
             if self.is_closed() || self.fault() == Some(NetworkFault::Refuse) {
                 reset(from);
@@ -159,9 +164,9 @@
                 }
             };
             let mut bytes = buffer[..count].to_vec();
-            // What its sender gave up while nothing crossed is never delivered.
-            let is_wanted = self.hold(connection, from, &mut bytes);
-            if !is_wanted || self.forward(connection, &bytes, to).is_err() {
+            // Data whose sender closed its connection during the stall is never delivered.
+            let sender_is_present = self.buffer_while_stalled(connection, from, &mut bytes);
+            if !sender_is_present || self.forward(connection, &bytes, to).is_err() {
                 reset(from);
                 reset(to);
                 return;
@@ -169,15 +174,15 @@
         }
     }
 
-    fn is_held(&self, connection: u64) -> bool {
-        let is_lagging = self.lagging(connection).is_some_and(|lagging| lagging.is_held);
+    fn is_stalled(&self, connection: u64) -> bool {
+        let is_lagging = self.lagging(connection).is_some_and(|lagging| lagging.is_stalled);
         !self.is_closed() && (is_lagging || self.fault() == Some(NetworkFault::Stall))
     }
 
-    /// Gathers what comes while nothing crosses; whether the sender is still there at the end.
-    fn hold(&self, connection: u64, mut from: &TcpStream, bytes: &mut Vec<u8>) -> bool {
+    /// Buffers incoming bytes during a stall; returns whether the sender is still connected at the end.
+    fn buffer_while_stalled(&self, connection: u64, mut from: &TcpStream, bytes: &mut Vec<u8>) -> bool {
         let mut buffer = [0; 16 * 1024];
-        while self.is_held(connection) {
+        while self.is_stalled(connection) {
             match from.read(&mut buffer) {
                 Ok(0) => return false,
                 Ok(count) => bytes.extend_from_slice(&buffer[..count]),
@@ -191,9 +196,9 @@
 
     fn forward(&self, connection: u64, bytes: &[u8], mut to: &TcpStream) -> io::Result<()> {
         if let Some(lagging) = self.lagging(connection) {
-            to.write_all(&bytes[..lagging.left.min(bytes.len())])?;
-            // What has crossed is read before the reset, which takes what waits with it.
-            thread::sleep(READ_BEFORE_RESET);
+            to.write_all(&bytes[..lagging.bytes_until_reset.min(bytes.len())])?;
+            // Lets the peer read what has passed, because the reset discards unread bytes.
+            thread::sleep(RESET_DELAY);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         match self.fault() {
@@ -205,9 +210,9 @@
             }
             Some(NetworkFault::Split) => bytes.iter().try_for_each(|byte| to.write_all(&[*byte])),
             Some(NetworkFault::ResetAfter(_)) => {
-                let part = self.take_left(bytes.len());
-                to.write_all(&bytes[..part])?;
-                if part < bytes.len() {
+                let allowed = self.take_bytes_before_reset(bytes.len());
+                to.write_all(&bytes[..allowed])?;
+                if allowed < bytes.len() {
                     return Err(io::ErrorKind::ConnectionReset.into());
                 }
                 Ok(())
@@ -215,15 +220,15 @@
         }
     }
 
-    fn take_left(&self, wanted: usize) -> usize {
+    fn take_bytes_before_reset(&self, requested: usize) -> usize {
         let mut state = self.state.lock().unwrap();
-        let part = state.left.min(wanted);
-        state.left -= part;
-        part
+        let allowed = state.bytes_until_reset.min(requested);
+        state.bytes_until_reset -= allowed;
+        allowed
     }
 }
 
-/// Ends a connection as a machine does that dies.
+/// Resets a connection, as happens when a machine crashes.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
--- a/crates/craneknot-rehearsal/src/soak/fleet.rs
+++ b/crates/craneknot-rehearsal/src/soak/fleet.rs
@@ -1,28 +1,29 @@
-//! What relay and discovery know: which proxy is joined to which node, what each was ordered, and the list of servers.
+//! The state behind relay and discovery: which proxy has joined which node, the orders applied for it, and the list
+//! of servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// One server as listed.
+/// A server as listed.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub id: String,
     pub zone: &'static str,
     pub phase: &'static str,
-    /// The version of the list that brought this.
+    /// The version of the list in which it last changed.
     pub version: u64,
-    /// When it started, in milliseconds since 1970; 0: long ago.
+    /// Its start in milliseconds since 1970; 0 stands for long ago.
     pub started: u64,
-    /// The same by the clock that nobody steps; nothing: long ago.
+    /// The same by the monotonic clock; `None`: it started before the soak.
     pub started_at: Option<Instant>,
 }
 
-/// What may become of a server.
+/// The phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 impl Phase {
@@ -30,13 +31,13 @@
         match self {
             Phase::Ready => "SERVING",
             Phase::Draining => "DRAINING",
-            Phase::Gone => "DELETED",
+            Phase::Removed => "DELETED",
         }
     }
 }
 
-/// A list as JSON.
-fn list_of<'a>(version: u64, complete: bool, servers: impl Iterator<Item = &'a Server>) -> String {
+/// A list in discovery's JSON format.
+fn list_json<'a>(version: u64, complete: bool, servers: impl Iterator<Item = &'a Server>) -> String {
     let entry = |server: &Server| {
         format!(
             "{{\"id\":\"{}\",\"host_port\":\"127.0.0.1:1\",\"locality\":\"{}\",\"flavor\":\"m2\",\"cell\":0,\
@@ -48,57 +49,57 @@
     format!("{{\"revision\":{version},\"complete\":{complete},\"members\":[{}]}}", entries.join(","))
 }
 
-/// What one node's proxies hold.
+/// What the proxies of one node hold.
 #[derive(Default)]
 pub struct Holdings {
-    /// When each joined proxy joined.
+    /// By proxy: the time of its join.
     pub joined: BTreeMap<u16, Instant>,
-    /// By proxy and class: its table.
-    pub bound: BTreeMap<(u16, String), u16>,
-    /// By table: its lines.
+    /// By proxy and class: the bound table.
+    pub bindings: BTreeMap<(u16, String), u16>,
+    /// By table: its lines, as weights by server.
     pub tables: BTreeMap<u16, BTreeMap<String, f64>>,
-    /// News not told yet, by stream.
+    /// Events not sent yet, by stream.
     pub streams: BTreeMap<u64, Vec<String>>,
-    /// The last mark of this process, and what was out of order.
+    /// The last mark of this process.
     pub last_mark: Option<u16>,
 }
 
-/// All of it.
+/// The state of the whole fleet.
 pub struct Fleet {
     pub servers: Vec<Server>,
     pub version: u64,
     pub holdings: Vec<Holdings>,
-    /// By node: since when it knows of each server that drains or is gone.
-    pub known_lost: Vec<BTreeMap<String, Instant>>,
-    /// By node: the list as it was last told, whatever process of the node heard it.
-    pub told: Vec<BTreeMap<String, Server>>,
-    /// The zone that is lost for now: its servers are gone, and stay so.
+    /// By node: since when it has known each server that is draining or removed.
+    pub known_unavailable: Vec<BTreeMap<String, Instant>>,
+    /// By node: the list sent to it last, to whichever of its processes.
+    pub sent_lists: Vec<BTreeMap<String, Server>>,
+    /// The zone that is lost at present: its servers are removed and stay so.
     lost_zone: Option<usize>,
-    /// Discovery answers whole lists, and how late.
-    pub answer_whole: bool,
+    /// Whether discovery answers with full lists only, and by how long it delays its answers.
+    pub answer_full_list: bool,
     pub lag: Duration,
-    /// What the relay saw that may not be.
-    pub broken: Vec<String>,
+    /// Violations that the relay saw.
+    pub violations: Vec<String>,
     next_stream: u64,
 }
 
 pub const CLASSES: [&str; 2] = ["lookup", "issue"];
 pub const ZONES: [&str; 2] = ["a", "b"];
-const LAST_RELEASE: Duration = Duration::from_secs(1_800); // before the soak: all servers started then
-/// The class that may run in one zone alone, and that zone's place.
+const SERVER_AGE_AT_START: Duration = Duration::from_secs(1_800);
+/// The class that is confined to one zone, and the index of that zone.
 pub const ONLY_ZONE_CLASS: &str = "issue";
 pub const ONLY_ZONE: usize = 0;
 
-/// The place of a server's zone.
+/// The index of the zone of a server.
 pub fn zone_of(server: usize) -> usize {
     server % ZONES.len()
 }
 
 impl Fleet {
-    /// So many nodes, proxies and servers; proxies are joined to nodes in turn.
+    /// Creates a fleet; proxies are assigned to nodes in round-robin order.
     pub fn new(nodes: usize, proxies: u16, servers: usize) -> Self {
         let date = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let started = date.saturating_sub(LAST_RELEASE).as_millis() as u64;
+        let started = date.saturating_sub(SERVER_AGE_AT_START).as_millis() as u64;
         let server = |number: usize| Server {
             id: format!("s-{number:02}"),
             zone: ZONES[zone_of(number)],
@@ -108,80 +109,77 @@
             started_at: None,
         };
         let servers: Vec<Server> = (0..servers).map(server).collect();
-        let told: BTreeMap<String, Server> =
+        let sent_list: BTreeMap<String, Server> =
             servers.iter().map(|server| (server.id.clone(), server.clone())).collect();
         let mut fleet = Fleet {
             servers,
             version: 1,
             holdings: (0..nodes).map(|_| Holdings::default()).collect(),
-            known_lost: vec![BTreeMap::new(); nodes],
-            told: vec![told; nodes],
+            known_unavailable: vec![BTreeMap::new(); nodes],
+            sent_lists: vec![sent_list; nodes],
             lost_zone: None,
-            answer_whole: false,
+            answer_full_list: false,
             lag: Duration::ZERO,
-            broken: Vec::new(),
+            violations: Vec::new(),
             next_stream: 0,
         };
         (0..proxies).for_each(|proxy| fleet.join(proxy, usize::from(proxy) % nodes));
         fleet
     }
 
-    fn tell(&mut self, node: usize, event: &str) {
-        self.holdings[node].streams.values_mut().for_each(|waiting| waiting.push(event.to_owned()));
+    fn publish(&mut self, node: usize, event: &str) {
+        self.holdings[node].streams.values_mut().for_each(|pending| pending.push(event.to_owned()));
     }
 
-    fn attach_event(proxy: u16) -> String {
+    fn join_event(proxy: u16) -> String {
         let zone = ZONES[usize::from(proxy) % 2];
         format!("event: attach\ndata: node={proxy}&locality={zone}&w=3.5&cold=1\n\n")
     }
 
-    /// A proxy joins a node, with nothing of that node's tables.
+    /// A proxy joins a node, without a binding to any of its tables.
     pub fn join(&mut self, proxy: u16, node: usize) {
         let holdings = &mut self.holdings[node];
         holdings.joined.insert(proxy, Instant::now());
-        holdings.bound.retain(|(of, _), _| *of != proxy);
-        self.tell(node, &Self::attach_event(proxy));
+        holdings.bindings.retain(|(of, _), _| *of != proxy);
+        self.publish(node, &Self::join_event(proxy));
     }
 
-    /// A proxy leaves a node.
     pub fn leave(&mut self, proxy: u16, node: usize) {
         if self.holdings[node].joined.remove(&proxy).is_some() {
-            self.holdings[node].bound.retain(|(of, _), _| *of != proxy);
-            self.tell(node, &format!("event: detach\ndata: node={proxy}\n\n"));
+            self.holdings[node].bindings.retain(|(of, _), _| *of != proxy);
+            self.publish(node, &format!("event: detach\ndata: node={proxy}\n\n"));
         }
     }
 
-    /// The proxies joined to a node.
     pub fn joined(&self, node: usize) -> Vec<u16> {
         self.holdings[node].joined.keys().copied().collect()
     }
 
-    /// A node's process has ended: its tables and streams are lost.
+    /// Drops the tables and event streams of a node whose process has ended.
     pub fn process_ended(&mut self, node: usize) {
         let joined = std::mem::take(&mut self.holdings[node].joined);
         self.holdings[node] = Holdings { joined, ..Holdings::default() };
-        self.known_lost[node].clear();
+        self.known_unavailable[node].clear();
     }
 
-    /// A stream of news opens, and begins with what stands.
+    /// Opens an event stream, which begins with the proxies joined now.
     pub fn open_stream(&mut self, node: usize) -> u64 {
         self.next_stream += 1;
-        let standing = self.joined(node).into_iter().map(Self::attach_event).collect();
-        self.holdings[node].streams.insert(self.next_stream, standing);
+        let current = self.joined(node).into_iter().map(Self::join_event).collect();
+        self.holdings[node].streams.insert(self.next_stream, current);
         self.next_stream
     }
 
-    /// What a stream has to tell; nothing: the stream is over.
-    pub fn take_news(&mut self, node: usize, stream: u64) -> Option<Vec<String>> {
+    /// Takes the pending events of a stream; `None`: it is closed.
+    pub fn take_events(&mut self, node: usize, stream: u64) -> Option<Vec<String>> {
         self.holdings[node].streams.get_mut(&stream).map(std::mem::take)
     }
 
-    /// A stream has ended.
     pub fn close_stream(&mut self, node: usize, stream: u64) {
         self.holdings[node].streams.remove(&stream);
     }
 
-    /// Carries out orders up to the first that can't be used; how many were.
+    /// Applies orders up to the first invalid one; returns how many were applied.
     pub fn apply(&mut self, node: usize, orders: &[&str]) -> usize {
         orders.iter().take_while(|order| self.apply_one(node, order)).count()
     }
@@ -198,9 +196,9 @@
                 self.check_tries(node, classes, tries);
                 level.parse::<f64>().is_ok_and(|level| level >= 0.0)
             }
-            ["mark", mark, _] => mark.parse().is_ok_and(|mark: u16| self.mark(node, mark)),
+            ["mark", mark, _] => mark.parse().is_ok_and(|mark: u16| self.apply_mark(node, mark)),
             _ => {
-                self.broken.push(format!("node {node}: an order that is none: {order}"));
+                self.violations.push(format!("node {node}: unknown order: {order}"));
                 false
             }
         }
@@ -222,40 +220,43 @@
         let (proxy, table) = (proxy.parse::<u16>().ok()?, table.parse::<u16>().ok()?);
         let holdings = &mut self.holdings[node];
         holdings.joined.get(&proxy)?;
-        let named: BTreeSet<&str> =
+        let classes: BTreeSet<&str> =
             if classes == "*" { CLASSES.into() } else { classes.split('+').collect() };
-        for class in named {
-            holdings.bound.insert((proxy, class.to_owned()), table);
+        for class in classes {
+            holdings.bindings.insert((proxy, class.to_owned()), table);
         }
         Some(())
     }
 
-    /// What must not run twice is not to be tried again after any failure.
+    /// Operations that must not run twice may not be tried again after an arbitrary failure.
     fn check_tries(&mut self, node: usize, classes: &str, tries: &str) {
-        let names_unsafe = classes == "*" || classes.split('+').any(|class| class == "issue");
-        if names_unsafe && matches!(tries, "2" | "3") {
-            self.broken.push(format!("node {node}: what must not run twice is tried again ({tries})"));
+        let includes_single_shot = classes == "*" || classes.split('+').any(|class| class == "issue");
+        if includes_single_shot && matches!(tries, "2" | "3") {
+            self.violations.push(format!(
+                "node {node}: a class that must not run twice may be tried again after any failure ({tries})"
+            ));
         }
     }
 
-    /// Marks grow; one may come again where its call was made again.
-    fn mark(&mut self, node: usize, mark: u16) -> bool {
+    /// Marks increase; one is repeated when its call is repeated.
+    fn apply_mark(&mut self, node: usize, mark: u16) -> bool {
         let holdings = &mut self.holdings[node];
         if holdings.last_mark.is_some_and(|last| mark.wrapping_sub(last) > u16::MAX / 2) {
-            self.broken.push(format!("node {node}: mark {mark} after {:?}", holdings.last_mark));
+            self.violations
+                .push(format!("node {node}: mark {mark} after the higher mark {:?}", holdings.last_mark));
         }
         holdings.last_mark = Some(mark);
-        let answers: Vec<u16> = holdings.joined.keys().copied().collect();
-        for proxy in answers {
-            self.tell(node, &format!("event: done\ndata: node={proxy}&nonce={mark}&latency=100.0\n\n"));
+        let proxies: Vec<u16> = holdings.joined.keys().copied().collect();
+        for proxy in proxies {
+            self.publish(node, &format!("event: done\ndata: node={proxy}&nonce={mark}&latency=100.0\n\n"));
         }
         true
     }
 
-    /// A server's phase changes; one of a lost zone stays gone. `ready` has it start anew.
+    /// Changes the phase of a server; one of a lost zone stays removed. [`Phase::Ready`] is a new start.
     pub fn set_phase(&mut self, server: usize, phase: Phase) {
         let is_lost = self.lost_zone.is_some_and(|zone| zone_of(server) == zone);
-        if is_lost && phase != Phase::Gone {
+        if is_lost && phase != Phase::Removed {
             return;
         }
         self.version += 1;
@@ -268,16 +269,16 @@
         }
     }
 
-    /// The phases of several servers change in one step of the list.
+    /// Changes the phases of several servers in a single list update.
     pub fn set_phases(&mut self, servers: &[usize], phase: Phase) {
         servers.iter().for_each(|server| self.set_phase(*server, phase));
     }
 
-    /// A zone is lost: its servers are gone, and its proxies leave. Who they were.
+    /// Removes the servers of a zone, and its proxies leave their nodes; returns these proxies.
     pub fn lose_zone(&mut self, zone: usize) -> Vec<u16> {
         self.lost_zone = Some(zone);
         (0..self.servers.len()).filter(|server| zone_of(*server) == zone).for_each(|server| {
-            self.set_phase(server, Phase::Gone);
+            self.set_phase(server, Phase::Removed);
         });
         let mut left = Vec::new();
         for node in 0..self.holdings.len() {
@@ -290,34 +291,34 @@
         left
     }
 
-    /// The zone is back: all of its servers start anew.
-    pub fn regain_zone(&mut self, zone: usize) {
+    /// Ends the loss of a zone: all its servers start again.
+    pub fn restore_zone(&mut self, zone: usize) {
         self.lost_zone = None;
         (0..self.servers.len()).filter(|server| zone_of(*server) == zone).for_each(|server| {
             self.set_phase(server, Phase::Ready);
         });
     }
 
-    /// The list as JSON: whole, or what changed after a version.
+    /// The list as JSON: in full, or the changes after a version.
     pub fn list(&self, after: Option<u64>) -> String {
         let entries = self.servers.iter().filter(|server| match after {
             Some(version) => server.version > version,
             None => server.phase != "DELETED",
         });
-        list_of(self.version, after.is_none(), entries)
+        list_json(self.version, after.is_none(), entries)
     }
 
-    /// The list as JSON, as a node was told it last.
-    pub fn known(&self, node: usize) -> String {
-        let version = self.told[node].values().map(|server| server.version).max().unwrap_or(0);
-        let entries = self.told[node].values().filter(|server| server.phase != "DELETED");
-        list_of(version, true, entries)
+    /// The list that was sent to a node last, as JSON.
+    pub fn last_list_sent(&self, node: usize) -> String {
+        let version = self.sent_lists[node].values().map(|server| server.version).max().unwrap_or(0);
+        let entries = self.sent_lists[node].values().filter(|server| server.phase != "DELETED");
+        list_json(version, true, entries)
     }
 
-    /// A list was written to a node: from now on it knows who is lost.
-    pub fn list_told(&mut self, node: usize, listed: &[Server]) {
-        let known = &mut self.known_lost[node];
-        self.told[node] = listed.iter().map(|server| (server.id.clone(), server.clone())).collect();
+    /// Records that a list was sent to a node, which from now on knows the unavailable servers.
+    pub fn record_list_sent(&mut self, node: usize, listed: &[Server]) {
+        let known = &mut self.known_unavailable[node];
+        self.sent_lists[node] = listed.iter().map(|server| (server.id.clone(), server.clone())).collect();
         for server in listed {
             if server.phase == "SERVING" {
                 known.remove(&server.id);
--- a/crates/craneknot-rehearsal/src/soak/http.rs
+++ b/crates/craneknot-rehearsal/src/soak/http.rs
@@ -1,4 +1,4 @@
-//! Just enough of HTTP/1.1 for stand-ins that block: one request after another on a connection.
+//! A minimal blocking HTTP/1.1 server for the stand-ins, with sequential requests on each connection.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -6,61 +6,61 @@
 use std::thread;
 use std::time::Duration;
 
-const HEAD_MOST: usize = 16 * 1024; // bytes of a request's head
-const BODY_MOST: usize = 256 * 1024; // bytes of its body
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20); // after one failed: the peer waits in the backlog
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20); // after a failed accept; the peer waits in the backlog
 
-/// Listens on a port of the system's choice, with a thread for each connection; gives the address.
-pub fn serve(converse: impl Fn(TcpStream) + Send + Sync + 'static) -> io::Result<SocketAddr> {
+/// Listens on a free port with a thread for each connection; returns the address.
+pub fn serve(handle_connection: impl Fn(TcpStream) + Send + Sync + 'static) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-    let (address, converse) = (listener.local_addr()?, Arc::new(converse));
+    let (address, handle_connection) = (listener.local_addr()?, Arc::new(handle_connection));
     thread::spawn(move || loop {
         let Ok((stream, _)) = listener.accept() else {
-            thread::sleep(ACCEPT_AGAIN);
+            thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
-        let converse = converse.clone();
-        thread::spawn(move || converse(stream));
+        let handle_connection = handle_connection.clone();
+        thread::spawn(move || handle_connection(stream));
     });
     Ok(address)
 }
 
-/// A request as far as stand-ins look at it.
+/// The parts of a request that the stand-ins use.
 pub struct Request {
     pub path: String,
     pub body: Vec<u8>,
 }
 
-/// The next request; nothing: the peer has ended, or what came is none.
-pub fn read_request(stream: &mut TcpStream, rest: &mut Vec<u8>) -> Option<Request> {
+/// Reads the next request; `None`: the peer closed the connection, or the data is no valid request.
+pub fn read_request(stream: &mut TcpStream, unparsed: &mut Vec<u8>) -> Option<Request> {
     let mut buffer = [0; 16 * 1024];
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut parsed = httparse::Request::new(&mut headers);
-        if let Ok(httparse::Status::Complete(head)) = parsed.parse(rest) {
+        if let Ok(httparse::Status::Complete(head)) = parsed.parse(unparsed) {
             let length =
                 parsed.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
             let length = match length {
                 Some(header) => std::str::from_utf8(header.value).ok()?.trim().parse().ok()?,
                 None => 0_usize,
             };
-            if length <= BODY_MOST && rest.len() >= head + length {
+            if length <= MAX_BODY_BYTES && unparsed.len() >= head + length {
                 let path = parsed.path?.to_owned();
-                let body = rest[head..head + length].to_vec();
-                rest.drain(..head + length);
+                let body = unparsed[head..head + length].to_vec();
+                unparsed.drain(..head + length);
                 return Some(Request { path, body });
             }
         }
         let count = stream.read(&mut buffer).ok().filter(|count| *count > 0)?;
-        rest.extend_from_slice(&buffer[..count]);
-        if rest.len() > HEAD_MOST + BODY_MOST {
+        unparsed.extend_from_slice(&buffer[..count]);
+        if unparsed.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
             return None;
         }
     }
 }
 
-/// Writes a whole response.
+/// Writes a complete response.
 pub fn respond(stream: &mut TcpStream, status: &str, body: &str) -> io::Result<()> {
     let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     stream.write_all(text.as_bytes())
--- a/crates/craneknot-rehearsal/src/soak/play.rs
+++ b/crates/craneknot-rehearsal/src/soak/injection.rs
@@ -1,4 +1,4 @@
-//! Plays the faults of a schedule on a soak's processes, network and list.
+//! Injects the scheduled faults into the processes, the network and the server list of a soak.
 
 use std::sync::atomic::Ordering;
 use std::sync::Mutex;
@@ -7,30 +7,30 @@
 
 use rustix::process::Signal;
 
-use super::clients::{come_silently, CrowdOfAskers};
+use super::clients::{check_silent_connections, HeartbeatBurst};
 use super::fault_proxy::FaultProxy;
 use super::fleet::{zone_of, Fleet, Phase};
-use super::hold_ups::Span;
-use super::node::{Life, Node};
+use super::node::{Node, ProcessHistory};
 use super::run::Soak;
 use super::schedule::{self, Fault, ListChange, Neighbour, Planned, Restart, RestartForm, ZoneRestart};
+use super::spans::Span;
 
-const REDIAL_AFTER: Duration = Duration::from_millis(300); // proxies whose coordinator is gone join another
-const OLD_ADDRESS_ENDS: Duration = Duration::from_millis(1_500); // after a reload, as on the platform
-const CROWD_LASTS: Duration = Duration::from_secs(4); // the largest crowd at the node with the fewest descriptors
-const THROTTLE_STOPPED: Duration = Duration::from_millis(15); // of each cycle
-const THROTTLE_RUNNING: Duration = Duration::from_millis(5); // the rest of it
+const REJOIN_DELAY: Duration = Duration::from_millis(300); // until proxies of a closed coordinator join another
+const OLD_ADDRESS_LIFETIME: Duration = Duration::from_millis(1_500); // after a reload, as on the platform
+const BURST_DURATION: Duration = Duration::from_secs(4); // for the largest burst at the node with the fewest sockets
+const THROTTLE_STOP_TIME: Duration = Duration::from_millis(15); // of each cycle
+const THROTTLE_RUN_TIME: Duration = Duration::from_millis(5); // the rest of the cycle
 
 impl Soak {
-    /// A fault touches a node from now on for so long.
-    fn disturb(&self, node: usize, span: Duration) {
+    /// Records that a fault affects a node from now on, for the span given.
+    fn record_fault(&self, node: usize, span: Duration) {
         let from = Instant::now();
-        self.around[node].life.lock().unwrap().disturbed.push(Span::closed(from, from + span));
+        self.contexts[node].history.lock().unwrap().fault_spans.push(Span::closed(from, from + span));
     }
 
-    pub(super) fn play(&mut self, planned: &Planned) {
+    pub(super) fn inject(&mut self, planned: &Planned) {
         let number = planned.node;
-        self.oracle.faults.begins(planned, Instant::now());
+        self.checker.faults.record(planned, Instant::now());
         match planned.fault {
             Fault::Kill { back_after } => self.kill(number, Duration::from_millis(back_after)),
             Fault::Terminate { again, crowd } => {
@@ -40,7 +40,7 @@
             Fault::Pause { millis } => self.pause(number, Duration::from_millis(millis)),
             Fault::Network { of, fault, millis } => {
                 let span = Duration::from_millis(millis);
-                self.disturb(number, span);
+                self.record_fault(number, span);
                 let node = self.nodes[number].lock().unwrap();
                 let proxies = match of {
                     Neighbour::Relay => vec![node.relay.clone()],
@@ -48,21 +48,22 @@
                     Neighbour::Both => vec![node.relay.clone(), node.discovery.clone()],
                 };
                 drop(node);
-                proxies.iter().for_each(|proxy| proxy.set(Some(fault)));
-                self.tasks.push(thread::spawn(move || {
+                proxies.iter().for_each(|proxy| proxy.set_fault(Some(fault)));
+                self.threads.push(thread::spawn(move || {
                     thread::sleep(span);
-                    proxies.iter().for_each(|proxy| proxy.set(None));
+                    proxies.iter().for_each(|proxy| proxy.set_fault(None));
                 }));
             }
             Fault::Crowd { asking, silent } => {
-                let around = self.around[number].clone();
+                let context = self.contexts[number].clone();
                 let from = Instant::now();
-                around.life.lock().unwrap().crowded.push(Span::closed(from, from + CROWD_LASTS));
-                self.tasks.push(thread::spawn(move || {
-                    let quiet = around.clone();
-                    let quiet = thread::spawn(move || come_silently(&quiet, silent));
-                    CrowdOfAskers::come(&around, asking).judge();
-                    let _ = quiet.join();
+                context.history.lock().unwrap().bursts.push(Span::closed(from, from + BURST_DURATION));
+                self.threads.push(thread::spawn(move || {
+                    let silent_clients = context.clone();
+                    let silent_clients =
+                        thread::spawn(move || check_silent_connections(&silent_clients, silent));
+                    HeartbeatBurst::open(&context, asking).check_replies();
+                    let _ = silent_clients.join();
                 }));
             }
             Fault::MoveAll => self.move_all(number),
@@ -70,17 +71,17 @@
             Fault::StepClock { seconds } => {
                 let _ = self.nodes[number].lock().unwrap().step_clock(seconds);
             }
-            Fault::List(change) => self.change_list(change),
+            Fault::List(change) => self.change_server_list(change),
             Fault::Throttle { millis } => self.throttle(number, Duration::from_millis(millis)),
             Fault::LoseZone { zone, millis } => self.lose_zone(number, zone, Duration::from_millis(millis)),
         }
     }
 
-    /// Has the proxies of a node join others a moment later.
-    fn scatter(&mut self, number: usize) {
+    /// Moves the proxies of a node to other nodes a moment later.
+    fn move_proxies_to_others(&mut self, number: usize) {
         let (fleet, nodes) = (self.fleet.clone(), self.nodes.len());
-        self.tasks.push(thread::spawn(move || {
-            thread::sleep(REDIAL_AFTER);
+        self.threads.push(thread::spawn(move || {
+            thread::sleep(REJOIN_DELAY);
             let mut fleet = fleet.lock().unwrap();
             for (place, proxy) in fleet.joined(number).into_iter().enumerate() {
                 fleet.leave(proxy, number);
@@ -89,60 +90,60 @@
         }));
     }
 
-    /// Kills a process if it runs, and starts another later.
-    fn replace(&mut self, number: usize, after: Duration) {
+    /// Kills the process of a node if it runs, and starts another one later.
+    fn kill_and_restart(&mut self, number: usize, after: Duration) {
         let (node, fleet) = (self.nodes[number].clone(), self.fleet.clone());
-        let (oracle, over) = (self.oracle.clone(), self.over.clone());
-        let life = self.around[number].life.clone();
+        let (checker, finished) = (self.checker.clone(), self.finished.clone());
+        let history = self.contexts[number].history.clone();
         node.lock().unwrap().kill();
         fleet.lock().unwrap().process_ended(number);
-        let epoch = life.lock().unwrap().epoch;
-        self.tasks.push(thread::spawn(move || {
+        let epoch = history.lock().unwrap().epoch;
+        self.threads.push(thread::spawn(move || {
             thread::sleep(after);
             let mut node = node.lock().unwrap();
-            let is_replaced = life.lock().unwrap().epoch != epoch;
-            if over.load(Ordering::Relaxed) || is_replaced {
+            let was_replaced = history.lock().unwrap().epoch != epoch;
+            if finished.load(Ordering::Relaxed) || was_replaced {
                 return;
             }
-            oracle.starts.fetch_add(1, Ordering::Relaxed);
-            if let Err(cause) = node.start(&oracle) {
-                oracle.broken(format!("node {number}: the soak can't start it: {cause}"));
+            checker.starts.fetch_add(1, Ordering::Relaxed);
+            if let Err(cause) = node.start(&checker) {
+                checker.report_violation(format!("node {number}: failed to start: {cause}"));
             }
         }));
     }
 
     fn kill(&mut self, number: usize, back_after: Duration) {
-        self.replace(number, back_after);
-        self.scatter(number);
+        self.kill_and_restart(number, back_after);
+        self.move_proxies_to_others(number);
     }
 
     fn terminate(&mut self, number: usize, again: Option<Duration>, crowd: usize) {
-        let (node, around) = (self.nodes[number].clone(), self.around[number].clone());
+        let (node, context) = (self.nodes[number].clone(), self.contexts[number].clone());
         let is_running = {
-            let life = around.life.lock().unwrap();
-            life.address.is_some() && life.terminated.is_none() && life.killed.is_none()
+            let history = context.history.lock().unwrap();
+            history.address.is_some() && history.terminated.is_none() && history.killed.is_none()
         };
         if !is_running {
             return;
         }
-        let come = (crowd > 0).then(|| {
-            stop(&node, &around.life);
-            CrowdOfAskers::come(&around, crowd)
+        let burst = (crowd > 0).then(|| {
+            pause_process(&node, &context.history);
+            HeartbeatBurst::open(&context, crowd)
         });
-        around.life.lock().unwrap().terminated = Some(Instant::now());
+        context.history.lock().unwrap().terminated = Some(Instant::now());
         {
             let node = node.lock().unwrap();
             node.signal(Signal::TERM);
             node.signal(Signal::CONT);
-            around.life.lock().unwrap().end_pauses();
+            context.history.lock().unwrap().end_open_pauses();
         }
-        if let Some(come) = come {
-            self.tasks.push(thread::spawn(move || come.judge()));
+        if let Some(burst) = burst {
+            self.threads.push(thread::spawn(move || burst.check_replies()));
         }
-        self.scatter(number);
-        let (fleet, oracle, over) = (self.fleet.clone(), self.oracle.clone(), self.over.clone());
-        let epoch = around.life.lock().unwrap().epoch;
-        self.tasks.push(thread::spawn(move || {
+        self.move_proxies_to_others(number);
+        let (fleet, checker, finished) = (self.fleet.clone(), self.checker.clone(), self.finished.clone());
+        let epoch = context.history.lock().unwrap().epoch;
+        self.threads.push(thread::spawn(move || {
             let kill_after = schedule::kill_after_term();
             if let Some(again) = again {
                 thread::sleep(again);
@@ -150,27 +151,27 @@
             }
             thread::sleep(kill_after.saturating_sub(again.unwrap_or_default()));
             let mut node = node.lock().unwrap();
-            if around.life.lock().unwrap().epoch != epoch {
+            if context.history.lock().unwrap().epoch != epoch {
                 return;
             }
             node.kill();
             fleet.lock().unwrap().process_ended(number);
-            if !over.load(Ordering::Relaxed) {
-                oracle.starts.fetch_add(1, Ordering::Relaxed);
-                if let Err(cause) = node.start(&oracle) {
-                    oracle.broken(format!("node {number}: the soak can't start it: {cause}"));
+            if !finished.load(Ordering::Relaxed) {
+                checker.starts.fetch_add(1, Ordering::Relaxed);
+                if let Err(cause) = node.start(&checker) {
+                    checker.report_violation(format!("node {number}: failed to start: {cause}"));
                 }
             }
         }));
     }
 
-    /// Relay and discovery move to other addresses.
+    /// Moves relay and discovery of a node to other addresses and reloads its configuration.
     fn reload(&mut self, number: usize, half: bool) {
         let upstream = &self.upstream[number];
         let moved = (FaultProxy::start(upstream[&true]), FaultProxy::start(upstream[&false]));
         let (Ok(relay), Ok(discovery)) = moved else { return };
-        self.disturb(number, OLD_ADDRESS_ENDS + Duration::from_secs(4));
-        let is_listening = self.around[number].life.lock().unwrap().address.is_some();
+        self.record_fault(number, OLD_ADDRESS_LIFETIME + Duration::from_secs(4));
+        let is_listening = self.contexts[number].history.lock().unwrap().address.is_some();
         let mut node = self.nodes[number].lock().unwrap();
         let old =
             [std::mem::replace(&mut node.relay, relay), std::mem::replace(&mut node.discovery, discovery)];
@@ -182,56 +183,56 @@
             thread::sleep(Duration::from_millis(20));
         }
         let _ = node.write_configuration(false);
-        // The platform sends none before a process is ready.
+        // The platform sends no SIGHUP before a process is ready.
         if is_listening {
             node.signal(Signal::HUP);
         }
-        self.tasks.push(thread::spawn(move || {
-            thread::sleep(OLD_ADDRESS_ENDS);
+        self.threads.push(thread::spawn(move || {
+            thread::sleep(OLD_ADDRESS_LIFETIME);
             old.iter().for_each(FaultProxy::close);
         }));
     }
 
     fn pause(&mut self, number: usize, span: Duration) {
-        self.disturb(number, span);
-        let (node, life) = (self.nodes[number].clone(), self.around[number].life.clone());
-        stop(&node, &life);
-        self.tasks.push(thread::spawn(move || {
+        self.record_fault(number, span);
+        let (node, history) = (self.nodes[number].clone(), self.contexts[number].history.clone());
+        pause_process(&node, &history);
+        self.threads.push(thread::spawn(move || {
             thread::sleep(span);
             let node = node.lock().unwrap();
             node.signal(Signal::CONT);
-            life.lock().unwrap().end_pauses();
+            history.lock().unwrap().end_open_pauses();
         }));
     }
 
-    /// Stops a process for most of each short cycle. That excuses nothing: a quarter of a core has to do.
+    /// Stops a process for most of each short cycle. This excuses no late answer: a quarter of a core must suffice.
     fn throttle(&mut self, number: usize, span: Duration) {
-        let (node, life) = (self.nodes[number].clone(), self.around[number].life.clone());
-        let (over, until) = (self.over.clone(), Instant::now() + span);
-        self.tasks.push(thread::spawn(move || {
+        let (node, history) = (self.nodes[number].clone(), self.contexts[number].history.clone());
+        let (finished, until) = (self.finished.clone(), Instant::now() + span);
+        self.threads.push(thread::spawn(move || {
             let signal_if_not_paused = |signal: Signal| {
                 let node = node.lock().unwrap();
-                if !life.lock().unwrap().is_paused() {
+                if !history.lock().unwrap().is_paused() {
                     node.signal(signal);
                 }
             };
-            while Instant::now() < until && !over.load(Ordering::Relaxed) {
+            while Instant::now() < until && !finished.load(Ordering::Relaxed) {
                 signal_if_not_paused(Signal::STOP);
-                thread::sleep(THROTTLE_STOPPED);
+                thread::sleep(THROTTLE_STOP_TIME);
                 signal_if_not_paused(Signal::CONT);
-                thread::sleep(THROTTLE_RUNNING);
+                thread::sleep(THROTTLE_RUN_TIME);
             }
         }));
     }
 
-    /// All proxies of a node leave it, and come again.
+    /// All proxies of a node leave it and join it again after `away`.
     fn reconnect(&mut self, number: usize, away: Duration) {
         let fleet = self.fleet.clone();
-        let mut held = self.fleet.lock().unwrap();
-        let left = held.joined(number);
-        left.iter().for_each(|proxy| held.leave(*proxy, number));
-        drop(held);
-        self.tasks.push(thread::spawn(move || {
+        let mut locked_fleet = self.fleet.lock().unwrap();
+        let left = locked_fleet.joined(number);
+        left.iter().for_each(|proxy| locked_fleet.leave(*proxy, number));
+        drop(locked_fleet);
+        self.threads.push(thread::spawn(move || {
             thread::sleep(away);
             let mut fleet = fleet.lock().unwrap();
             left.iter().for_each(|proxy| fleet.join(*proxy, number));
@@ -248,13 +249,13 @@
         }
     }
 
-    fn change_list(&mut self, change: ListChange) {
+    fn change_server_list(&mut self, change: ListChange) {
         let fleet = self.fleet.clone();
-        self.tasks.push(thread::spawn(move || match change {
+        self.threads.push(thread::spawn(move || match change {
             ListChange::AnswerWhole => {
-                fleet.lock().unwrap().answer_whole = true;
+                fleet.lock().unwrap().answer_full_list = true;
                 thread::sleep(Duration::from_secs(3));
-                fleet.lock().unwrap().answer_whole = false;
+                fleet.lock().unwrap().answer_full_list = false;
             }
             ListChange::Lag(millis) => {
                 fleet.lock().unwrap().lag = Duration::from_millis(millis);
@@ -266,16 +267,16 @@
         }));
     }
 
-    /// A zone is lost with a node; its proxies come back where nodes run by then.
+    /// A zone is lost together with a node; its proxies come back to the nodes that run by then.
     fn lose_zone(&mut self, number: usize, zone: usize, span: Duration) {
-        self.replace(number, span);
+        self.kill_and_restart(number, span);
         let left = self.fleet.lock().unwrap().lose_zone(zone);
-        self.scatter(number);
+        self.move_proxies_to_others(number);
         let (fleet, nodes) = (self.fleet.clone(), self.nodes.len());
-        self.tasks.push(thread::spawn(move || {
+        self.threads.push(thread::spawn(move || {
             thread::sleep(span);
             let mut fleet = fleet.lock().unwrap();
-            fleet.regain_zone(zone);
+            fleet.restore_zone(zone);
             for proxy in left {
                 fleet.join(proxy, (number + 1 + usize::from(proxy) % (nodes - 1).max(1)) % nodes);
             }
@@ -283,30 +284,30 @@
     }
 }
 
-/// Stops a process until it is told to go on.
-fn stop(node: &Mutex<Node>, life: &Mutex<Life>) {
+/// Stops a process with SIGSTOP until it is continued.
+fn pause_process(node: &Mutex<Node>, history: &Mutex<ProcessHistory>) {
     let node = node.lock().unwrap();
-    life.lock().unwrap().begin_pause();
+    history.lock().unwrap().begin_pause();
     node.signal(Signal::STOP);
 }
 
-/// Servers restart together, each phase in one step of the list.
+/// Servers restart together, with one list update for each phase.
 fn restart_servers(fleet: &Mutex<Fleet>, restart: Restart) {
     let all = fleet.lock().unwrap().servers.len();
     let servers: Vec<usize> = (0..restart.count).map(|place| (restart.first + place) % all).collect();
-    let enter = |phase| fleet.lock().unwrap().set_phases(&servers, phase);
+    let set_phase = |phase| fleet.lock().unwrap().set_phases(&servers, phase);
     if restart.form != RestartForm::ReadyAtOnce {
-        enter(Phase::Draining);
+        set_phase(Phase::Draining);
         thread::sleep(Duration::from_millis(restart.draining));
     }
     if restart.form == RestartForm::DrainingGoneReady {
-        enter(Phase::Gone);
+        set_phase(Phase::Removed);
         thread::sleep(Duration::from_millis(restart.gone));
     }
-    enter(Phase::Ready);
+    set_phase(Phase::Ready);
 }
 
-/// The servers of a zone restart in place, a step of the list for each wave.
+/// The servers of a zone restart in place, with one list update for each wave.
 fn restart_zone(fleet: &Mutex<Fleet>, restart: ZoneRestart) {
     let all = fleet.lock().unwrap().servers.len();
     let zone: Vec<usize> = (0..all).filter(|server| zone_of(*server) == restart.zone).collect();
--- a/crates/craneknot-rehearsal/src/soak/load.rs
+++ b/crates/craneknot-rehearsal/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! Load beside a soak: threads that spin until it is over.
+//! Processor load during a soak: threads that spin until they are stopped.
 
 use std::hint;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,48 +6,48 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What a soak has to bear beside its faults.
+/// Load in addition to the faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Threads that spin.
+    /// The number of threads that spin.
     pub busy: usize,
-    /// Each node has a quarter of a core over a drawn span.
+    /// Each node gets a quarter of a core for a time drawn from the seed.
     pub throttled: bool,
 }
 
-/// Threads that spin until this is dropped, or for the time given at most.
+/// Threads that spin until this is dropped, for a limited time.
 pub struct BusyThreads {
-    over: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl BusyThreads {
-    /// Starts so many, each for so long at most.
-    pub fn start(count: usize, most: Duration) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let until = Instant::now() + most;
+    /// Starts `count` threads, each for `max_duration` at most.
+    pub fn start(count: usize, max_duration: Duration) -> Self {
+        let finished = Arc::new(AtomicBool::new(false));
+        let until = Instant::now() + max_duration;
         let threads = (0..count).map(|_| {
-            let over = over.clone();
-            thread::spawn(move || spin(&over, until))
+            let finished = finished.clone();
+            thread::spawn(move || spin(&finished, until))
         });
-        BusyThreads { threads: threads.collect(), over }
+        BusyThreads { threads: threads.collect(), finished }
     }
 
-    /// How many still spin.
+    /// The number of threads that still spin.
     pub fn running(&self) -> usize {
         self.threads.iter().filter(|thread| !thread.is_finished()).count()
     }
 }
 
-fn spin(over: &AtomicBool, until: Instant) {
-    while !over.load(Ordering::Relaxed) && Instant::now() < until {
+fn spin(finished: &AtomicBool, until: Instant) {
+    while !finished.load(Ordering::Relaxed) && Instant::now() < until {
         hint::spin_loop();
     }
 }
 
 impl Drop for BusyThreads {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.finished.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
--- a/crates/craneknot-rehearsal/src/soak/mod.rs
+++ b/crates/craneknot-rehearsal/src/soak/mod.rs
@@ -1,10 +1,11 @@
 //! A randomized fault soak of `craneknot node`: real processes among stand-ins of relay, discovery, collectors and
-//! clients, with faults that overlap in time and the invariants as the oracle.
+//! clients, with overlapping random faults and checks of the invariants.
 //!
-//! [`schedule`] draws all faults from one seed. [`fleet`] is what relay and discovery know, [`relay`] and [`discovery`]
-//! put it on sockets, [`fault_proxy`] stands between them and each node. [`clients`] ask for signs of life and report.
-//! [`oracle`] judges what the peers saw, by [`hold_ups`] and [`active_faults`], [`coverage`] what proxies hold; [`node`] keeps the processes; [`run`] raises it all
-//! and plays the schedule, beside a [`load`].
+//! [`schedule`] draws all faults from one seed. [`fleet`] holds the state of relay and discovery, [`relay`] and
+//! [`discovery`] serve it on sockets, and [`fault_proxy`] sits between them and each node. [`clients`] send heartbeats
+//! and reports. [`invariants`] checks what the peers observed, using [`spans`] and [`active_faults`]; [`coverage`]
+//! checks what proxies hold. [`node`] manages the processes. [`run`] starts everything and injects the scheduled
+//! faults, with an optional [`load`].
 
 pub mod active_faults;
 pub mod clients;
@@ -12,16 +13,16 @@
 pub mod discovery;
 pub mod fault_proxy;
 pub mod fleet;
-pub mod hold_ups;
 pub(crate) mod http;
+mod injection;
+pub mod invariants;
 pub mod load;
 pub mod node;
-pub mod oracle;
-mod play;
 pub mod relay;
 pub mod run;
 pub mod schedule;
+pub mod spans;
 
 pub use load::Load;
 pub use run::{run, SoakReport, SoakSettings};
-pub use schedule::Day;
+pub use schedule::Scenario;
--- a/crates/craneknot-rehearsal/src/soak/schedule/incident.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule/incident.rs
@@ -1,26 +1,28 @@
-//! The incident's own faults: a release in place without end, one coordinator killed, a zone lost with a second while the
-//! third is absent too, all proxies at the first, and its planned restart.
+//! The faults of the incident scenario: an endless release in place, one coordinator killed, a zone lost with a second
+//! while the third is absent too, all proxies at the first, and its planned restart.
 
 use std::ops::Range;
 
 use rand::Rng;
 use rand_pcg::Pcg32;
 
-use super::{restart, Fault, ListChange, Neighbour, NetworkFault, Planned, ZoneRestart, TOGETHER_MOST};
+use super::{
+    restart, Fault, ListChange, Neighbour, NetworkFault, Planned, ZoneRestart, SERVERS_PER_STEP_BOUND,
+};
 use crate::soak::fleet::ONLY_ZONE;
 
-const RELEASE_STEP: Range<u64> = 610..640; // ms; between two steps of the release
-const MOVED_AFTER: u64 = 400; // ms; after the loss, all proxies are at the first coordinator
-const MOVED_BEFORE: u64 = 550; // ms; before its planned restart, they move on
-const BACK_AFTER_KILL: u64 = 500; // ms
-const WAVE_PAUSE: Range<u64> = 100..700; // ms; between two waves of a zone's restart
-const ABSENT_BEFORE: u64 = 500; // ms; at most, the third is absent before the zone is lost
+const RELEASE_STEP_MS: Range<u64> = 610..640; // between two steps of the release
+const MOVED_AFTER_MS: u64 = 400; // after the loss, all proxies are at the first coordinator
+const MOVED_BEFORE_MS: u64 = 550; // before its planned restart, its proxies move to another
+const BACK_AFTER_KILL_MS: u64 = 500;
+const WAVE_PAUSE_MS: Range<u64> = 100..700; // between two waves of a zone's restart
+const ABSENT_BEFORE_LOSS_MS: u64 = 500; // at most; how early the third coordinator is absent
 
-/// Draws them, in their order. The first node is one whose wall clock can be stepped. What `added` draws changes nothing
-/// that `rng` draws.
+/// Draws these faults. The first node is one whose wall clock can be stepped. Draws from `extra_rng` leave those from
+/// `rng` unchanged.
 pub(super) fn draw(
     rng: &mut Pcg32,
-    added: &mut Pcg32,
+    extra_rng: &mut Pcg32,
     nodes: usize,
     servers: usize,
     span: Range<u64>,
@@ -32,57 +34,57 @@
     let (killed, lost, back, restarted) = (at(35), at(60), at(80), at(85));
     let lose_zone = Fault::LoseZone { zone: rng.random_range(0..2), millis: back - lost };
     let mut planned = vec![
-        Planned { at: killed, node: first, fault: Fault::Kill { back_after: BACK_AFTER_KILL } },
+        Planned { at: killed, node: first, fault: Fault::Kill { back_after: BACK_AFTER_KILL_MS } },
         Planned { at: lost, node: second, fault: lose_zone },
-        Planned { at: lost + MOVED_AFTER, node: first, fault: Fault::MoveAll },
+        Planned { at: lost + MOVED_AFTER_MS, node: first, fault: Fault::MoveAll },
         Planned { at: restarted, node: first, fault: Fault::Terminate { again: None, crowd: 0 } },
     ];
     if rng.random_bool(0.5) {
         let seconds = if rng.random_bool(0.5) { 3_600 } else { -3_600 };
         planned.push(Planned { at: killed - 200, node: first, fault: Fault::StepClock { seconds } });
     }
-    planned.extend(release(added, servers, span));
+    planned.extend(release(extra_rng, servers, span));
     if let Some(third) = (0..nodes).find(|node| *node != first && *node != second) {
-        planned.push(absence(added, third, lost, back));
+        planned.push(absence(extra_rng, third, lost, back));
     }
-    if added.random_bool(0.5) {
-        planned.push(Planned { at: restarted - MOVED_BEFORE, node: second, fault: Fault::MoveAll });
+    if extra_rng.random_bool(0.5) {
+        planned.push(Planned { at: restarted - MOVED_BEFORE_MS, node: second, fault: Fault::MoveAll });
     }
-    // Before and while the first coordinator is away, as it is young, and as it gets all proxies.
-    let moments = [begin, killed - 300, killed + BACK_AFTER_KILL, lost + MOVED_AFTER];
-    let at = moments[added.random_range(0..moments.len())];
-    planned.push(Planned { at, node: first, fault: Fault::List(restart_zone(added)) });
+    // Before and during the absence of the first coordinator, soon after its start, and when it gets all proxies.
+    let moments = [begin, killed - 300, killed + BACK_AFTER_KILL_MS, lost + MOVED_AFTER_MS];
+    let at = moments[extra_rng.random_range(0..moments.len())];
+    planned.push(Planned { at, node: first, fault: Fault::List(restart_zone(extra_rng)) });
     planned
 }
 
-/// The only zone of a class starts anew: at once, all but one of its servers, or in waves.
+/// Restarts the only zone of a class: at once, all but one of its servers, or in waves.
 fn restart_zone(rng: &mut Pcg32) -> ListChange {
     let whole = ZoneRestart { zone: ONLY_ZONE, spared: 0, wave: usize::MAX, pause: 0 };
     ListChange::RestartZone(match rng.random_range(0..4) {
         0 | 1 => whole,
         2 => ZoneRestart { spared: 1, ..whole },
-        _ => ZoneRestart { wave: rng.random_range(1..4), pause: rng.random_range(WAVE_PAUSE), ..whole },
+        _ => ZoneRestart { wave: rng.random_range(1..4), pause: rng.random_range(WAVE_PAUSE_MS), ..whole },
     })
 }
 
-/// Servers restart in place in turn, some steps bring several, some none.
+/// Servers restart in place one after another; some steps restart several, others none.
 fn release(rng: &mut Pcg32, servers: usize, span: Range<u64>) -> Vec<Planned> {
     let (mut at, mut first, mut planned) = (span.start, 0, Vec::new());
     while at < span.end {
-        let count = rng.random_range(0..TOGETHER_MOST);
+        let count = rng.random_range(0..SERVERS_PER_STEP_BOUND);
         if count > 0 && rng.random_bool(0.5) {
             let fault = Fault::List(ListChange::Restart(restart(rng, first, count)));
             planned.push(Planned { at, node: 0, fault });
             first = (first + count) % servers;
         }
-        at += rng.random_range(RELEASE_STEP);
+        at += rng.random_range(RELEASE_STEP_MS);
     }
     planned
 }
 
-/// A node is absent while a zone is lost: killed, stopped, or its network is silent.
+/// A node is absent while a zone is lost: killed, stopped, or cut off from the network.
 fn absence(rng: &mut Pcg32, node: usize, lost: u64, back: u64) -> Planned {
-    let at = lost - rng.random_range(0..ABSENT_BEFORE);
+    let at = lost - rng.random_range(0..ABSENT_BEFORE_LOSS_MS);
     let millis = back - at;
     let fault = match rng.random_range(0..3) {
         0 => Fault::Kill { back_after: millis },
--- a/crates/craneknot-rehearsal/src/soak/hold_ups.rs
+++ b/crates/craneknot-rehearsal/src/soak/spans.rs
@@ -1,30 +1,30 @@
-//! Spans in which a process cannot answer through no fault of its own, and when an answer is due beyond them.
+//! Spans of time in which a process is unable to answer, and response deadlines that exclude them.
 
 use std::time::{Duration, Instant};
 
-/// A process that runs gives the final answer to a request within this.
-pub const ANSWERED_WITHIN: Duration = Duration::from_millis(500);
+/// A process that is able to run answers a request finally within this time.
+pub const RESPONSE_DEADLINE: Duration = Duration::from_millis(500);
 
-/// A span of time that may still be on.
+/// A span of time that may not have ended yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
     pub from: Instant,
-    /// Nothing: it is still on.
+    /// `None`: it has not ended yet.
     pub until: Option<Instant>,
 }
 
 impl Span {
-    /// One that begins now and has no known end.
+    /// A span without a known end.
     pub fn open(from: Instant) -> Self {
         Span { from, until: None }
     }
 
-    /// One with both ends.
+    /// A span with a known end.
     pub fn closed(from: Instant, until: Instant) -> Self {
         Span { from, until: Some(until) }
     }
 
-    /// Whether a moment lies within.
+    /// Whether a moment lies in the span.
     pub fn contains(&self, at: Instant) -> bool {
         self.from <= at && self.until.is_none_or(|until| at < until)
     }
@@ -34,18 +34,18 @@
     }
 }
 
-/// The latest end of some spans, as far as is known now.
-pub fn last_end(spans: &[Span], now: Instant) -> Option<Instant> {
+/// The latest end of the spans; one that is still open ends now.
+pub fn latest_end(spans: &[Span], now: Instant) -> Option<Instant> {
     spans.iter().map(|span| span.end(now)).max()
 }
 
-/// Ends the spans that are still on.
-pub fn close_all(spans: &mut [Span], now: Instant) {
+/// Ends the open spans.
+pub fn close_open_spans(spans: &mut [Span], now: Instant) {
     let open = spans.iter_mut().filter(|span| span.until.is_none());
     open.for_each(|span| span.until = Some(now));
 }
 
-/// How much of the time between two moments lies within some spans.
+/// The time between two moments that the spans cover.
 pub fn overlap(from: Instant, until: Instant, spans: &[Span]) -> Duration {
     let mut in_order = spans.to_vec();
     in_order.sort_by_key(|span| span.from);
@@ -59,11 +59,11 @@
     total
 }
 
-/// When the answer to a request is due: once its process has been able to run for [`ANSWERED_WITHIN`] since.
+/// When the answer to a request is due: once its process has been able to run for [`RESPONSE_DEADLINE`] after it.
 pub fn due_at(sent: Instant, spans: &[Span], now: Instant) -> Instant {
     let mut in_order = spans.to_vec();
     in_order.sort_by_key(|span| span.from);
-    let (mut due, mut counted) = (sent + ANSWERED_WITHIN, sent);
+    let (mut due, mut counted) = (sent + RESPONSE_DEADLINE, sent);
     for span in in_order {
         if span.from >= due {
             break;
--- a/crates/craneknot-rehearsal/src/trial/run.rs
+++ b/crates/craneknot-rehearsal/src/trial/run.rs
@@ -109,7 +109,7 @@
             let address = match settings.planted {
                 Some(PlantedBreak::LateAnswers) => {
                     let before = FaultProxy::start(address)?;
-                    before.set(Some(NetworkFault::Delay(PLANTED_DELAY)));
+                    before.set_fault(Some(NetworkFault::Delay(PLANTED_DELAY)));
                     before.address()
                 }
                 _ => address,
--- a/crates/craneknot-rehearsal/src/trial/stage.rs
+++ b/crates/craneknot-rehearsal/src/trial/stage.rs
@@ -155,7 +155,7 @@
         let coordinator = self.coordinators[number].lock().unwrap();
         match how {
             Absence::Stopped => coordinator.signal(Signal::STOP),
-            _ => coordinator.neighbours().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Stall))),
+            _ => coordinator.neighbours().iter().for_each(|proxy| proxy.set_fault(Some(NetworkFault::Stall))),
         }
         drop(coordinator);
         self.fleet.lock().unwrap().leave_all(number);
@@ -177,11 +177,11 @@
 
     /// Connections that were cut off are reset, and what was sent on them is lost; then new ones come up.
     fn reset_neighbours(&self, number: usize, coordinator: &Coordinator) {
-        coordinator.neighbours().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Refuse)));
+        coordinator.neighbours().iter().for_each(|proxy| proxy.set_fault(Some(NetworkFault::Refuse)));
         self.spawn(move |stage| {
             stage.sleep(RESET_LASTS);
             let coordinator = stage.coordinators[number].lock().unwrap();
-            coordinator.neighbours().iter().for_each(|proxy| proxy.set(None));
+            coordinator.neighbours().iter().for_each(|proxy| proxy.set_fault(None));
         });
     }
 
--- a/crates/craneknot-rehearsal/tests/answers.rs
+++ b/crates/craneknot-rehearsal/tests/answers.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use craneknot_rehearsal::soak::coverage::MachineLateness;
-use craneknot_rehearsal::soak::hold_ups::Span;
-use craneknot_rehearsal::soak::node::Life;
-use craneknot_rehearsal::soak::oracle::{Answer, Oracle, Reply, Request};
+use craneknot_rehearsal::soak::invariants::{Answer, InvariantChecker, Reply, Request};
+use craneknot_rehearsal::soak::node::ProcessHistory;
 use craneknot_rehearsal::soak::schedule::{Fault, Planned};
+use craneknot_rehearsal::soak::spans::Span;
 
 /// What an oracle counts after one request.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -26,30 +26,30 @@
 }
 
 fn request(sent: Instant) -> Request {
-    Request { epoch: 1, opened: sent, sent, machine_late: Duration::ZERO, on_ended: false }
+    Request { epoch: 1, opened: sent, sent, machine_lateness: Duration::ZERO, connection_had_ended: false }
 }
 
-fn counts(oracle: &Oracle) -> Counts {
+fn counts(oracle: &InvariantChecker) -> Counts {
     let count = |figure: &std::sync::atomic::AtomicU64| figure.load(Ordering::Relaxed);
     Counts {
         answered: count(&oracle.answered),
         after_sigterm: count(&oracle.answered_after_sigterm),
-        late: count(&oracle.late),
-        never: count(&oracle.never),
+        late: count(&oracle.answered_late),
+        never: count(&oracle.unanswered),
         rejected: count(&oracle.rejected),
         excused: count(&oracle.excused),
-        broken: oracle.all_broken().len(),
+        broken: oracle.violations().len(),
     }
 }
 
-fn judged(request: Request, life: &Life, answer: Answer, after: Duration) -> Counts {
-    let oracle = Oracle::new(MachineLateness::default());
-    oracle.judge(0, "a heartbeat", request, life, Reply { answer, at: request.sent + after });
+fn judged(request: Request, life: &ProcessHistory, answer: Answer, after: Duration) -> Counts {
+    let oracle = InvariantChecker::new(MachineLateness::default());
+    oracle.check_reply(0, "a heartbeat", request, life, Reply { answer, at: request.sent + after });
     counts(&oracle)
 }
 
-fn running() -> Life {
-    Life { epoch: 1, ready: true, ..Life::default() }
+fn running() -> ProcessHistory {
+    ProcessHistory { epoch: 1, ready: true, ..ProcessHistory::default() }
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let sent = Instant::now();
     let never = Counts { never: 1, broken: 1, ..Counts::default() };
     assert_eq!(judged(request(sent), &running(), Answer::Lost, millis(100)), never);
-    let killed_after = |after| Life { killed: Some(sent + after), ..running() };
+    let killed_after = |after| ProcessHistory { killed: Some(sent + after), ..running() };
     let excused = Counts { excused: 1, ..Counts::default() };
     assert_eq!(judged(request(sent), &killed_after(millis(499)), Answer::Lost, millis(499)), excused);
     assert_eq!(judged(request(sent), &killed_after(millis(501)), Answer::Lost, millis(501)), never);
@@ -79,19 +79,20 @@
 fn a_pause_excuses_no_more_than_its_own_length() {
     let sent = Instant::now();
     let paused = Span::closed(sent + millis(100), sent + millis(800));
-    let life = Life { paused: vec![paused], ..running() };
+    let life = ProcessHistory { pauses: vec![paused], ..running() };
     let in_time = Counts { answered: 1, ..Counts::default() };
     let late = Counts { late: 1, broken: 1, ..Counts::default() };
     assert_eq!(judged(request(sent), &life, Answer::Answered, millis(1_200)), in_time);
     assert_eq!(judged(request(sent), &life, Answer::Answered, millis(1_201)), late);
-    let later = Life { paused: vec![Span::closed(sent + millis(501), sent + millis(900))], ..running() };
+    let later =
+        ProcessHistory { pauses: vec![Span::closed(sent + millis(501), sent + millis(900))], ..running() };
     assert_eq!(judged(request(sent), &later, Answer::Answered, millis(900)), late);
 }
 
 #[test]
 fn a_client_that_gives_up_before_its_answer_is_due_tells_nothing() {
     let sent = Instant::now();
-    let life = Life { paused: vec![Span::open(sent)], ..running() };
+    let life = ProcessHistory { pauses: vec![Span::open(sent)], ..running() };
     let excused = Counts { excused: 1, ..Counts::default() };
     assert_eq!(judged(request(sent), &life, Answer::GivenUp, millis(6_000)), excused);
     let never = Counts { never: 1, broken: 1, ..Counts::default() };
@@ -104,7 +105,7 @@
     let sent = Instant::now();
     let first = Span::closed(sent, sent + millis(300));
     let second = Span::closed(sent + millis(200), sent + millis(400));
-    let life = Life { paused: vec![second, first], ..running() };
+    let life = ProcessHistory { pauses: vec![second, first], ..running() };
     assert_eq!(judged(request(sent), &life, Answer::Answered, millis(901)).late, 1);
     assert_eq!(judged(request(sent), &life, Answer::Answered, millis(900)).late, 0);
 }
@@ -113,7 +114,7 @@
 fn a_crowd_excuses_no_connection_that_was_open_before() {
     let opened = Instant::now();
     let crowd = Span::closed(opened + millis(100), opened + millis(4_100));
-    let life = Life { crowded: vec![crowd], ..running() };
+    let life = ProcessHistory { bursts: vec![crowd], ..running() };
     let open_before = Request { sent: opened + millis(200), ..request(opened) };
     assert_eq!(judged(open_before, &life, Answer::Answered, millis(501)).late, 1);
     let behind = request(opened + millis(200));
@@ -124,15 +125,15 @@
 fn a_late_answer_is_told_with_its_connection_and_the_faults_of_its_time() {
     let opened = Instant::now();
     let sent = opened + millis(3_000);
-    let oracle = Oracle::new(MachineLateness::default());
+    let oracle = InvariantChecker::new(MachineLateness::default());
     let before = Planned { at: 0, node: 2, fault: Fault::Pause { millis: 100 } };
     let meanwhile = Planned { at: 3_100, node: 4, fault: Fault::Kill { back_after: 500 } };
-    oracle.faults.begins(&before, opened);
-    oracle.faults.begins(&meanwhile, sent + millis(100));
+    oracle.faults.record(&before, opened);
+    oracle.faults.record(&meanwhile, sent + millis(100));
     let asked = Request { sent, ..request(opened) };
     let reply = Reply { answer: Answer::Answered, at: sent + millis(750) };
-    oracle.judge(4, "a heartbeat", asked, &running(), reply);
-    let told = oracle.all_broken().concat();
+    oracle.check_reply(4, "a heartbeat", asked, &running(), reply);
+    let told = oracle.violations().concat();
     for part in
         ["node 4", "answered late, after 750", "250.000ms past", "3.0s old", "Kill { back_after: 500 }"]
     {
@@ -144,20 +145,20 @@
 #[test]
 fn a_request_on_an_ended_connection_is_excused_after_sigterm_alone() {
     let opened = Instant::now();
-    let on_ended = Request { sent: opened + millis(60), on_ended: true, ..request(opened) };
+    let on_ended = Request { sent: opened + millis(60), connection_had_ended: true, ..request(opened) };
     let never = Counts { never: 1, broken: 1, ..Counts::default() };
     assert_eq!(judged(on_ended, &running(), Answer::Lost, millis(1)), never);
-    let terminated = Life { terminated: Some(opened + millis(50)), ..running() };
+    let terminated = ProcessHistory { terminated: Some(opened + millis(50)), ..running() };
     let excused = Counts { excused: 1, ..Counts::default() };
     assert_eq!(judged(on_ended, &terminated, Answer::Lost, millis(1)), excused);
-    let on_open = Request { on_ended: false, ..on_ended };
+    let on_open = Request { connection_had_ended: false, ..on_ended };
     assert_eq!(judged(on_open, &terminated, Answer::Lost, millis(1)), never);
 }
 
 #[test]
 fn an_answer_on_an_open_connection_after_sigterm_is_counted_apart() {
     let opened = Instant::now();
-    let life = Life { terminated: Some(opened + millis(50)), ..running() };
+    let life = ProcessHistory { terminated: Some(opened + millis(50)), ..running() };
     let asked = Request { sent: opened + millis(60), ..request(opened) };
     let expected = Counts { answered: 1, after_sigterm: 1, ..Counts::default() };
     assert_eq!(judged(asked, &life, Answer::Answered, millis(10)), expected);
