--- a/crates/craneknot-rehearsal/src/soak/fleet.rs
+++ b/crates/craneknot-rehearsal/src/soak/fleet.rs
@@ -83,7 +83,9 @@
     next_stream: u64,
 }
 
+/// The classes of the soak.
 pub const CLASSES: [&str; 2] = ["lookup", "issue"];
+/// The zones of the soak.
 pub const ZONES: [&str; 2] = ["a", "b"];
 const SERVER_AGE_AT_START: Duration = Duration::from_secs(1_800);
 /// The class that is confined to one zone, and the index of that zone.
@@ -144,6 +146,7 @@
         self.publish(node, &Self::join_event(proxy));
     }
 
+    /// A proxy leaves a node and loses its bindings there.
     pub fn leave(&mut self, proxy: u16, node: usize) {
         if self.holdings[node].joined.remove(&proxy).is_some() {
             self.holdings[node].bindings.retain(|(of, _), _| *of != proxy);
@@ -151,6 +154,7 @@
         }
     }
 
+    /// The proxies that have joined a node, in ascending order.
     pub fn joined(&self, node: usize) -> Vec<u16> {
         self.holdings[node].joined.keys().copied().collect()
     }
@@ -175,6 +179,7 @@
         self.holdings[node].streams.get_mut(&stream).map(std::mem::take)
     }
 
+    /// Closes an event stream and drops its pending events.
     pub fn close_stream(&mut self, node: usize, stream: u64) {
         self.holdings[node].streams.remove(&stream);
     }
--- a/crates/craneknot-rehearsal/src/soak/injection.rs
+++ b/crates/craneknot-rehearsal/src/soak/injection.rs
@@ -17,7 +17,7 @@
 
 const REJOIN_DELAY: Duration = Duration::from_millis(300); // until proxies of a closed coordinator join another
 const OLD_ADDRESS_LIFETIME: Duration = Duration::from_millis(1_500); // after a reload, as on the platform
-const BURST_DURATION: Duration = Duration::from_secs(4); // for the largest burst at the node with the fewest sockets
+const BURST_DURATION: Duration = Duration::from_secs(4); // for the largest burst at the node with the fewest descriptors
 const THROTTLE_STOP_TIME: Duration = Duration::from_millis(15); // of each cycle
 const THROTTLE_RUN_TIME: Duration = Duration::from_millis(5); // the rest of the cycle
 
@@ -28,6 +28,7 @@
         self.contexts[node].history.lock().unwrap().fault_spans.push(Span::closed(from, from + span));
     }
 
+    /// Injects one fault of the schedule.
     pub(super) fn inject(&mut self, planned: &Planned) {
         let number = planned.node;
         self.checker.faults.record(planned, Instant::now());
