--- a/crates/craneknot-rehearsal/src/trial/run.rs
+++ b/crates/craneknot-rehearsal/src/trial/run.rs
@@ -109,7 +109,7 @@
             let address = match settings.injected_fault {
                 Some(InjectedFault::LateAnswers) => {
                     let delay_proxy = FaultProxy::start(address)?;
-                    delay_proxy.set(Some(NetworkFault::Delay(INJECTED_DELAY_MS)));
+                    delay_proxy.set_fault(Some(NetworkFault::Delay(INJECTED_DELAY_MS)));
                     delay_proxy.address()
                 }
                 _ => address,
--- a/crates/craneknot-rehearsal/src/trial/script_runner.rs
+++ b/crates/craneknot-rehearsal/src/trial/script_runner.rs
@@ -155,7 +155,7 @@
         let coordinator = self.coordinators[number].lock().unwrap();
         match absence {
             Absence::Stopped => coordinator.signal(Signal::STOP),
-            _ => coordinator.upstreams().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Stall))),
+            _ => coordinator.upstreams().iter().for_each(|proxy| proxy.set_fault(Some(NetworkFault::Stall))),
         }
         drop(coordinator);
         self.fleet.lock().unwrap().leave_all(number);
@@ -177,11 +177,11 @@
 
     /// Resets disconnected connections, losing what was sent on them; then new ones can be opened.
     fn reset_upstreams(&self, number: usize, coordinator: &Coordinator) {
-        coordinator.upstreams().iter().for_each(|proxy| proxy.set(Some(NetworkFault::Refuse)));
+        coordinator.upstreams().iter().for_each(|proxy| proxy.set_fault(Some(NetworkFault::Refuse)));
         self.spawn(move |runner| {
             runner.sleep(RESET_DURATION);
             let coordinator = runner.coordinators[number].lock().unwrap();
-            coordinator.upstreams().iter().for_each(|proxy| proxy.set(None));
+            coordinator.upstreams().iter().for_each(|proxy| proxy.set_fault(None));
         });
     }
 
