--- a/crates/craneknot-cli/src/model.rs
+++ b/crates/craneknot-cli/src/model.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use craneknot_coordinator::ledger::{self, LedgerContents};
-use craneknot_model::experiment::{self, Asked, Axis, Outcome, Single};
+use craneknot_model::experiment::{self, Axis, ExperimentOptions, Outcome, SingleRun};
 use craneknot_model::hosted::Build;
 use craneknot_model::plot::{self, Input};
 use craneknot_model::world::{play_with_options, RunOptions, ROUND_TRIP};
@@ -37,10 +37,10 @@
     cost: bool,
 }
 
-impl From<Runs> for Asked {
+impl From<Runs> for ExperimentOptions {
     fn from(runs: Runs) -> Self {
         let Runs { least, most, narrow, baselines, cost } = runs;
-        Asked { least, most, narrow, baselines, cost }
+        ExperimentOptions { min_runs: least, max_runs: most, max_half_width: narrow, baselines, cost }
     }
 }
 
@@ -170,7 +170,7 @@
     Ok(Build::Hosted(program))
 }
 
-fn print_run(single: &Single) {
+fn print_run(single: &SingleRun) {
     let broken =
         single.broken.as_ref().map_or(String::new(), |first| format!("; a rule was broken: {first}"));
     error_line!("seed {}: service {:.4}{broken}", single.seed, single.service);
@@ -187,9 +187,9 @@
                 "  turn: median {median:.0} us, p99 {p99:.0} us; age of reports: median {age:.2} s, p99 {age_p99:.2} s"
             );
         }
-        for (name, estimate) in &arm.beside {
+        for (name, estimate) in &arm.baselines {
             let overloaded: usize =
-                arm.singles.iter().filter_map(|single| single.beside_fell.get(name)).sum();
+                arm.singles.iter().filter_map(|single| single.baseline_overloads.get(name)).sum();
             let note = if overloaded > 0 {
                 format!(", {overloaded} cold servers overloaded")
             } else {
@@ -199,7 +199,7 @@
         }
     }
     for difference in &outcome.differences {
-        print_line!("{} minus {}: service {}", difference.arm, difference.less, difference.service);
+        print_line!("{} minus {}: service {}", difference.arm, difference.reference, difference.service);
     }
     if let Some(forecast) = &outcome.forecast {
         let measured = match (forecast.measured, forecast.inside) {
@@ -207,10 +207,10 @@
             (Some(value), Some(false)) => format!("; measured {value:.4}, outside the interval"),
             (Some(_) | None, _) => String::new(),
         };
-        print_line!("forecast of one run: {}{measured}", forecast.next);
+        print_line!("forecast of one run: {}{measured}", forecast.predicted);
     }
     write_json(out, outcome)?;
-    match outcome.broken().next() {
+    match outcome.broken_runs().next() {
         None => Ok(()),
         Some((arm, single)) => {
             let first = single.broken.as_deref().unwrap_or_default();
@@ -311,11 +311,11 @@
                 error_line!("{cause}");
                 Failure::Settings
             })?;
-            if fed.torn > 0 {
-                error_line!("{} ledgers end in a truncated part, which is ignored", fed.torn);
+            if fed.truncated > 0 {
+                error_line!("{} ledgers end in a truncated part, which is ignored", fed.truncated);
             }
-            if fed.missing > 0 {
-                error_line!("{} ledger lines are missing: writes to disk failed", fed.missing);
+            if fed.missing_lines > 0 {
+                error_line!("{} ledger lines are missing: writes to disk failed", fed.missing_lines);
             }
             let length = fed.recording.head.script.length;
             print_line!("{} operations in {length}, {} tries unanswered", fed.arrived, fed.unanswered);
@@ -332,13 +332,17 @@
         }
         Act::Hunt { script, seed, days, out } => {
             let base = load_script(script.as_deref(), seed)?;
-            let found = hunt::hunt(&base, days, |day, report| {
+            let found = hunt::search(&base, days, |day, report| {
                 if !report.passed() {
                     error_line!("run {day}: a rule was broken, seed {}", report.seed);
                 }
             });
             output::write_output(format_args!("{}", found.report.lines()));
-            print_line!("service {:.3} below the upper bound; {} runs", found.badness.behind, found.played);
+            print_line!(
+                "service {:.3} below the upper bound; {} runs",
+                found.severity.service_gap,
+                found.runs_played
+            );
             match out {
                 Some(path) => write_json(Some(&path), &found.script)?,
                 None => print_line!("{}", to_pretty_json(&found.script)),
--- a/crates/craneknot-model/src/experiment.rs
+++ b/crates/craneknot-model/src/experiment.rs
@@ -68,11 +68,11 @@
 
 /// What is asked of an experiment.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
-    pub least: usize,
-    pub most: usize,
+pub struct ExperimentOptions {
+    pub min_runs: usize,
+    pub max_runs: usize,
     /// Enough once the interval's half-width is no more than this.
-    pub narrow: f64,
+    pub max_half_width: f64,
     /// Whether baselines and the bound are played beside ours.
     pub baselines: bool,
     /// Whether the time of turns and the age of knowledge are told; wall times differ from run to run.
@@ -81,7 +81,7 @@
 
 /// One run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Single {
+pub struct SingleRun {
     pub seed: u64,
     pub service: f64,
     pub worst_window: f64,
@@ -93,11 +93,11 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub broken: Option<String>,
     /// Service by baselines and the bound, where they were asked for.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub beside: BTreeMap<String, f64>,
+    #[serde(rename = "beside", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub baselines: BTreeMap<String, f64>,
     /// Cold servers that baselines pushed over: they are held to no rule, and may be better off for it.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub beside_fell: BTreeMap<String, usize>,
+    #[serde(rename = "beside_fell", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub baseline_overloads: BTreeMap<String, usize>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cost: Option<CostFigures>,
 }
@@ -124,14 +124,14 @@
     }
 }
 
-impl Single {
+impl SingleRun {
     fn of(script: &Script, report: &Report) -> Self {
         let figure = |name: &str| {
             let of = |status: &serde_json::Value| status.get(name)?.as_f64();
             report.status.iter().filter_map(of).collect::<Vec<f64>>()
         };
         let limit = script.channel.lines_limit;
-        Single {
+        SingleRun {
             seed: report.seed,
             service: report.service.service,
             worst_window: report.service.worst_window,
@@ -139,8 +139,8 @@
             lines_per_second: figure("lines").iter().sum::<f64>() / report.seconds.max(1e-9),
             queue: figure("channel_most").into_iter().fold(0.0, f64::max) / limit,
             broken: report.rules.values().find_map(|verdict| verdict.first.clone()),
-            beside: BTreeMap::new(),
-            beside_fell: BTreeMap::new(),
+            baselines: BTreeMap::new(),
+            baseline_overloads: BTreeMap::new(),
             cost: None,
         }
     }
@@ -151,8 +151,8 @@
 pub struct Arm {
     pub name: String,
     /// Where it is one of a sweep: what was put in at each pointer.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub put: BTreeMap<String, serde_json::Value>,
+    #[serde(rename = "put", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub overrides: BTreeMap<String, serde_json::Value>,
     pub script: Script,
     /// Whose decisions, where not this program's own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -161,9 +161,9 @@
     pub worst_window: Estimate,
     pub p99_ms: Estimate,
     pub lines_per_second: Estimate,
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub beside: BTreeMap<String, Estimate>,
-    pub singles: Vec<Single>,
+    #[serde(rename = "beside", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub baselines: BTreeMap<String, Estimate>,
+    pub singles: Vec<SingleRun>,
 }
 
 impl Arm {
@@ -171,25 +171,26 @@
         name: String,
         put: BTreeMap<String, serde_json::Value>,
         script: Script,
-        singles: Vec<Single>,
+        singles: Vec<SingleRun>,
     ) -> Self {
-        let estimate = |of: fn(&Single) -> f64| Estimate::of(&singles.iter().map(of).collect::<Vec<f64>>());
-        let names = singles.first().map(|single| single.beside.keys().cloned().collect::<Vec<String>>());
+        let estimate =
+            |of: fn(&SingleRun) -> f64| Estimate::of(&singles.iter().map(of).collect::<Vec<f64>>());
+        let names = singles.first().map(|single| single.baselines.keys().cloned().collect::<Vec<String>>());
         let beside = |name: String| {
             let values: Vec<f64> =
-                singles.iter().filter_map(|single| single.beside.get(&name).copied()).collect();
+                singles.iter().filter_map(|single| single.baselines.get(&name).copied()).collect();
             (name, Estimate::of(&values))
         };
         Arm {
             name,
-            put,
+            overrides: put,
             script,
             build: None,
             service: estimate(|single| single.service),
             worst_window: estimate(|single| single.worst_window),
             p99_ms: estimate(|single| single.p99_ms),
             lines_per_second: estimate(|single| single.lines_per_second),
-            beside: names.into_iter().flatten().map(beside).collect(),
+            baselines: names.into_iter().flatten().map(beside).collect(),
             singles,
         }
     }
@@ -199,7 +200,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
     pub arm: String,
-    pub less: String,
+    #[serde(rename = "less")]
+    pub reference: String,
     pub service: Estimate,
 }
 
@@ -209,7 +211,8 @@
     /// Nothing where the recording does not tell.
     pub measured: Option<f64>,
     /// Where the service of one run falls, 19 times of 20.
-    pub next: Estimate,
+    #[serde(rename = "next")]
+    pub predicted: Estimate,
     pub inside: Option<bool>,
 }
 
@@ -232,7 +235,7 @@
     }
 
     /// Seeds in which a rule broke, by arm.
-    pub fn broken(&self) -> impl Iterator<Item = (&str, &Single)> {
+    pub fn broken_runs(&self) -> impl Iterator<Item = (&str, &SingleRun)> {
         self.arms.iter().flat_map(|arm| {
             arm.singles
                 .iter()
@@ -244,9 +247,9 @@
 
 const BATCH: usize = 4; // runs begun at once; the same on every machine, since it decides how many are played
 
-fn single(script: &Script, ask: RunOptions, baselines: bool) -> Single {
+fn single(script: &Script, ask: RunOptions, baselines: bool) -> SingleRun {
     let played = play_with_options(script, ask);
-    let mut single = Single::of(script, &played.report);
+    let mut single = SingleRun::of(script, &played.report);
     single.cost = ask.cost.then(|| CostFigures::of(&played.cost)).flatten();
     if let Some(cause) = &played.fault {
         single.broken = Some(format!("no rule, but the run: {cause}"));
@@ -255,15 +258,15 @@
         for who in Who::BASELINES {
             let played =
                 play_with_options(script, RunOptions { selector: who, build: None, cost: false, ..ask });
-            single.beside.insert(who.title().to_owned(), played.report.service.service);
+            single.baselines.insert(who.title().to_owned(), played.report.service.service);
             let fell =
                 played.records.iter().filter(|record| matches!(record.what, What::Fell { .. })).count();
             if fell > 0 {
-                single.beside_fell.insert(who.title().to_owned(), fell);
+                single.baseline_overloads.insert(who.title().to_owned(), fell);
             }
         }
         if let Some(bound) = bound::service(script, played.begin, &played.asked) {
-            single.beside.insert("bound".to_owned(), bound);
+            single.baselines.insert("bound".to_owned(), bound);
         }
     }
     single
@@ -271,7 +274,7 @@
 
 /// Plays run after run, a batch at once, until `enough` of the values or the most that were asked for.
 fn runs<T: Send>(
-    asked: Asked,
+    asked: ExperimentOptions,
     one: impl Fn(u64) -> T + Sync,
     value: impl Fn(&T) -> f64,
     mut progress: impl FnMut(&[T]),
@@ -279,12 +282,13 @@
     let mut all: Vec<T> = Vec::new();
     loop {
         let from = all.len();
-        let to = (from + BATCH).min(asked.most.max(1));
+        let to = (from + BATCH).min(asked.max_runs.max(1));
         let batch: Vec<T> = (from..to).into_par_iter().map(|number| one(number as u64)).collect();
         progress(&batch);
         all.extend(batch);
-        let narrow = Estimate::of(&all.iter().map(&value).collect::<Vec<f64>>()).is_narrow(asked.narrow);
-        if all.len() >= asked.most.max(1) || all.len() >= asked.least && narrow {
+        let narrow =
+            Estimate::of(&all.iter().map(&value).collect::<Vec<f64>>()).is_narrow(asked.max_half_width);
+        if all.len() >= asked.max_runs.max(1) || all.len() >= asked.min_runs && narrow {
             return all;
         }
     }
@@ -307,10 +311,15 @@
 }
 
 /// Plays the script with one seed after another until the bars are narrow enough.
-pub fn run(script: &Script, build: &Build, asked: Asked, mut progress: impl FnMut(&Single)) -> Outcome {
+pub fn run(
+    script: &Script,
+    build: &Build,
+    asked: ExperimentOptions,
+    mut progress: impl FnMut(&SingleRun),
+) -> Outcome {
     let ask = RunOptions { build: Some(build), cost: asked.cost, ..RunOptions::default() };
     let one = |number| single(&seeded(script, number), ask, asked.baselines);
-    let report = |batch: &[Single]| batch.iter().for_each(&mut progress);
+    let report = |batch: &[SingleRun]| batch.iter().for_each(&mut progress);
     let singles = runs(asked, one, |single| single.service, report);
     let arm = Arm::of(script.name.clone(), BTreeMap::new(), script.clone(), singles);
     Outcome::new(vec![Arm { build: told(build), ..arm }])
@@ -321,8 +330,8 @@
 pub fn compare(
     (one, first): (&Script, &Build),
     (other, second): (&Script, &Build),
-    asked: Asked,
-    mut progress: impl FnMut(&Single),
+    asked: ExperimentOptions,
+    mut progress: impl FnMut(&SingleRun),
 ) -> Outcome {
     let names = match one.name == other.name {
         true => (format!("{}, first", one.name), format!("{}, second", other.name)),
@@ -342,7 +351,7 @@
         };
         (play(one, &first), play(&other, &second))
     };
-    let gain = |(first, second): &(Single, Single)| second.service - first.service;
+    let gain = |(first, second): &(SingleRun, SingleRun)| second.service - first.service;
     let pairs = runs(asked, both, gain, |batch| {
         batch.iter().for_each(|(first, second)| {
             progress(first);
@@ -350,8 +359,8 @@
         })
     });
     let service = Estimate::of(&pairs.iter().map(gain).collect::<Vec<f64>>());
-    let (singles, others): (Vec<Single>, Vec<Single>) = pairs.into_iter().unzip();
-    let difference = Difference { arm: names.1.clone(), less: names.0.clone(), service };
+    let (singles, others): (Vec<SingleRun>, Vec<SingleRun>) = pairs.into_iter().unzip();
+    let difference = Difference { arm: names.1.clone(), reference: names.0.clone(), service };
     let mut outcome = Outcome::new(vec![
         Arm { build: told(&first), ..Arm::of(names.0, BTreeMap::new(), one.clone(), singles) },
         Arm { build: told(&second), ..Arm::of(names.1, BTreeMap::new(), other, others) },
@@ -404,8 +413,8 @@
 pub fn sweep(
     script: &Script,
     axes: &[Axis],
-    asked: Asked,
-    mut progress: impl FnMut(&str, &Single),
+    asked: ExperimentOptions,
+    mut progress: impl FnMut(&str, &SingleRun),
 ) -> Result<Outcome, String> {
     let mut cells = vec![BTreeMap::new()];
     for axis in axes {
@@ -428,7 +437,7 @@
             cell.iter().map(|(pointer, value)| format!("{pointer}={value}")).collect::<Vec<_>>().join(" ");
         let ask = RunOptions { cost: asked.cost, ..RunOptions::default() };
         let one = |number| single(&seeded(&script, number), ask, asked.baselines);
-        let told = |batch: &[Single]| batch.iter().for_each(|single| progress(&name, single));
+        let told = |batch: &[SingleRun]| batch.iter().for_each(|single| progress(&name, single));
         let singles = runs(asked, one, |single| single.service, told);
         arms.push(Arm::of(name, cell, script, singles));
     }
@@ -437,7 +446,11 @@
         let difference = |arm: &Arm| {
             let pairs = arm.singles.iter().zip(&first.singles);
             let values: Vec<f64> = pairs.map(|(one, other)| one.service - other.service).collect();
-            Difference { arm: arm.name.clone(), less: first.name.clone(), service: Estimate::of(&values) }
+            Difference {
+                arm: arm.name.clone(),
+                reference: first.name.clone(),
+                service: Estimate::of(&values),
+            }
         };
         outcome.differences = rest.iter().map(difference).collect();
     }
@@ -449,26 +462,26 @@
 pub fn replay(
     recording: &Recording,
     script: &Script,
-    asked: Asked,
-    mut progress: impl FnMut(&Single),
+    asked: ExperimentOptions,
+    mut progress: impl FnMut(&SingleRun),
 ) -> Outcome {
     let arrivals = recording.arrivals();
-    let least = asked.least.max(FORECAST_RUNS);
-    let asked = Asked { least, most: asked.most.max(least), ..asked };
+    let least = asked.min_runs.max(FORECAST_RUNS);
+    let asked = ExperimentOptions { min_runs: least, max_runs: asked.max_runs.max(least), ..asked };
     let one = |number: u64| {
         // Far from the seeds of whole days, so that no replay is by chance the recorded day itself.
         let chance = (number + 1) << 32;
         let ask = RunOptions { arrivals: Some(&arrivals), seed_xor: chance, ..RunOptions::default() };
-        Single { seed: chance, ..single(script, ask, asked.baselines) }
+        SingleRun { seed: chance, ..single(script, ask, asked.baselines) }
     };
-    let told = |batch: &[Single]| batch.iter().for_each(&mut progress);
+    let told = |batch: &[SingleRun]| batch.iter().for_each(&mut progress);
     let singles = runs(asked, one, |single| single.service, told);
     let next = Estimate::of_next(&singles.iter().map(|single| single.service).collect::<Vec<f64>>());
     let measured = recording.head.service;
     let inside = measured.zip(next.half_width).map(|(value, half)| (value - next.mean).abs() <= half);
     let mut outcome =
         Outcome::new(vec![Arm::of(script.name.clone(), BTreeMap::new(), script.clone(), singles)]);
-    outcome.forecast = Some(Forecast { measured, next, inside });
+    outcome.forecast = Some(Forecast { measured, predicted: next, inside });
     outcome
 }
 
@@ -481,7 +494,8 @@
 mod tests {
     use super::*;
 
-    const ASKED: Asked = Asked { least: 2, most: 2, narrow: 1.0, baselines: false, cost: false };
+    const ASKED: ExperimentOptions =
+        ExperimentOptions { min_runs: 2, max_runs: 2, max_half_width: 1.0, baselines: false, cost: false };
 
     fn short() -> Script {
         Script { length: Span::millis(6_000), troubles: Vec::new(), ..Script::built_in().unwrap() }
@@ -538,11 +552,11 @@
     #[test]
     fn baselines_stand_beside_and_none_passes_the_bound() {
         let script = Script { length: Span::millis(10_000), ..Script::built_in().unwrap() };
-        let outcome = run(&script, &Build::Own, Asked { baselines: true, ..ASKED }, |_| {});
+        let outcome = run(&script, &Build::Own, ExperimentOptions { baselines: true, ..ASKED }, |_| {});
         let single = &outcome.arms[0].singles[0];
-        let bound = single.beside["bound"];
-        assert_eq!(single.beside.len(), Who::BASELINES.len() + 1);
-        assert!(single.service <= bound + 1e-9 && single.beside.values().all(|one| *one <= bound + 1e-9));
-        assert!(single.beside[Who::Random.title()] > 0.3, "{single:?}");
+        let bound = single.baselines["bound"];
+        assert_eq!(single.baselines.len(), Who::BASELINES.len() + 1);
+        assert!(single.service <= bound + 1e-9 && single.baselines.values().all(|one| *one <= bound + 1e-9));
+        assert!(single.baselines[Who::Random.title()] > 0.3, "{single:?}");
     }
 }
--- a/crates/craneknot-model/src/feed.rs
+++ b/crates/craneknot-model/src/feed.rs
@@ -19,8 +19,8 @@
     pub arrived: u64,
     pub unanswered: u64,
     /// Ledgers whose end was cut short, and lines that were let go.
-    pub torn: usize,
-    pub missing: u64,
+    pub truncated: usize,
+    pub missing_lines: u64,
 }
 
 /// Makes a recording of the ledgers of one span of time, one or several of each coordinator. `script` describes the servers,
@@ -107,7 +107,7 @@
     };
     let recording = Recording { head, lines: lines.into_iter().map(|(_, line)| line).collect() };
     let torn = ledgers.iter().filter(|told| told.torn).count();
-    Ok(Fed { recording, arrived, unanswered, torn, missing })
+    Ok(Fed { recording, arrived, unanswered, truncated: torn, missing_lines: missing })
 }
 
 #[cfg(test)]
--- a/crates/craneknot-model/src/hunt.rs
+++ b/crates/craneknot-model/src/hunt.rs
@@ -45,16 +45,16 @@
 pub struct Found {
     pub script: Script,
     pub report: Report,
-    pub badness: Badness,
+    pub severity: Badness,
     /// Days played, those of shrinking included.
-    pub played: usize,
+    pub runs_played: usize,
 }
 
 /// How bad a day is: broken rules before all else, then how far service stays behind the bound.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Badness {
     pub broken: bool,
-    pub behind: f64,
+    pub service_gap: f64,
 }
 
 /// A day that was played.
@@ -62,16 +62,16 @@
 struct Day {
     script: Script,
     report: Report,
-    badness: Badness,
+    severity: Badness,
 }
 
 impl Day {
     fn play(script: Script) -> Self {
         let played = world::play_with_options(&script, RunOptions::default());
         let most = bound::service(&script, played.begin, &played.asked).unwrap_or(1.0);
-        let behind = most - played.report.service.service;
-        let badness = Badness { broken: !played.report.passed(), behind };
-        Day { script, report: played.report, badness }
+        let service_gap = most - played.report.service.service;
+        let severity = Badness { broken: !played.report.passed(), service_gap };
+        Day { script, report: played.report, severity }
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// Plays `budget` days drawn from the base's seed; the worst, shrunk.
-pub fn hunt(base: &Script, budget: usize, mut progress: impl FnMut(usize, &Report)) -> Found {
+pub fn search(base: &Script, budget: usize, mut progress: impl FnMut(usize, &Report)) -> Found {
     let mut rng = Pcg32::seed_from_u64(base.seed);
     let mut worst: Option<Day> = None;
     let mut played = 0;
@@ -114,7 +114,7 @@
         for day in scripts.into_par_iter().map(Day::play).collect::<Vec<Day>>() {
             progress(played, &day.report);
             played += 1;
-            if worst.as_ref().is_none_or(|held| day.badness > held.badness) {
+            if worst.as_ref().is_none_or(|held| day.severity > held.severity) {
                 worst = Some(day);
             }
         }
@@ -127,9 +127,9 @@
         smaller.troubles.remove(place);
         let tried = Day::play(smaller);
         played += 1;
-        let same = match worst.badness.broken {
-            true => tried.badness.broken,
-            false => tried.badness.behind >= worst.badness.behind - SAME,
+        let same = match worst.severity.broken {
+            true => tried.severity.broken,
+            false => tried.severity.service_gap >= worst.severity.service_gap - SAME,
         };
         if same {
             worst = tried;
@@ -137,8 +137,8 @@
             place += 1;
         }
     }
-    let Day { script, report, badness } = worst;
-    Found { script, report, badness, played }
+    let Day { script, report, severity } = worst;
+    Found { script, report, severity, runs_played: played }
 }
 
 #[cfg(test)]
@@ -149,8 +149,8 @@
     fn a_hunt_is_the_same_for_a_seed_and_its_script_shows_what_it_says() {
         let base =
             Script { length: Span::millis(8_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
-        let (one, two) = (hunt(&base, 12, |_, _| {}), hunt(&base, 12, |_, _| {}));
-        assert_eq!((&one.script, one.played), (&two.script, two.played));
+        let (one, two) = (search(&base, 12, |_, _| {}), search(&base, 12, |_, _| {}));
+        assert_eq!((&one.script, one.runs_played), (&two.script, two.runs_played));
         let again = world::play(&one.script);
         assert_eq!(again.lines(), one.report.lines());
         let calm = world::play(&base);
--- a/crates/craneknot-model/src/plot.rs
+++ b/crates/craneknot-model/src/plot.rs
@@ -135,7 +135,7 @@
     // By name: places, means and half-widths.
     let mut curves: Vec<(String, Points)> = Vec::new();
     for arm in arms {
-        let Some(x) = arm.put.values().next().and_then(number_of) else { continue };
+        let Some(x) = arm.overrides.values().next().and_then(number_of) else { continue };
         for (name, estimate) in pick(arm) {
             let place = curves.iter().position(|(of, _)| *of == name).unwrap_or_else(|| {
                 curves.push((name, Vec::new()));
@@ -151,7 +151,7 @@
         (l.min(point.1 - point.2), h.max(point.1 + point.2))
     });
     let room = ((high - low) * 0.08).max(1e-3);
-    let pointer = arms.first().and_then(|arm| arm.put.keys().next().cloned()).unwrap_or_default();
+    let pointer = arms.first().and_then(|arm| arm.overrides.keys().next().cloned()).unwrap_or_default();
     svg((SIZE.0, 320), |area| {
         let x_room = ((right - left) * 0.03).max(1e-6);
         let mut chart = ChartBuilder::on(area)
@@ -215,28 +215,29 @@
     let mut all = Vec::new();
     for arm in &outcome.arms {
         all.push((arm.name.clone(), arm.service, true));
-        all.extend(arm.beside.iter().map(|(name, estimate)| (format!("  {name}"), *estimate, false)));
+        all.extend(arm.baselines.iter().map(|(name, estimate)| (format!("  {name}"), *estimate, false)));
     }
     charts.push(bars("Service by importance, 95% intervals", &all)?);
     if !outcome.differences.is_empty() {
-        let of = |d: &crate::experiment::Difference| (format!("{} less {}", d.arm, d.less), d.service, true);
+        let of =
+            |d: &crate::experiment::Difference| (format!("{} less {}", d.arm, d.reference), d.service, true);
         charts.push(bars(
             "Difference on the same random numbers",
             &outcome.differences.iter().map(of).collect::<Vec<_>>(),
         )?);
     }
     if let Some(forecast) = outcome.forecast {
-        let mut both = vec![("forecast of one run".to_owned(), forecast.next, true)];
+        let mut both = vec![("forecast of one run".to_owned(), forecast.predicted, true)];
         if let Some(mean) = forecast.measured {
             both.push(("measured".to_owned(), Estimate { mean, half_width: None, runs: 1 }, false));
         }
         charts.push(bars("Forecast against the recorded run", &both)?);
     }
     let swept =
-        outcome.arms.iter().filter(|arm| arm.put.values().next().and_then(number_of).is_some()).count();
+        outcome.arms.iter().filter(|arm| arm.overrides.values().next().and_then(number_of).is_some()).count();
     if swept > 1 {
         let service = |arm: &Arm| {
-            let beside = arm.beside.iter().map(|(name, estimate)| (name.clone(), *estimate));
+            let beside = arm.baselines.iter().map(|(name, estimate)| (name.clone(), *estimate));
             std::iter::once(("ours".to_owned(), arm.service)).chain(beside).collect()
         };
         charts.push(curve("Service", &outcome.arms, service)?);
@@ -287,7 +288,7 @@
                 (name, note, of_recording(recording)?)
             }
             Input::Outcome(name, outcome) => {
-                let broken = outcome.broken().count();
+                let broken = outcome.broken_runs().count();
                 let note = format!("{} scripts, runs in which a rule broke: {broken}", outcome.arms.len());
                 (name, note, of_outcome(outcome)?)
             }
@@ -304,7 +305,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::experiment::{run, sweep, Asked};
+    use crate::experiment::{run, sweep, ExperimentOptions};
     use crate::hosted::Build;
     use crate::world::{play_with_options, RunOptions};
     use craneknot_rehearsal::Script;
@@ -316,10 +317,12 @@
             Script { length: Span::millis(6_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
         let played = play_with_options(&script, RunOptions::default());
         let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
-        let asked = Asked { least: 2, most: 2, narrow: 1.0, baselines: true, cost: true };
+        let asked =
+            ExperimentOptions { min_runs: 2, max_runs: 2, max_half_width: 1.0, baselines: true, cost: true };
         let one = run(&script, &Build::Own, asked, |_| {});
         let axes = ["/clients/rate=50,100".parse().unwrap()];
-        let swept = sweep(&script, &axes, Asked { baselines: false, ..asked }, |_, _| {}).unwrap();
+        let swept =
+            sweep(&script, &axes, ExperimentOptions { baselines: false, ..asked }, |_, _| {}).unwrap();
         let inputs = [
             Input::Recording("a <b>".to_owned(), Box::new(recording)),
             Input::Outcome("one".to_owned(), Box::new(one)),
