--- a/crates/craneknot-model/examples/weights.rs
+++ b/crates/craneknot-model/examples/weights.rs
@@ -1,4 +1,5 @@
-//! Weights by hand, alike, rough and found, as the fleet grows; the table of `docs/design/weight-solver.md`.
+//! Compares true, rough, equal and solver-found weights as the fleet grows; prints the table of
+//! `docs/design/weight-solver.md`.
 //!
 //!     cargo run --release -p craneknot-model --example weights            # 10 to 100 servers, three seeds
 //!     cargo run --release -p craneknot-model --example weights -- large   # 1,000 servers, one seed
@@ -10,9 +11,10 @@
 use craneknot_settings::{SolverSettings, Span};
 use rayon::prelude::*;
 
-/// Three makes in two zones, filled to so much, a twelfth of them halved for a while.
+/// Three server models in two zones, loaded to the given share of their capacity, a twelfth of them at half
+/// speed for a while.
 fn fleet(servers: u16, fill: f64, weights: Weights, solver: bool, seed: u64) -> Script {
-    let mut script = Script::built_in().expect("the built-in script is in order");
+    let mut script = Script::built_in().expect("the built-in script is valid");
     (script.seed, script.length) = (seed, Span::millis(40_000));
     let group = |zone: &str, kind: &str, cores, speed, part: f64| ServerGroup {
         count: ((f64::from(servers) / 2.0 * part).round() as u16).max(1),
@@ -23,12 +25,12 @@
         queue: 80,
         connections: 400,
     };
-    let makes = [("small", 1, 1.2, 0.4), ("mid", 2, 1.5, 0.4), ("large", 4, 1.5, 0.2)];
+    let models = [("small", 1, 1.2, 0.4), ("mid", 2, 1.5, 0.4), ("large", 4, 1.5, 0.2)];
     let zones = ["east", "west"];
     script.servers = zones
         .iter()
         .flat_map(|zone| {
-            makes.iter().map(|(kind, cores, speed, part)| group(zone, kind, *cores, *speed, *part))
+            models.iter().map(|(kind, cores, speed, part)| group(zone, kind, *cores, *speed, *part))
         })
         .collect();
     let count = (servers / 2).max(2);
@@ -71,7 +73,7 @@
                 let script = fleet(servers, fill, weights, solver, seed);
                 let played = play_with_options(&script, RunOptions::default());
                 let bound = match servers {
-                    0..=100 => bound::service(&script, played.begin, &played.asked).unwrap_or(f64::NAN),
+                    0..=100 => bound::max_service(&script, played.begin, &played.asked).unwrap_or(f64::NAN),
                     _ => f64::NAN,
                 };
                 let service = &played.report.service;
@@ -90,7 +92,7 @@
                 mean(2),
                 mean(3),
                 mean(4),
-                if mean(5) > 0.0 { " A RULE BROKE" } else { "" }
+                if mean(5) > 0.0 { " A RULE WAS BROKEN" } else { "" }
             );
         }
     }
--- a/crates/craneknot-model/src/baseline.rs
+++ b/crates/craneknot-model/src/baseline.rs
@@ -1,81 +1,90 @@
-//! What proxies would do without us: known policies, to have a distance to something else beside every figure.
+//! Baseline policies: how proxies would select servers without the coordinators, for comparison with every
+//! result.
 
 use rand::seq::index;
 use rand::Rng;
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-/// Who picks the servers.
+/// The method that selects a server for each try.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
-    /// The coordinators' decisions, by the proxies' files.
+pub enum Selector {
+    /// The coordinators' decisions, through the proxies' files.
     #[default]
-    Ours,
-    /// Any listed server, by its listed weight; the proxy keeps away from those that failed it in a row.
+    #[serde(rename = "ours")]
+    Coordinators,
+    /// Any listed server, at random by its listed weight; the proxy avoids servers after consecutive
+    /// failures.
     Random,
-    /// The least loaded of all that answer, by perfect knowledge of this very moment.
+    /// The least loaded of all servers that answer, with perfect and current information.
     LeastLoaded,
-    /// The lesser loaded of two drawn by listed weight (Mitzenmacher 2001), by knowledge a report period old.
+    /// The less loaded of two servers drawn by listed weight (Mitzenmacher 2001), with load information one
+    /// report period old.
     TwoChoices,
 }
 
-impl Who {
-    pub const BASELINES: [Who; 3] = [Who::Random, Who::TwoChoices, Who::LeastLoaded];
+impl Selector {
+    pub const BASELINES: [Selector; 3] = [Selector::Random, Selector::TwoChoices, Selector::LeastLoaded];
 
     pub fn title(self) -> &'static str {
         match self {
-            Who::Ours => "ours",
-            Who::Random => "random over all",
-            Who::LeastLoaded => "least loaded, perfect knowledge",
-            Who::TwoChoices => "two choices, late knowledge",
+            Selector::Coordinators => "ours",
+            Selector::Random => "random over all",
+            Selector::LeastLoaded => "least loaded, perfect knowledge",
+            Selector::TwoChoices => "two choices, late knowledge",
         }
     }
 }
 
-/// A listed server on which the class may run, as it may be known to the one that picks.
+/// A listed server on which the class may run, with the information available to the selectors.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct Candidate {
     pub server: usize,
-    /// Listed, warm: seconds of work a second.
+    /// Listed capacity of the warm server, in seconds of work per second.
     pub capacity: f64,
-    /// In truth, now.
+    /// Whether the server answers at this moment.
     pub answers: bool,
-    /// Operations in hand for what it can do: in truth, and as known a report period late.
+    /// Operations in flight relative to its capacity: now, and as known one report period late.
     pub queue: f64,
-    pub late: f64,
-    pub kept_away: bool,
+    pub delayed_queue: f64,
+    pub avoided: bool,
 }
 
-/// The server that a policy picks; nothing where there is none.
-pub fn choose(who: Who, seen: &[Seen], rng: &mut Pcg32) -> Option<usize> {
-    let kept = |one: &&Seen| !one.kept_away;
-    let near: Vec<&Seen> = seen.iter().filter(kept).collect();
-    let near = if near.is_empty() { seen.iter().collect() } else { near };
-    let one = match who {
-        Who::Ours => None,
-        Who::Random => by_weight(&near, rng),
-        Who::TwoChoices if near.len() < 2 => near.first().copied(),
-        Who::TwoChoices => {
-            let two = index::sample_weighted(rng, near.len(), |place| near[place].capacity, 2).ok()?;
-            two.into_iter().map(|place| near[place]).min_by(|a, b| a.late.total_cmp(&b.late))
+/// The server that the method selects; `None` if there is no candidate.
+pub fn select_server(selector: Selector, candidates: &[Candidate], rng: &mut Pcg32) -> Option<usize> {
+    let not_avoided = |candidate: &&Candidate| !candidate.avoided;
+    let eligible: Vec<&Candidate> = candidates.iter().filter(not_avoided).collect();
+    let eligible = if eligible.is_empty() { candidates.iter().collect() } else { eligible };
+    let candidate = match selector {
+        Selector::Coordinators => None,
+        Selector::Random => select_by_weight(&eligible, rng),
+        Selector::TwoChoices if eligible.len() < 2 => eligible.first().copied(),
+        Selector::TwoChoices => {
+            let sampled =
+                index::sample_weighted(rng, eligible.len(), |position| eligible[position].capacity, 2)
+                    .ok()?;
+            sampled
+                .into_iter()
+                .map(|position| eligible[position])
+                .min_by(|a, b| a.delayed_queue.total_cmp(&b.delayed_queue))
         }
-        Who::LeastLoaded => {
-            let answers = seen.iter().filter(|one| one.answers);
-            answers.min_by(|a, b| a.queue.total_cmp(&b.queue)).or(seen.first())
+        Selector::LeastLoaded => {
+            let answering = candidates.iter().filter(|candidate| candidate.answers);
+            answering.min_by(|a, b| a.queue.total_cmp(&b.queue)).or(candidates.first())
         }
     };
-    one.map(|one| one.server)
+    candidate.map(|candidate| candidate.server)
 }
 
-fn by_weight<'a>(seen: &[&'a Seen], rng: &mut Pcg32) -> Option<&'a Seen> {
-    let sum: f64 = seen.iter().map(|one| one.capacity).sum();
-    let mut at = rng.random::<f64>() * sum;
-    let found = seen.iter().find(|one| {
-        at -= one.capacity;
-        at < 0.0
+fn select_by_weight<'a>(candidates: &[&'a Candidate], rng: &mut Pcg32) -> Option<&'a Candidate> {
+    let total: f64 = candidates.iter().map(|candidate| candidate.capacity).sum();
+    let mut threshold = rng.random::<f64>() * total;
+    let found = candidates.iter().find(|candidate| {
+        threshold -= candidate.capacity;
+        threshold < 0.0
     });
-    found.or(seen.last()).copied()
+    found.or(candidates.last()).copied()
 }
 
 #[cfg(test)]
@@ -83,28 +92,28 @@
     use super::*;
     use rand::SeedableRng;
 
-    fn seen(server: usize, capacity: f64, queue: f64) -> Seen {
-        Seen { server, capacity, answers: true, queue, late: queue, kept_away: false }
+    fn candidate(server: usize, capacity: f64, queue: f64) -> Candidate {
+        Candidate { server, capacity, answers: true, queue, delayed_queue: queue, avoided: false }
     }
 
     #[test]
-    fn each_picks_by_what_it_may_know() {
+    fn each_selector_uses_only_the_information_it_may_have() {
         let mut rng = Pcg32::seed_from_u64(1);
-        let mut all = vec![seen(0, 1.0, 3.0), seen(1, 3.0, 2.0), seen(2, 1.0, 1.0)];
-        let count = |who, all: &[Seen], rng: &mut Pcg32| {
+        let mut servers = vec![candidate(0, 1.0, 3.0), candidate(1, 3.0, 2.0), candidate(2, 1.0, 1.0)];
+        let count = |selector, servers: &[Candidate], rng: &mut Pcg32| {
             let mut counts = [0; 3];
-            (0..6_000).for_each(|_| counts[choose(who, all, rng).unwrap()] += 1);
+            (0..6_000).for_each(|_| counts[select_server(selector, servers, rng).unwrap()] += 1);
             counts
         };
-        let random = count(Who::Random, &all, &mut rng);
+        let random = count(Selector::Random, &servers, &mut rng);
         assert!((3_400..3_800).contains(&random[1]), "{random:?}");
-        // The longest queue of three is never the lesser of two.
-        let two = count(Who::TwoChoices, &all, &mut rng);
-        assert!(two[0] == 0 && two[2] > 1_500, "{two:?}");
-        assert_eq!(count(Who::LeastLoaded, &all, &mut rng), [0, 0, 6_000]);
-        (all[2].answers, all[1].kept_away) = (false, true);
-        assert_eq!(count(Who::LeastLoaded, &all, &mut rng), [0, 6_000, 0]);
-        assert_eq!(count(Who::Random, &all, &mut rng)[1], 0);
-        assert_eq!(choose(Who::Random, &[], &mut rng), None);
+        // The longest of three queues is never the shorter of two.
+        let sampled = count(Selector::TwoChoices, &servers, &mut rng);
+        assert!(sampled[0] == 0 && sampled[2] > 1_500, "{sampled:?}");
+        assert_eq!(count(Selector::LeastLoaded, &servers, &mut rng), [0, 0, 6_000]);
+        (servers[2].answers, servers[1].avoided) = (false, true);
+        assert_eq!(count(Selector::LeastLoaded, &servers, &mut rng), [0, 6_000, 0]);
+        assert_eq!(count(Selector::Random, &servers, &mut rng)[1], 0);
+        assert_eq!(select_server(Selector::Random, &[], &mut rng), None);
     }
 }
--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -1,9 +1,10 @@
-//! What cannot be seen is fitted from a recording: the work of a class's operations, and how servers warm up.
+//! Estimates from a recording the parameters that cannot be observed: the work of a class's operations, and
+//! the servers' warm-up.
 //!
-//! A try that came to a server with a free core started at once, and took its work's time and two hops. Whether a core was
-//! free is known from the other tries under way there, and does not hang on the try's own work: these tries are a fair
-//! sample. A server whose cores and speed the script tells then gives the work. What took as long at a server that had just
-//! started tells how warm it was.
+//! A try that reached a server with a free core started at once, and took the time of its work plus two
+//! network hops. Whether a core was free follows from the other tries in flight at the server and doesn't
+//! depend on the try's own work, so these tries are an unbiased sample. With the server's cores and speed
+//! from the script, the time gives the work. The times at servers that have just started give their warmth.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +19,7 @@
 
 /// A mean with its standard error.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Fitted {
+pub struct FittedMean {
     pub mean: f64,
     pub error: f64,
     pub tries: usize,
@@ -27,14 +28,15 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Fit {
     /// Work of an operation by class, ms on a core of speed 1.
-    pub work_ms: BTreeMap<String, Fitted>,
-    /// Part of its capacity that a server has at its start, and when it has all of it; nothing: too few tries were seen.
+    pub work_ms: BTreeMap<String, FittedMean>,
+    /// Share of its capacity that a server has at its start, and when it has all of it; `None` if too few
+    /// tries were recorded.
     pub warm_up: Option<WarmUp>,
-    /// First tries a second that were asked for.
+    /// Requested operations per second, without retries.
     pub rate: f64,
-    /// Part of all operations by class.
+    /// Share of all operations, by class.
     pub shares: BTreeMap<String, f64>,
-    /// The script with all that in place of what it said.
+    /// The script with the fitted values in place of its own.
     #[serde(skip)]
     pub script: Script,
 }
@@ -43,29 +45,29 @@
 pub struct WarmUp {
     pub cold_share: f64,
     pub warm_after_s: f64,
-    /// Of the youngest that were seen, s: what was before it goes on in a straight line.
+    /// Lowest age observed, in seconds: below it the warm-up is extrapolated linearly.
     pub youngest_s: f64,
     pub tries: usize,
 }
 
-const TRIES_LEAST: usize = 30; // of a class or of cold servers: fewer tell too little
-const AGE_BIN: f64 = 1.0; // s; cold servers' tries are taken together by age
-const BIN_LEAST: usize = 5; // tries in a bin
-const AGE_MOST: f64 = 90.0; // s; after that a server counts as warm
-const SHARES: std::ops::RangeInclusive<u32> = 1..=50; // cold shares tried, in fiftieths
-const AGES: std::ops::RangeInclusive<u32> = 1..=120; // ages of full warmth tried, in halves of a second
+const MIN_TRIES: usize = 30; // of a class or of cold servers; fewer give no useful estimate
+const AGE_BIN_S: f64 = 1.0; // tries at cold servers are grouped by the server's age
+const MIN_BIN_TRIES: usize = 5; // bins with fewer tries are ignored
+const MAX_AGE_S: f64 = 90.0; // an older server counts as warm
+const COLD_SHARES: std::ops::RangeInclusive<u32> = 1..=50; // cold shares to evaluate, in fiftieths
+const AGES: std::ops::RangeInclusive<u32> = 1..=120; // ages of full warmth to evaluate, in half seconds
 
-/// A try that started at once.
-struct Start {
+/// A try that started without queueing.
+struct UnqueuedTry {
     class: usize,
-    /// Its time at a core of speed 1, s; without end where it was given up.
+    /// Its processing time on a core of speed 1, in seconds; infinite if it was given up.
     work: f64,
-    /// Of the server, if it was seen to start.
+    /// Age of the server in seconds, if its start was recorded.
     age: Option<f64>,
 }
 
-/// Tries that found a free core, at servers that no trouble but a start had struck.
-fn starts(recording: &Recording, hops: Nanos) -> Vec<Start> {
+/// Tries that found a free core, at servers that no fault other than a start had affected.
+fn unqueued_tries(recording: &Recording, hops: Nanos) -> Vec<UnqueuedTry> {
     let script = &recording.head.script;
     let plan = Plan::draw(script);
     let mut tries: Vec<(i64, i64, u32, usize, How)> = Vec::new(); // begin, end, server, class, how
@@ -80,71 +82,72 @@
         }
     }
     tries.sort_by_key(|one| (one.0, one.1, one.2));
-    // From the first trouble but a start on, a server's times are not its own.
-    let mut spoilt: BTreeMap<u32, f64> = BTreeMap::new();
+    // From the first fault other than a start or stop, a server's times don't show its own speed.
+    let mut distorted_from: BTreeMap<u32, f64> = BTreeMap::new();
     for (at, server, act) in &plan.server_acts {
         use craneknot_rehearsal::plan::ServerAct;
-        let strange = match act {
+        let distorts_times = match act {
             ServerAct::Start | ServerAct::Die => false,
             ServerAct::Silence | ServerAct::Errors(_) | ServerAct::Hang(_) => true,
             ServerAct::Slow(_) | ServerAct::LoseAnswers(_) => true,
         };
-        if strange {
-            let first = spoilt.entry(*server as u32).or_insert(at.secs());
+        if distorts_times {
+            let first = distorted_from.entry(*server as u32).or_insert(at.secs());
             *first = first.min(at.secs());
         }
     }
-    let mut under_way: BTreeMap<u32, BTreeSet<(i64, usize)>> = BTreeMap::new();
-    let mut found = Vec::new();
+    let mut in_flight: BTreeMap<u32, BTreeSet<(i64, usize)>> = BTreeMap::new();
+    let mut samples = Vec::new();
     for (number, (begin, end, server, class, how)) in tries.iter().enumerate() {
         let Some(planned) = plan.servers.get(*server as usize) else { continue };
-        let there = under_way.entry(*server).or_default();
-        while there.first().is_some_and(|(until, _)| until < begin) {
-            there.pop_first();
+        let server_tries = in_flight.entry(*server).or_default();
+        while server_tries.first().is_some_and(|(until, _)| until < begin) {
+            server_tries.pop_first();
         }
-        let free = there.len() < usize::from(planned.group.cores);
-        there.insert((*end, number));
-        let whole = spoilt.get(server).is_none_or(|first| (*begin as f64) < first * 1e6);
+        let free = server_tries.len() < usize::from(planned.group.cores);
+        server_tries.insert((*end, number));
+        let undistorted = distorted_from.get(server).is_none_or(|first| (*begin as f64) < first * 1e6);
         let took = (end - begin) as f64 * 1e-6 - hops.secs();
-        if !free || *how == How::Unrun || !whole || took <= 0.0 {
+        if !free || *how == How::Unrun || !undistorted || took <= 0.0 {
             continue;
         }
         let since = started.get(server).into_iter().flatten().rfind(|at| *at <= begin);
-        let age = since.map(|since| (begin - since) as f64 * 1e-6).filter(|age| *age < AGE_MOST);
+        let age = since.map(|since| (begin - since) as f64 * 1e-6).filter(|age| *age < MAX_AGE_S);
         let work = match how {
             How::Good => took * planned.group.speed,
-            // Given up: longer than was waited for.
+            // Given up: it would have taken longer than the proxy waited.
             How::Unrun | How::Failed => f64::INFINITY,
         };
-        found.push(Start { class: *class, work, age });
+        samples.push(UnqueuedTry { class: *class, work, age });
     }
-    found
+    samples
 }
 
-/// Fits a recording. `hops`: what a try takes beside its work on the way there and back, in the model.
+/// Fits a recording. `hops` is the network time of a try, to the server and back, in the model.
 pub fn fit(recording: &Recording, hops: Nanos) -> Result<Fit, String> {
     let mut script = recording.head.script.clone();
-    let starts = starts(recording, hops);
+    let samples = unqueued_tries(recording, hops);
     let mut work_ms = BTreeMap::new();
     let mut means: BTreeMap<usize, f64> = BTreeMap::new();
     for (class, settings) in script.classes.iter().enumerate() {
         let warm =
-            starts.iter().filter(|one| one.class == class && one.age.is_none() && one.work.is_finite());
+            samples.iter().filter(|one| one.class == class && one.age.is_none() && one.work.is_finite());
         let works: Vec<f64> = warm.map(|one| one.work * 1e3).collect();
-        if works.len() < TRIES_LEAST {
+        if works.len() < MIN_TRIES {
             continue;
         }
         let (mean, spread) = ((&works).mean(), (&works).std_dev());
         let tries = works.len();
         means.insert(class, mean / 1e3);
-        work_ms.insert(settings.name.clone(), Fitted { mean, error: spread / (tries as f64).sqrt(), tries });
+        work_ms
+            .insert(settings.name.clone(), FittedMean { mean, error: spread / (tries as f64).sqrt(), tries });
     }
     if work_ms.is_empty() {
         return Err(format!(
-            "no class has {TRIES_LEAST} tries that found a free core at a warm server: nothing can be fitted"
+            "no class has {MIN_TRIES} tries that found a free core at a warm server: nothing can be fitted"
         ));
     }
-    let warm_up = warm_up(&starts, &means);
+    let warm_up = warm_up(&samples, &means);
     let arrivals = recording.arrivals();
     let total = arrivals.len().max(1) as f64;
     let rate = total / script.length.0.secs().max(1e-9);
@@ -167,38 +170,42 @@
     Ok(Fit { work_ms, warm_up, rate, shares, script })
 }
 
-/// The straight warm-up that fits best how much longer tries took by age: every pair on a grid is tried.
-fn warm_up(starts: &[Start], means: &BTreeMap<usize, f64>) -> Option<WarmUp> {
-    // Of each bin: ages of its tries, and what they took of the usual time. Medians, since at a cold server the longest tries
-    // are given up, and their true length is never seen.
+/// The linear warm-up that best fits how much longer tries took by server age, by evaluating every pair on a
+/// grid.
+fn warm_up(samples: &[UnqueuedTry], means: &BTreeMap<usize, f64>) -> Option<WarmUp> {
+    // Per bin: the server ages of its tries, and their times relative to the class's mean. Medians are
+    // compared, since at a cold server the longest tries are given up, and their true length is never
+    // observed.
     let mut bins: BTreeMap<u64, Vec<(f64, f64)>> = BTreeMap::new();
     let mut warm = Vec::new();
-    for one in starts {
+    for one in samples {
         let Some(mean) = means.get(&one.class) else { continue };
         match one.age {
-            Some(age) => bins.entry((age / AGE_BIN) as u64).or_default().push((age, one.work / mean)),
+            Some(age) => bins.entry((age / AGE_BIN_S) as u64).or_default().push((age, one.work / mean)),
             None => warm.push(one.work / mean),
         }
     }
-    bins.retain(|_, bin| bin.len() >= BIN_LEAST);
+    bins.retain(|_, bin| bin.len() >= MIN_BIN_TRIES);
     let tries: usize = bins.values().map(Vec::len).sum();
-    if tries < TRIES_LEAST || bins.len() < 2 {
+    if tries < MIN_TRIES || bins.len() < 2 {
         return None;
     }
-    let usual = median(&mut warm);
-    let miss = |share: f64, after: f64| {
-        let make = Make { cold_share: share, warm_after: Nanos::from_secs(after), ..NONE };
+    let warm_median = median(&mut warm);
+    let squared_error = |share: f64, after: f64| {
+        let make = Make { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_MAKE };
         let bin = |tries: &Vec<(f64, f64)>| {
-            // By their own ages: within a bin they come late, since news of a start is late.
-            let as_warm = |(age, part): &(f64, f64)| part * make.warmth(Nanos::from_secs(*age));
-            let mut parts: Vec<f64> = tries.iter().map(as_warm).collect();
-            (median(&mut parts) / usual).ln().powi(2) * tries.len() as f64
+            // Each try is corrected by its own age: within a bin most ages are high, since a start is
+            // reported late.
+            let as_warm = |(age, ratio): &(f64, f64)| ratio * make.warmth(Nanos::from_secs(*age));
+            let mut ratios: Vec<f64> = tries.iter().map(as_warm).collect();
+            (median(&mut ratios) / warm_median).ln().powi(2) * tries.len() as f64
         };
         bins.values().map(bin).sum::<f64>()
     };
-    let grid =
-        SHARES.flat_map(|share| AGES.map(move |after| (f64::from(share) / 50.0, f64::from(after) / 2.0)));
-    let (cold_share, warm_after_s) = grid.min_by(|a, b| miss(a.0, a.1).total_cmp(&miss(b.0, b.1)))?;
+    let grid = COLD_SHARES
+        .flat_map(|share| AGES.map(move |after| (f64::from(share) / 50.0, f64::from(after) / 2.0)));
+    let (cold_share, warm_after_s) =
+        grid.min_by(|a, b| squared_error(a.0, a.1).total_cmp(&squared_error(b.0, b.1)))?;
     let youngest_s = bins.values().flatten().map(|(age, _)| *age).fold(f64::INFINITY, f64::min);
     Some(WarmUp { cold_share, warm_after_s, youngest_s, tries })
 }
@@ -208,7 +215,7 @@
     *values.select_nth_unstable_by(middle, f64::total_cmp).1
 }
 
-const NONE: Make = Make {
+const BASE_MAKE: Make = Make {
     cores: 1,
     speed: 1.0,
     queue: 0,
@@ -224,9 +231,9 @@
     use crate::world::{play_with_options, RunOptions, ROUND_TRIP};
     use craneknot_rehearsal::script::{Trouble, TroubleKind};
 
-    /// The model's own recording gives back what it was played with.
+    /// A fit of the model's own recording returns the parameters of the run.
     #[test]
-    fn what_was_hidden_is_found_again() {
+    fn a_fit_recovers_the_parameters_of_the_run() {
         let mut script = Script::built_in().unwrap();
         script.length = Span::millis(160_000);
         let deploy = |at| Trouble {
@@ -243,17 +250,17 @@
         let played = play_with_options(&script, RunOptions::default());
         let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
         let true_work = script.clients.demand.clone();
-        // The recording's own script is no help.
+        // Overwrites the true values in the recording's script, so that the fit can't read them there.
         recording.head.script.clients.demand.iter_mut().for_each(|demand| demand.work = Span::millis(777));
         (recording.head.script.rules.cold_share, recording.head.script.rules.warm_after) =
             (0.9, Span::millis(1));
         let fit = fit(&recording, ROUND_TRIP).unwrap();
         for demand in &true_work {
-            let Fitted { mean, error, .. } = fit.work_ms[&demand.class];
-            let truth = demand.work.0.secs() * 1e3;
+            let FittedMean { mean, error, .. } = fit.work_ms[&demand.class];
+            let expected = demand.work.0.secs() * 1e3;
             assert!(
-                (mean - truth).abs() < (4.0 * error).max(0.02 * truth),
-                "{mean} ± {error}, truly {truth}"
+                (mean - expected).abs() < (4.0 * error).max(0.02 * expected),
+                "{mean} ± {error}, expected {expected}"
             );
         }
         let warm_up = fit.warm_up.unwrap();
@@ -264,7 +271,7 @@
     }
 
     #[test]
-    fn a_recording_with_nothing_in_it_says_so() {
+    fn an_empty_recording_is_rejected_with_a_cause() {
         let script = Script::built_in().unwrap();
         let played = play_with_options(&script, RunOptions::default());
         let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
--- a/crates/craneknot-model/src/hunt.rs
+++ b/crates/craneknot-model/src/hunt.rs
@@ -1,5 +1,5 @@
-//! Looks for days on which a rule breaks, or service falls furthest, and shrinks what it finds to the smallest script that
-//! still shows it.
+//! Searches for runs in which a rule is broken, or service falls furthest below the upper bound, and shrinks
+//! the script found to the smallest one that still reproduces it.
 
 use craneknot::interface::Nanos;
 use craneknot_rehearsal::script::{Trouble, TroubleKind};
@@ -13,7 +13,7 @@
 use crate::bound;
 use crate::world::{self, RunOptions};
 
-const KINDS: [TroubleKind; 22] = [
+const FAULT_KINDS: [TroubleKind; 22] = [
     TroubleKind::Burst,
     TroubleKind::Deploy,
     TroubleKind::FastErrors,
@@ -37,48 +37,48 @@
     TroubleKind::OneSided,
     TroubleKind::Growth,
 ];
-const TROUBLES_MOST: usize = 6; // at once on one day: more is no one's day
-const BATCH: usize = 16; // days played at once
-const SAME: f64 = 0.02; // service by which a smaller script may differ and still show the same
+const MAX_FAULTS: usize = 6; // more faults in one run are unrealistic
+const BATCH: usize = 16; // runs played in parallel
+const SERVICE_TOLERANCE: f64 = 0.02; // by which a smaller script's service gap may be less and count as equal
 
-/// What was found.
+/// The worst run that was found.
 pub struct Found {
     pub script: Script,
     pub report: Report,
-    pub severity: Badness,
-    /// Days played, those of shrinking included.
+    pub severity: Severity,
+    /// Number of runs played, including those for shrinking.
     pub runs_played: usize,
 }
 
-/// How bad a day is: broken rules before all else, then how far service stays behind the bound.
+/// How bad a run is: first whether a rule was broken, then how far service is below the upper bound.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Badness {
-    pub broken: bool,
+pub struct Severity {
+    pub rule_broken: bool,
     pub service_gap: f64,
 }
 
-/// A day that was played.
+/// A script with the result of its run.
 #[derive(Clone, Debug)]
-struct Day {
+struct PlayedRun {
     script: Script,
     report: Report,
-    severity: Badness,
+    severity: Severity,
 }
 
-impl Day {
+impl PlayedRun {
     fn play(script: Script) -> Self {
         let played = world::play_with_options(&script, RunOptions::default());
-        let most = bound::service(&script, played.begin, &played.asked).unwrap_or(1.0);
-        let service_gap = most - played.report.service.service;
-        let severity = Badness { broken: !played.report.passed(), service_gap };
-        Day { script, report: played.report, severity }
+        let upper_bound = bound::max_service(&script, played.begin, &played.asked).unwrap_or(1.0);
+        let service_gap = upper_bound - played.report.service.service;
+        let severity = Severity { rule_broken: !played.report.passed(), service_gap };
+        PlayedRun { script, report: played.report, severity }
     }
 }
 
-fn draw(base: &Script, rng: &mut Pcg32) -> Script {
+fn draw_script(base: &Script, rng: &mut Pcg32) -> Script {
     let length = base.length.0 .0;
-    let trouble = |rng: &mut Pcg32| {
-        let kind = KINDS.choose(rng).copied().unwrap_or(TroubleKind::Crash);
+    let fault = |rng: &mut Pcg32| {
+        let kind = FAULT_KINDS.choose(rng).copied().unwrap_or(TroubleKind::Crash);
         let span = rng.random_range(length / 20..length / 3);
         let at = rng.random_range(length / 20..length - span);
         let zone = (kind == TroubleKind::ZoneLost || rng.random_range(0..4) == 0)
@@ -95,49 +95,49 @@
             unlisted: rng.random_range(0..3) == 0,
         }
     };
-    let count = rng.random_range(1..=TROUBLES_MOST);
+    let count = rng.random_range(1..=MAX_FAULTS);
     Script {
-        troubles: (0..count).map(|_| trouble(rng)).collect(),
+        troubles: (0..count).map(|_| fault(rng)).collect(),
         seed: rng.random_range(0..1 << 32),
         ..base.clone()
     }
 }
 
-/// Plays `budget` days drawn from the base's seed; the worst, shrunk.
+/// Plays `budget` runs drawn from the base's seed, and returns the worst one, shrunk.
 pub fn search(base: &Script, budget: usize, mut progress: impl FnMut(usize, &Report)) -> Found {
     let mut rng = Pcg32::seed_from_u64(base.seed);
-    let mut worst: Option<Day> = None;
+    let mut worst: Option<PlayedRun> = None;
     let mut played = 0;
     while played < budget.max(1) {
         let scripts: Vec<Script> =
-            (played..budget.max(1)).take(BATCH).map(|_| draw(base, &mut rng)).collect();
-        for day in scripts.into_par_iter().map(Day::play).collect::<Vec<Day>>() {
-            progress(played, &day.report);
+            (played..budget.max(1)).take(BATCH).map(|_| draw_script(base, &mut rng)).collect();
+        for run in scripts.into_par_iter().map(PlayedRun::play).collect::<Vec<PlayedRun>>() {
+            progress(played, &run.report);
             played += 1;
-            if worst.as_ref().is_none_or(|held| day.severity > held.severity) {
-                worst = Some(day);
+            if worst.as_ref().is_none_or(|known| run.severity > known.severity) {
+                worst = Some(run);
             }
         }
     }
-    let mut worst = worst.unwrap_or_else(|| Day::play(base.clone()));
-    // One trouble less, as long as it still shows.
-    let mut place = 0;
-    while place < worst.script.troubles.len() && worst.script.troubles.len() > 1 {
+    let mut worst = worst.unwrap_or_else(|| PlayedRun::play(base.clone()));
+    // Removes one fault at a time, as long as the result can still be reproduced.
+    let mut fault_index = 0;
+    while fault_index < worst.script.troubles.len() && worst.script.troubles.len() > 1 {
         let mut smaller = worst.script.clone();
-        smaller.troubles.remove(place);
-        let tried = Day::play(smaller);
+        smaller.troubles.remove(fault_index);
+        let reduced = PlayedRun::play(smaller);
         played += 1;
-        let same = match worst.severity.broken {
-            true => tried.severity.broken,
-            false => tried.severity.service_gap >= worst.severity.service_gap - SAME,
+        let still_shows = match worst.severity.rule_broken {
+            true => reduced.severity.rule_broken,
+            false => reduced.severity.service_gap >= worst.severity.service_gap - SERVICE_TOLERANCE,
         };
-        if same {
-            worst = tried;
+        if still_shows {
+            worst = reduced;
         } else {
-            place += 1;
+            fault_index += 1;
         }
     }
-    let Day { script, report, severity } = worst;
+    let PlayedRun { script, report, severity } = worst;
     Found { script, report, severity, runs_played: played }
 }
 
@@ -146,14 +146,14 @@
     use super::*;
 
     #[test]
-    fn a_hunt_is_the_same_for_a_seed_and_its_script_shows_what_it_says() {
+    fn a_search_is_deterministic_and_its_script_reproduces_the_result() {
         let base =
             Script { length: Span::millis(8_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
         let (one, two) = (search(&base, 12, |_, _| {}), search(&base, 12, |_, _| {}));
         assert_eq!((&one.script, one.runs_played), (&two.script, two.runs_played));
         let again = world::play(&one.script);
         assert_eq!(again.lines(), one.report.lines());
-        let calm = world::play(&base);
-        assert!(again.service.service < calm.service.service, "{}", again.lines());
+        let undisturbed = world::play(&base);
+        assert!(again.service.service < undisturbed.service.service, "{}", again.lines());
     }
 }
--- a/crates/craneknot-model/src/lib.rs
+++ b/crates/craneknot-model/src/lib.rs
@@ -1,11 +1,13 @@
-//! The fleet in simulated time. The same script that a rehearsal plays on sockets is played here on events: the same
-//! decisions (through the coordinator's desk), the same fleet machines (membership, lease, takeover), the same agents'
-//! holdings, the same stand-in servers, proxies and clients, and the same auditor; only sockets and waiting are left out.
+//! Discrete-event simulation of the fleet. It runs the same scripts as a rehearsal, but on events instead of
+//! sockets: the same decisions (through the coordinator's control loop), the same fleet state machines
+//! (membership, lease, takeover), the same agents' state, the same simulated servers, proxies and clients,
+//! and the same auditor; only sockets and waiting are left out.
 //!
-//! [`world`] is the engine, one seed one run; [`experiment`] plays replications and gives means with error bars;
-//! [`fit`] finds from a recording what cannot be seen; [`feed`] makes a recording of coordinators' ledgers;
-//! [`hosted`] plays the decisions of other builds; [`timeline`] and [`plot`] show runs and experiments;
-//! [`baseline`] and [`bound`] give the distance to something else; [`hunt`] looks for bad days.
+//! [`world`] is the simulation engine, one run per seed; [`experiment`] runs replications and computes means
+//! with confidence intervals; [`fit`] estimates from a recording the parameters that cannot be observed;
+//! [`feed`] makes a recording from coordinators' ledgers; [`hosted`] runs the decisions of other builds;
+//! [`timeline`] and [`plot`] display runs and experiments; [`baseline`] and [`bound`] provide other policies
+//! and an upper bound for comparison; [`hunt`] searches for runs with broken rules or poor service.
 
 pub mod baseline;
 pub mod bound;
--- a/crates/craneknot-model/src/plot.rs
+++ b/crates/craneknot-model/src/plot.rs
@@ -1,4 +1,4 @@
-//! One page with everything on it: SVG charts within a self-contained HTML file.
+//! Draws recordings and outcomes of experiments as SVG charts in one self-contained HTML page.
 
 use std::fmt::Write;
 
@@ -6,38 +6,38 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-use crate::experiment::{number_of, Arm, CostFigures, Estimate, Outcome};
+use crate::experiment::{numeric_value, Arm, CostFigures, Estimate, Outcome};
 use crate::timeline::{Second, Timeline};
 
-const SIZE: (u32, u32) = (960, 260); // pixels of a chart
-const GROUND: RGBColor = RGBColor(255, 255, 255);
-const TROUBLE: RGBColor = RGBColor(214, 120, 60);
-const OURS: RGBColor = RGBColor(30, 90, 160);
-const OTHERS: [RGBColor; 4] =
+const CHART_SIZE: (u32, u32) = (960, 260); // in pixels
+const BACKGROUND: RGBColor = RGBColor(255, 255, 255);
+const FAULT_COLOUR: RGBColor = RGBColor(214, 120, 60);
+const MAIN_COLOUR: RGBColor = RGBColor(30, 90, 160);
+const OTHER_COLOURS: [RGBColor; 4] =
     [RGBColor(120, 120, 120), RGBColor(60, 150, 90), RGBColor(170, 80, 140), RGBColor(20, 20, 20)];
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// What a page shows.
+/// An input file of a page, with its name.
 pub enum Input {
     Recording(String, Box<Recording>),
     Outcome(String, Box<Outcome>),
 }
 
-fn svg(size: (u32, u32), draw: impl FnOnce(&Area) -> Drawn) -> Result<String, String> {
+fn svg(size: (u32, u32), draw: impl FnOnce(&Area) -> DrawResult) -> Result<String, String> {
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, size).into_drawing_area();
-        area.fill(&GROUND).map_err(|cause| cause.to_string())?;
+        area.fill(&BACKGROUND).map_err(|cause| cause.to_string())?;
         draw(&area).map_err(|cause| cause.to_string())?;
         area.present().map_err(|cause| cause.to_string())?;
     }
     Ok(text)
 }
 
-/// A value over the seconds of a run, with its troubles marked.
-fn over_time(
+/// Chart of a value over the seconds of a run, with the faults marked.
+fn time_chart(
     line: &Timeline,
     title: &str,
     unit: &str,
@@ -47,7 +47,7 @@
     let values: Vec<(f64, f64)> =
         line.seconds.iter().enumerate().map(|(k, second)| (k as f64 + 0.5, of(second))).collect();
     let most = top.unwrap_or(values.iter().map(|value| value.1).fold(0.0, f64::max) * 1.08).max(1e-9);
-    svg(SIZE, |area| {
+    svg(CHART_SIZE, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
@@ -56,28 +56,28 @@
             .build_cartesian_2d(0.0..line.seconds.len() as f64, 0.0..most)?;
         chart.configure_mesh().light_line_style(TRANSPARENT).x_desc("s").y_desc(unit).draw()?;
         for (_, from, to) in &line.troubles {
-            let style = TROUBLE.mix(0.13).filled();
+            let style = FAULT_COLOUR.mix(0.13).filled();
             chart.draw_series([Rectangle::new([(*from, 0.0), (*to, most)], style)])?;
         }
         for (place, (name, from, _)) in line.troubles.iter().enumerate() {
-            // Names that begin close by stand on lines of their own.
+            // Staggers the names of faults, since some start close to each other.
             let height = most * (0.08 + 0.09 * (place % 4) as f64);
-            let style = ("sans-serif", 11).into_font().color(&TROUBLE);
+            let style = ("sans-serif", 11).into_font().color(&FAULT_COLOUR);
             chart.draw_series([Text::new(name.clone(), (*from, height), style)])?;
         }
-        chart.draw_series(LineSeries::new(values.iter().copied(), OURS.stroke_width(2)))?;
+        chart.draw_series(LineSeries::new(values.iter().copied(), MAIN_COLOUR.stroke_width(2)))?;
         Ok(())
     })
 }
 
-/// Good answers by server and second: a row a server, the darker the more.
-fn by_server(line: &Timeline) -> Result<String, String> {
+/// Heat map of good answers per second: one row per server, darker for more.
+fn server_heatmap(line: &Timeline) -> Result<String, String> {
     let rows = line.servers.len();
     let most = line.servers.values().flatten().copied().max().unwrap_or(1).max(1);
     let height = (rows as u32 * 9 + 80).clamp(140, 1_400);
-    svg((SIZE.0, height), |area| {
+    svg((CHART_SIZE.0, height), |area| {
         let mut chart = ChartBuilder::on(area)
-            .caption(format!("Good answers a second by server (darkest: {most})"), ("sans-serif", 16))
+            .caption(format!("Good answers per second by server (darkest: {most})"), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(64)
@@ -87,7 +87,7 @@
             let cells = counts.iter().enumerate().filter(|(_, count)| **count > 0).map(|(second, count)| {
                 let part = f64::from(*count) / f64::from(most);
                 let (x, y) = (second as f64, row as f64);
-                Rectangle::new([(x, y), (x + 1.0, y + 0.92)], OURS.mix(0.08 + 0.92 * part).filled())
+                Rectangle::new([(x, y), (x + 1.0, y + 0.92)], MAIN_COLOUR.mix(0.08 + 0.92 * part).filled())
             });
             chart.draw_series(cells)?;
         }
@@ -95,14 +95,14 @@
     })
 }
 
-/// Estimates side by side, with their bars.
-fn bars(title: &str, all: &[(String, Estimate, bool)]) -> Result<String, String> {
-    let reach = |estimate: &Estimate| estimate.half_width.unwrap_or(0.0);
-    let low = all.iter().map(|(_, e, _)| e.mean - reach(e)).fold(f64::INFINITY, f64::min);
-    let high = all.iter().map(|(_, e, _)| e.mean + reach(e)).fold(f64::NEG_INFINITY, f64::max);
+/// Chart of several estimates with their confidence intervals.
+fn interval_chart(title: &str, all: &[(String, Estimate, bool)]) -> Result<String, String> {
+    let half_width_or_zero = |estimate: &Estimate| estimate.half_width.unwrap_or(0.0);
+    let low = all.iter().map(|(_, e, _)| e.mean - half_width_or_zero(e)).fold(f64::INFINITY, f64::min);
+    let high = all.iter().map(|(_, e, _)| e.mean + half_width_or_zero(e)).fold(f64::NEG_INFINITY, f64::max);
     let room = ((high - low) * 0.1).max(1e-3);
     let height = all.len() as u32 * 26 + 90;
-    svg((SIZE.0, height), |area| {
+    svg((CHART_SIZE.0, height), |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
@@ -110,10 +110,11 @@
             .y_label_area_size(10)
             .build_cartesian_2d(low - room..high + room, -0.6..all.len() as f64 - 0.2)?;
         chart.configure_mesh().disable_y_mesh().disable_y_axis().light_line_style(TRANSPARENT).draw()?;
-        for (place, (name, estimate, ours)) in all.iter().enumerate() {
+        for (place, (name, estimate, is_main)) in all.iter().enumerate() {
             let y = (all.len() - 1 - place) as f64;
-            let (from, to) = (estimate.mean - reach(estimate), estimate.mean + reach(estimate));
-            let color = if *ours { OURS } else { OTHERS[0] };
+            let (from, to) =
+                (estimate.mean - half_width_or_zero(estimate), estimate.mean + half_width_or_zero(estimate));
+            let color = if *is_main { MAIN_COLOUR } else { OTHER_COLOURS[0] };
             chart.draw_series([PathElement::new(vec![(from, y), (to, y)], color.stroke_width(2))])?;
             chart.draw_series([Circle::new((estimate.mean, y), 4, color.filled())])?;
             let style = ("sans-serif", 12).into_font().color(&BLACK);
@@ -126,16 +127,16 @@
 
 type Points = Vec<(f64, f64, f64)>;
 
-/// Estimates over the first swept setting, a curve for ours and one for each that stands beside.
-fn curve(
+/// Chart of estimates over the first setting of a sweep, with one curve per name.
+fn sweep_chart(
     title: &str,
     arms: &[Arm],
     pick: impl Fn(&Arm) -> Vec<(String, Estimate)>,
 ) -> Result<String, String> {
-    // By name: places, means and half-widths.
+    // By name: values of the setting, means and half-widths.
     let mut curves: Vec<(String, Points)> = Vec::new();
     for arm in arms {
-        let Some(x) = arm.overrides.values().next().and_then(number_of) else { continue };
+        let Some(x) = arm.overrides.values().next().and_then(numeric_value) else { continue };
         for (name, estimate) in pick(arm) {
             let place = curves.iter().position(|(of, _)| *of == name).unwrap_or_else(|| {
                 curves.push((name, Vec::new()));
@@ -152,7 +153,7 @@
     });
     let room = ((high - low) * 0.08).max(1e-3);
     let pointer = arms.first().and_then(|arm| arm.overrides.keys().next().cloned()).unwrap_or_default();
-    svg((SIZE.0, 320), |area| {
+    svg((CHART_SIZE.0, 320), |area| {
         let x_room = ((right - left) * 0.03).max(1e-6);
         let mut chart = ChartBuilder::on(area)
             .caption(title, ("sans-serif", 16))
@@ -162,7 +163,8 @@
             .build_cartesian_2d(left - x_room..right + x_room, low - room..high + room)?;
         chart.configure_mesh().light_line_style(TRANSPARENT).x_desc(pointer).draw()?;
         for (place, (name, points)) in curves.iter().enumerate() {
-            let color = if place == 0 { OURS } else { OTHERS[(place - 1) % OTHERS.len()] };
+            let color =
+                if place == 0 { MAIN_COLOUR } else { OTHER_COLOURS[(place - 1) % OTHER_COLOURS.len()] };
             let line = points.iter().map(|point| (point.0, point.1));
             chart
                 .draw_series(LineSeries::new(line, color.stroke_width(2)))?
@@ -187,42 +189,42 @@
 }
 
 /// The charts of a recording.
-pub fn of_recording(recording: &Recording) -> Result<Vec<String>, String> {
+pub fn recording_charts(recording: &Recording) -> Result<Vec<String>, String> {
     let line = Timeline::from_recording(recording);
     Ok(vec![
-        over_time(
+        time_chart(
             &line,
-            "Service by importance, of operations asked for in each second",
+            "Service weighted by importance, of operations requested in each second",
             "",
             Some(1.05),
             |s| s.service(),
         )?,
-        over_time(&line, "Operations asked for", "a second", None, |s| f64::from(s.asked))?,
-        over_time(&line, "Refused, failed and given up", "a second", None, |s| {
+        time_chart(&line, "Operations requested", "per second", None, |s| f64::from(s.asked))?,
+        time_chart(&line, "Rejected, failed and given up", "per second", None, |s| {
             f64::from(s.refused + s.failed)
         })?,
-        by_server(&line)?,
-        over_time(&line, "Servers gained or lost by proxies' tables", "a second", None, |s| {
+        server_heatmap(&line)?,
+        time_chart(&line, "Servers added to or removed from proxies' tables", "per second", None, |s| {
             f64::from(s.moved)
         })?,
-        over_time(&line, "Longest queue of a channel", "lines", None, |s| s.queue)?,
+        time_chart(&line, "Longest queue of a channel", "lines", None, |s| s.queue)?,
     ])
 }
 
 /// The charts of an experiment.
-pub fn of_outcome(outcome: &Outcome) -> Result<Vec<String>, String> {
+pub fn outcome_charts(outcome: &Outcome) -> Result<Vec<String>, String> {
     let mut charts = Vec::new();
     let mut all = Vec::new();
     for arm in &outcome.arms {
         all.push((arm.name.clone(), arm.service, true));
         all.extend(arm.baselines.iter().map(|(name, estimate)| (format!("  {name}"), *estimate, false)));
     }
-    charts.push(bars("Service by importance, 95% intervals", &all)?);
+    charts.push(interval_chart("Service weighted by importance, with 95% intervals", &all)?);
     if !outcome.differences.is_empty() {
         let of =
-            |d: &crate::experiment::Difference| (format!("{} less {}", d.arm, d.reference), d.service, true);
-        charts.push(bars(
-            "Difference on the same random numbers",
+            |d: &crate::experiment::Difference| (format!("{} minus {}", d.arm, d.reference), d.service, true);
+        charts.push(interval_chart(
+            "Difference with common random numbers",
             &outcome.differences.iter().map(of).collect::<Vec<_>>(),
         )?);
     }
@@ -231,34 +233,40 @@
         if let Some(mean) = forecast.measured {
             both.push(("measured".to_owned(), Estimate { mean, half_width: None, runs: 1 }, false));
         }
-        charts.push(bars("Forecast against the recorded run", &both)?);
+        charts.push(interval_chart("Forecast and the recorded run", &both)?);
     }
-    let swept =
-        outcome.arms.iter().filter(|arm| arm.overrides.values().next().and_then(number_of).is_some()).count();
+    let swept = outcome
+        .arms
+        .iter()
+        .filter(|arm| arm.overrides.values().next().and_then(numeric_value).is_some())
+        .count();
     if swept > 1 {
         let service = |arm: &Arm| {
-            let beside = arm.baselines.iter().map(|(name, estimate)| (name.clone(), *estimate));
-            std::iter::once(("ours".to_owned(), arm.service)).chain(beside).collect()
+            let baselines = arm.baselines.iter().map(|(name, estimate)| (name.clone(), *estimate));
+            std::iter::once(("ours".to_owned(), arm.service)).chain(baselines).collect()
         };
-        charts.push(curve("Service", &outcome.arms, service)?);
-        charts.push(curve("Lines sent a second", &outcome.arms, |arm| {
+        charts.push(sweep_chart("Service", &outcome.arms, service)?);
+        charts.push(sweep_chart("Lines sent per second", &outcome.arms, |arm| {
             vec![("all coordinators".to_owned(), arm.lines_per_second)]
         })?);
-        // As far as it was asked for.
+        // Only present if it was requested.
         let cost = |pick: fn(&CostFigures) -> (f64, f64)| {
             move |arm: &Arm| {
                 let of = |part: fn((f64, f64)) -> f64| {
                     let figures = arm.singles.iter().filter_map(|single| single.cost.as_ref());
                     Estimate::of(&figures.map(|cost| part(pick(cost))).collect::<Vec<f64>>())
                 };
-                vec![("half".to_owned(), of(|both| both.0)), ("99 of 100".to_owned(), of(|both| both.1))]
+                vec![
+                    ("median".to_owned(), of(|both| both.0)),
+                    ("99th percentile".to_owned(), of(|both| both.1)),
+                ]
             }
         };
         if outcome.arms.iter().all(|arm| arm.singles.iter().all(|single| single.cost.is_some())) {
-            charts.push(curve("Time of a coordinator's turn, us", &outcome.arms, cost(|c| c.turn_us))?);
-            charts.push(curve("Age of what a turn learns, s", &outcome.arms, cost(|c| c.age_s))?);
+            charts.push(sweep_chart("Time of a coordinator's turn, us", &outcome.arms, cost(|c| c.turn_us))?);
+            charts.push(sweep_chart("Age of reports at a turn, s", &outcome.arms, cost(|c| c.age_s))?);
         }
-        charts.push(curve("99th percentile of answers, ms", &outcome.arms, |arm| {
+        charts.push(sweep_chart("99th percentile of latency, ms", &outcome.arms, |arm| {
             vec![("ours".to_owned(), arm.p99_ms)]
         })?);
     }
@@ -269,7 +277,7 @@
 pub fn page(inputs: &[Input]) -> Result<String, String> {
     let mut text = String::from(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>craneknot</title>\n<style>body{font-family:\
-         sans-serif;max-width:980px;margin:2em auto}svg{display:block;margin:0.7em 0}</style></head><body>\n<p>Figures are \
+         sans-serif;max-width:980px;margin:2em auto}svg{display:block;margin:0.7em 0}</style></head><body>\n<p>Results are \
          of simulated servers.</p>\n",
     );
     for input in inputs {
@@ -277,20 +285,20 @@
             Input::Recording(name, recording) => {
                 let Recording { head, lines } = recording.as_ref();
                 let note = format!(
-                    "{} ({}), seed {}: service {}, {} lines, every rule kept: {}",
+                    "{} ({}), seed {}: service {}, {} lines, all rules kept: {}",
                     head.script.name,
                     head.source,
                     head.script.seed,
-                    head.service.map_or("not known".to_owned(), |service| format!("{service:.4}")),
+                    head.service.map_or("unknown".to_owned(), |service| format!("{service:.4}")),
                     lines.len(),
                     head.passed
                 );
-                (name, note, of_recording(recording)?)
+                (name, note, recording_charts(recording)?)
             }
             Input::Outcome(name, outcome) => {
                 let broken = outcome.broken_runs().count();
-                let note = format!("{} scripts, runs in which a rule broke: {broken}", outcome.arms.len());
-                (name, note, of_outcome(outcome)?)
+                let note = format!("{} scripts, runs with a broken rule: {broken}", outcome.arms.len());
+                (name, note, outcome_charts(outcome)?)
             }
         };
         let _ = write!(text, "<h2>{}</h2>\n<p>{}</p>\n", escaped(name), escaped(&note));
@@ -312,17 +320,17 @@
     use craneknot_settings::Span;
 
     #[test]
-    fn a_page_holds_a_chart_for_everything_and_nothing_from_outside() {
+    fn a_page_has_all_charts_and_no_external_resources() {
         let script =
             Script { length: Span::millis(6_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
         let played = play_with_options(&script, RunOptions::default());
         let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
-        let asked =
+        let options =
             ExperimentOptions { min_runs: 2, max_runs: 2, max_half_width: 1.0, baselines: true, cost: true };
-        let one = run(&script, &Build::Own, asked, |_| {});
+        let one = run(&script, &Build::Own, options, |_| {});
         let axes = ["/clients/rate=50,100".parse().unwrap()];
         let swept =
-            sweep(&script, &axes, ExperimentOptions { baselines: false, ..asked }, |_, _| {}).unwrap();
+            sweep(&script, &axes, ExperimentOptions { baselines: false, ..options }, |_, _| {}).unwrap();
         let inputs = [
             Input::Recording("a <b>".to_owned(), Box::new(recording)),
             Input::Outcome("one".to_owned(), Box::new(one)),
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn raise_coordinator(&mut self, coordinator: usize) {
-        if self.coordinators[coordinator].is_none() && self.options.selector == Who::Ours {
+        if self.coordinators[coordinator].is_none() && self.options.selector == Selector::Coordinators {
             self.start_coordinator(coordinator);
         }
     }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -37,8 +37,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::baseline::{self, Seen, Who};
-use crate::bound::Asked;
+use crate::baseline::{self, Candidate, Selector};
+use crate::bound::RequestedOperation;
 use crate::hosted::{Build, Fault};
 
 const START: Nanos = Nanos::from_millis(1_000_000_000); // the start of a run, in simulated time
@@ -213,7 +213,7 @@
     /// Number of given arrivals used so far.
     arrivals_used: usize,
     /// All operations requested, regardless of their outcome.
-    asked: Vec<Asked>,
+    asked: Vec<RequestedOperation>,
     /// The last samples of servers' queues, for selection by outdated queue lengths.
     queue_samples: Vec<f64>,
     addresses: Addresses,
@@ -257,7 +257,7 @@
 #[derive(Clone, Copy, Default)]
 pub struct RunOptions<'a> {
     /// The method that selects servers.
-    pub selector: Who,
+    pub selector: Selector,
     /// Recorded arrivals: time since the earliest possible operation, class and zone; none: arrivals are drawn.
     pub arrivals: Option<&'a [(Nanos, usize, usize)]>,
     /// XORed with the script's seed for all random draws except the faults, which depend on the script's seed alone.
@@ -280,7 +280,7 @@
 pub struct RunResult {
     pub report: Report,
     pub records: Vec<Record>,
-    pub asked: Vec<Asked>,
+    pub asked: Vec<RequestedOperation>,
     /// The time of the earliest possible operation.
     pub begin: Nanos,
     /// Why a hosted controller failed; if present, the run is invalid.
@@ -426,7 +426,7 @@
             plan,
         };
         world.publish_list();
-        if options.selector == Who::Ours {
+        if options.selector == Selector::Coordinators {
             // Coordinators start before the first agent connects, each at its own random time: otherwise their periodic work
             // would be in phase with the faults.
             for coordinator in 0..count {
@@ -517,7 +517,7 @@
                     due = operation.asked;
                     let (op, class, zone) = (operation.id, operation.class, operation.zone);
                     self.log.add(self.now, What::Asked { op, class, zone });
-                    self.asked.push(Asked { at: self.now, class, work: operation.work });
+                    self.asked.push(RequestedOperation { at: self.now, class, work: operation.work });
                     self.start_attempt(operation);
                 }
                 self.schedule_next_operation(due, stop);
--- a/crates/craneknot-model/src/world/operations.rs
+++ b/crates/craneknot-model/src/world/operations.rs
@@ -55,8 +55,8 @@
         self.tries.insert(number, Try { operation, proxy, tried: Vec::new(), until, sent, ended: true });
         let state = &mut self.proxies[proxy];
         let admitted = match self.options.selector {
-            Who::Ours => state.chooser.admit(self.now, class),
-            Who::Random | Who::LeastLoaded | Who::TwoChoices => Ok(()),
+            Selector::Coordinators => state.chooser.admit(self.now, class),
+            Selector::Random | Selector::LeastLoaded | Selector::TwoChoices => Ok(()),
         };
         state.totals.came(class, admitted.is_ok());
         match admitted {
@@ -106,7 +106,7 @@
 
     /// Selects a server for a try, by the proxy's files or by a baseline method.
     fn choose(&mut self, proxy: usize, class: usize, tried: &[usize]) -> Option<usize> {
-        if self.options.selector == Who::Ours {
+        if self.options.selector == Selector::Coordinators {
             return self.proxies[proxy].chooser.pick(self.now, class, tried).ok();
         }
         let rules = &self.script.classes[class];
@@ -120,16 +120,16 @@
                 continue;
             }
             let state = &self.servers[server];
-            seen.push(Seen {
+            seen.push(Candidate {
                 server,
                 capacity: f64::from(group.cores) * group.speed,
                 answers: state.up && !state.silent && !state.hangs,
                 queue: self.relative_queue(server),
-                late: self.queue_samples.get(server).copied().unwrap_or(0.0),
-                kept_away: self.proxies[proxy].chooser.keeps_away(self.now, server),
+                delayed_queue: self.queue_samples.get(server).copied().unwrap_or(0.0),
+                avoided: self.proxies[proxy].chooser.keeps_away(self.now, server),
             });
         }
-        baseline::choose(self.options.selector, &seen, &mut self.rng)
+        baseline::select_server(self.options.selector, &seen, &mut self.rng)
     }
 
     /// Operations in flight at a server, plus one, relative to its current capacity.
--- a/crates/craneknot-model/tests/closed_form.rs
+++ b/crates/craneknot-model/tests/closed_form.rs
@@ -1,16 +1,17 @@
-//! The engine against what is known in closed form, and against itself: each operation ends once.
+//! Checks the simulation engine against closed-form results, and its own consistency: each operation ends
+//! once.
 
 use std::collections::BTreeMap;
 
 use craneknot::interface::Nanos;
-use craneknot_model::baseline::Who;
+use craneknot_model::baseline::Selector;
 use craneknot_model::experiment::Estimate;
 use craneknot_model::world::{play_with_options, RunOptions, RunResult, ROUND_TRIP};
 use craneknot_rehearsal::record::What;
 use craneknot_rehearsal::Script;
 use craneknot_settings::Span;
 
-/// One server with so many cores, exponential work, and nothing that refuses or gives up.
+/// Runs one server with the given number of cores and exponential work, without rejections or timeouts.
 fn queue(cores: u16, load: f64, seed: u64) -> RunResult {
     let mut script = Script::built_in().unwrap();
     (script.seed, script.length, script.troubles) = (seed, Span::millis(400_000), Vec::new());
@@ -26,11 +27,11 @@
     script.clients.try_part = 1.0;
     script.clients.rate = load * f64::from(cores) / 0.020;
     script.habits.ejects = 0;
-    play_with_options(&script, RunOptions { selector: Who::Random, ..RunOptions::default() })
+    play_with_options(&script, RunOptions { selector: Selector::Random, ..RunOptions::default() })
 }
 
-/// Mean time in the system of M/M/c by Erlang's formula, s.
-fn erlang(cores: u16, load: f64) -> f64 {
+/// Mean time in an M/M/c system by Erlang's formula, in seconds.
+fn erlang_response_time(cores: u16, load: f64) -> f64 {
     let (c, a) = (f64::from(cores), load * f64::from(cores));
     let term = |k: u16| (1..=k).fold(1.0, |product, j| product * a / f64::from(j));
     let last = term(cores) / (1.0 - load);
@@ -38,7 +39,7 @@
     0.020 + waits * 0.020 / (c * (1.0 - load))
 }
 
-fn times(played: &RunResult) -> Vec<f64> {
+fn response_times(played: &RunResult) -> Vec<f64> {
     let took = |what: &What| match what {
         What::Tried { took, .. } => Some((*took).secs() - ROUND_TRIP.secs()),
         _ => None,
@@ -47,50 +48,56 @@
 }
 
 #[test]
-fn queues_are_as_long_as_erlang_has_them() {
+fn response_times_match_erlangs_formula() {
     for (cores, load) in [(1, 0.5), (1, 0.8), (4, 0.7), (16, 0.9)] {
         let mean = |seed| {
-            let times = times(&queue(cores, load, seed));
-            times.iter().sum::<f64>() / times.len() as f64
+            let response_times = response_times(&queue(cores, load, seed));
+            response_times.iter().sum::<f64>() / response_times.len() as f64
         };
         let estimate = Estimate::of(&(1..=8).map(mean).collect::<Vec<f64>>());
-        let (truth, half) = (erlang(cores, load), estimate.half_width.unwrap());
-        // Twice the 95% interval: four cases must all hold, with every seed that may be put here.
+        let (expected, half) = (erlang_response_time(cores, load), estimate.half_width.unwrap());
+        // Twice the 95% interval, since all four cases must hold, with any seeds.
         assert!(
-            (estimate.mean - truth).abs() < 2.0 * half,
-            "M/M/{cores} at {load}: {estimate}, by Erlang {truth}"
+            (estimate.mean - expected).abs() < 2.0 * half,
+            "M/M/{cores} at {load}: {estimate}, expected {expected}"
         );
-        assert!(half < 0.15 * truth, "{half}");
+        assert!(half < 0.15 * expected, "{half}");
     }
 }
 
-/// Little: operations in hand on average are those that come a second, times how long each stays.
+/// Little's law: the mean number of operations in flight is the arrival rate times the mean time in the
+/// system.
 #[test]
 fn littles_law_holds_in_every_run() {
     let played = queue(4, 0.8, 3);
-    let (mut area, mut held, mut last) = (0.0, 0.0, Nanos(0));
-    let (mut came, mut stayed) = (0.0, 0.0);
+    let (mut area, mut in_flight, mut last) = (0.0, 0.0, Nanos(0));
+    let (mut arrived, mut stay) = (0.0, 0.0);
     for record in &played.records {
-        area += held * (record.at - last).secs();
+        area += in_flight * (record.at - last).secs();
         match &record.what {
-            What::Sent { .. } => (held, came) = (held + 1.0, came + 1.0),
-            What::Tried { took, .. } => (held, stayed) = (held - 1.0, stayed + (*took).secs()),
+            What::Sent { .. } => (in_flight, arrived) = (in_flight + 1.0, arrived + 1.0),
+            What::Tried { took, .. } => (in_flight, stay) = (in_flight - 1.0, stay + (*took).secs()),
             _ => {}
         }
         last = record.at;
     }
-    assert!(held <= 0.0 + 40.0 && came > 10_000.0);
-    // What is still in hand at the end has stayed for a while that no one counted.
-    assert!((area / stayed - 1.0).abs() < 0.01, "{area} {stayed}");
+    assert!(in_flight <= 0.0 + 40.0 && arrived > 10_000.0);
+    // The time in the system of operations still in flight at the end isn't counted.
+    assert!((area / stay - 1.0).abs() < 0.01, "{area} {stay}");
 }
 
-/// Whatever happens, an operation that was asked for ends once, or is still under way at the end, and none ends that was not
-/// asked for; each try that was sent is sent by a proxy that stands.
+/// Whatever happens, an operation that was asked for ends once, or is still under way at the end, and none
+/// ends that was not asked for; each try that was sent is sent by a proxy that stands.
 #[test]
 fn each_operation_ends_once() {
-    for (seed, who) in [(1, Who::Ours), (2, Who::Ours), (3, Who::Random), (4, Who::LeastLoaded)] {
+    for (seed, policy) in [
+        (1, Selector::Coordinators),
+        (2, Selector::Coordinators),
+        (3, Selector::Random),
+        (4, Selector::LeastLoaded),
+    ] {
         let script = Script { seed, ..Script::built_in().unwrap() };
-        let played = play_with_options(&script, RunOptions { selector: who, ..RunOptions::default() });
+        let played = play_with_options(&script, RunOptions { selector: policy, ..RunOptions::default() });
         let mut open: BTreeMap<u64, u32> = BTreeMap::new();
         let mut up = vec![false; script.proxy_count()];
         for record in &played.records {
--- a/crates/craneknot-model/tests/weights.rs
+++ b/crates/craneknot-model/tests/weights.rs
@@ -1,4 +1,5 @@
-//! Weights found by the solver, on the whole path in simulated time: servers of three makes that the list shows as alike.
+//! End-to-end simulation of weights found by the solver, with servers of three models whose listed weights
+//! are equal.
 
 use std::path::Path;
 
@@ -8,10 +9,11 @@
 use craneknot_rehearsal::Script;
 use craneknot_settings::{parse, SolverSettings, Span};
 
-fn day(solver: bool) -> Script {
+fn build_script(solver: bool) -> Script {
     let text = include_bytes!("../../../examples/rehearse/weights.json");
     let mut script: Script = parse(Path::new("weights.json"), text).unwrap();
-    // The first forty seconds in short: a tenth of the servers halved, lost answers, and fewer proxies.
+    // A short version of the first forty seconds: a tenth of the servers at half speed, lost answers, and
+    // fewer proxies.
     let trouble = |kind, at, length, part, strength| Trouble {
         kind,
         at: Span::millis(at),
@@ -33,29 +35,31 @@
 }
 
 #[test]
-fn no_server_is_over_its_capacity_though_the_list_shows_them_alike() {
+fn no_server_exceeds_its_capacity_despite_equal_listed_weights() {
     for seed in [3, 4] {
-        let report = play(&Script { seed, ..day(true) });
+        let report = play(&Script { seed, ..build_script(true) });
         assert!(report.passed(), "seed {seed}:\n{}", report.lines());
         assert!(report.rules[&Rule::WithinCapacity].checks > 100, "{}", report.lines());
         assert!(report.service.service > 0.98, "{}", report.lines());
     }
 }
 
-/// The rule can be broken, or it would say nothing: the same fleet filled to nine tenths, weighed as listed.
+/// Shows that the rule can be broken at all: the same fleet at nine tenths of its capacity, with the listed
+/// weights.
 #[test]
-fn weighed_alike_a_full_fleet_is_over_its_capacity() {
-    let mut script = Script { seed: 3, ..day(false) };
+fn with_equal_weights_a_full_fleet_exceeds_its_capacity() {
+    let mut script = Script { seed: 3, ..build_script(false) };
     script.clients.rate *= 2.4;
     script.troubles.clear();
     let report = play(&script);
     assert!(report.rules[&Rule::WithinCapacity].breaks > 0, "{}", report.lines());
 }
 
-/// Found weights bring no worse day than the best that could be written by hand, and far fewer late answers than rough ones.
+/// Weights found by the solver give service no worse than the best weights written by hand, and far fewer
+/// late answers than rough weights.
 #[test]
-fn found_weights_are_as_good_as_true_ones() {
-    let with = |weights, solver| play(&Script { seed: 5, weights, ..day(solver) }).service;
+fn solver_weights_are_as_good_as_true_weights() {
+    let with = |weights, solver| play(&Script { seed: 5, weights, ..build_script(solver) }).service;
     let (truth, found) = (with(Weights::True, false), with(Weights::Equal, true));
     assert!(found.service > truth.service - 0.01, "{} and {}", found.service, truth.service);
     assert!(found.crossed as f64 <= 1.05 * truth.crossed as f64, "{} and {}", found.crossed, truth.crossed);
