--- a/crates/craneknot-model/src/baseline.rs
+++ b/crates/craneknot-model/src/baseline.rs
@@ -25,8 +25,10 @@
 }
 
 impl Selector {
+    /// The methods that runs are compared with.
     pub const BASELINES: [Selector; 3] = [Selector::Random, Selector::TwoChoices, Selector::LeastLoaded];
 
+    /// Name of the method in outcomes and plots.
     pub fn title(self) -> &'static str {
         match self {
             Selector::Coordinators => "ours",
@@ -48,6 +50,7 @@
     /// Operations in flight relative to its capacity: now, and as known one report period late.
     pub queue: f64,
     pub delayed_queue: f64,
+    /// Whether the proxy avoids the server after consecutive failures.
     pub avoided: bool,
 }
 
--- a/crates/craneknot-model/src/bound.rs
+++ b/crates/craneknot-model/src/bound.rs
@@ -31,7 +31,7 @@
         answers_lost: f64,
         started: Option<f64>,
     }
-    let one = |server: usize| {
+    let server_capacity = |server: usize| {
         let model = plan.make(script, server);
         let mut acts = plan.server_acts.iter().filter(|(_, of, _)| *of == server).peekable();
         let up = plan.servers[server].from_start;
@@ -75,7 +75,7 @@
         };
         (0..slots).map(&mut slot).collect()
     };
-    (0..plan.servers.len()).map(one).collect()
+    (0..plan.servers.len()).map(server_capacity).collect()
 }
 
 /// The highest service, weighted by importance, that any policy could reach; 1 if no operation was requested.
@@ -100,49 +100,49 @@
             class.allows(&group.zone, &group.kind)
         });
         let pool = pools.entry(allowed.map(|(class, _)| class).collect()).or_insert(vec![0.0; slots]);
-        pool.iter_mut().zip(&capacity[server]).for_each(|(sum, one)| *sum += one);
+        pool.iter_mut().zip(&capacity[server]).for_each(|(sum, addend)| *sum += addend);
     }
     // Requested work and number of operations, by class and slot.
     let mut demand = vec![vec![(0.0, 0.0); slots]; script.classes.len()];
-    for one in requested {
-        let slot = ((one.at - begin).secs() / SLOT_LENGTH.secs()) as usize;
-        let cell = &mut demand[one.class][slot.min(slots - 1)];
-        *cell = (cell.0 + one.work.secs(), cell.1 + 1.0);
+    for operation in requested {
+        let slot = ((operation.at - begin).secs() / SLOT_LENGTH.secs()) as usize;
+        let cell = &mut demand[operation.class][slot.min(slots - 1)];
+        *cell = (cell.0 + operation.work.secs(), cell.1 + 1.0);
     }
     let importance = |class: usize| script.classes[class].importance;
     let total_importance: f64 = demand
         .iter()
         .enumerate()
-        .map(|(class, d)| importance(class) * d.iter().map(|c| c.1).sum::<f64>())
+        .map(|(class, slots)| importance(class) * slots.iter().map(|cell| cell.1).sum::<f64>())
         .sum();
     if total_importance <= 0.0 {
         return Some(1.0);
     }
     // Variables: the part of a class's work of one slot that a pool does in this slot or a later one.
-    let mut vars = variables!();
+    let mut unknowns = variables!();
     let mut objective = Expression::from(0.0);
-    let mut used: BTreeMap<(usize, usize), Expression> = BTreeMap::new();
-    let mut parts: Vec<Expression> = Vec::new();
-    for (class, slots_of) in demand.iter().enumerate() {
-        for (slot, (work, count)) in slots_of.iter().enumerate().filter(|(_, cell)| cell.1 > 0.0) {
+    let mut pool_work: BTreeMap<(usize, usize), Expression> = BTreeMap::new();
+    let mut served_shares: Vec<Expression> = Vec::new();
+    for (class, class_slots) in demand.iter().enumerate() {
+        for (slot, (work, count)) in class_slots.iter().enumerate().filter(|(_, cell)| cell.1 > 0.0) {
             let mut sum = Expression::from(0.0);
             for (pool, _) in pools.keys().enumerate().filter(|(_, allowed)| allowed.contains(&class)) {
                 for later in slot..=(slot + wait_slots[class]).min(slots - 1) {
-                    let part = vars.add(variable().min(0.0).max(1.0));
+                    let part = unknowns.add(variable().min(0.0).max(1.0));
                     objective += importance(class) * *count * part;
-                    *used.entry((pool, later)).or_insert(Expression::from(0.0)) += *work * part;
+                    *pool_work.entry((pool, later)).or_insert(Expression::from(0.0)) += *work * part;
                     sum += part;
                 }
             }
-            parts.push(sum);
+            served_shares.push(sum);
         }
     }
-    let mut problem = vars.maximise(&objective).using(good_lp::microlp);
-    parts.into_iter().for_each(|sum| {
+    let mut problem = unknowns.maximise(&objective).using(good_lp::microlp);
+    served_shares.into_iter().for_each(|sum| {
         problem.add_constraint(constraint!(sum <= 1.0));
     });
     let pool_capacities: Vec<&Vec<f64>> = pools.values().collect();
-    for ((pool, slot), sum) in used {
+    for ((pool, slot), sum) in pool_work {
         problem.add_constraint(constraint!(sum <= pool_capacities[pool][slot]));
     }
     let solution = problem.solve().ok()?;
--- a/crates/craneknot-model/src/experiment.rs
+++ b/crates/craneknot-model/src/experiment.rs
@@ -72,10 +72,12 @@
     Some((t, variance.sqrt()))
 }
 
-/// Options of an experiment.
+/// Number of runs of an experiment, and what is measured in addition.
 #[derive(Clone, Copy, Debug)]
 pub struct ExperimentOptions {
+    /// Minimum number of runs.
     pub min_runs: usize,
+    /// Maximum number of runs.
     pub max_runs: usize,
     /// Stops once the interval's half-width is at most this.
     pub max_half_width: f64,
@@ -341,16 +343,16 @@
 /// the confidence interval of the difference is narrow enough. When compared with a hosted build, this
 /// program's own decisions receive times rounded in the same way.
 pub fn compare(
-    (one, first): (&Script, &Build),
+    (base, first): (&Script, &Build),
     (other, second): (&Script, &Build),
     options: ExperimentOptions,
     mut progress: impl FnMut(&SingleRun),
 ) -> Outcome {
-    let names = match one.name == other.name {
-        true => (format!("{}, first", one.name), format!("{}, second", other.name)),
-        false => (one.name.clone(), other.name.clone()),
+    let names = match base.name == other.name {
+        true => (format!("{}, first", base.name), format!("{}, second", other.name)),
+        false => (base.name.clone(), other.name.clone()),
     };
-    let other = Script { seed: one.seed, ..other.clone() };
+    let other = Script { seed: base.seed, ..other.clone() };
     let quantized = [first, second].iter().any(|build| matches!(build, Build::Hosted(_)));
     let effective_build = |build: &Build| match build {
         Build::Own if quantized => Build::OwnQuantized,
@@ -362,7 +364,7 @@
             let run_options = RunOptions { build: Some(build), cost: options.cost, ..RunOptions::default() };
             play_single(&with_seed_offset(script, number), run_options, options.baselines)
         };
-        (play(one, &first), play(&other, &second))
+        (play(base, &first), play(&other, &second))
     };
     let service_difference = |(first, second): &(SingleRun, SingleRun)| second.service - first.service;
     let pairs = run_until_narrow(options, both, service_difference, |batch| {
@@ -372,11 +374,11 @@
         })
     });
     let service = Estimate::of(&pairs.iter().map(service_difference).collect::<Vec<f64>>());
-    let (singles, others): (Vec<SingleRun>, Vec<SingleRun>) = pairs.into_iter().unzip();
+    let (singles, second_runs): (Vec<SingleRun>, Vec<SingleRun>) = pairs.into_iter().unzip();
     let difference = Difference { arm: names.1.clone(), reference: names.0.clone(), service };
     let mut outcome = Outcome::new(vec![
-        Arm { build: build_name(&first), ..Arm::of(names.0, BTreeMap::new(), one.clone(), singles) },
-        Arm { build: build_name(&second), ..Arm::of(names.1, BTreeMap::new(), other, others) },
+        Arm { build: build_name(&first), ..Arm::of(names.0, BTreeMap::new(), base.clone(), singles) },
+        Arm { build: build_name(&second), ..Arm::of(names.1, BTreeMap::new(), other, second_runs) },
     ]);
     outcome.differences.push(difference);
     outcome
--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -25,6 +25,7 @@
     pub tries: usize,
 }
 
+/// The parameters estimated from a recording.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fit {
     /// Work of an operation by class, ms on a core of speed 1.
@@ -41,6 +42,7 @@
     pub script: Script,
 }
 
+/// Linear warm-up of servers after their start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct WarmUp {
     pub cold_share: f64,
@@ -210,11 +212,13 @@
     Some(WarmUp { cold_share, warm_after_s, youngest_s, tries })
 }
 
+/// The upper median; reorders the values.
 fn median(values: &mut [f64]) -> f64 {
     let middle = values.len() / 2;
     *values.select_nth_unstable_by(middle, f64::total_cmp).1
 }
 
+/// A server model in which only the warm-up matters, as the base for the evaluated ones.
 const BASE_MAKE: Make = Make {
     cores: 1,
     speed: 1.0,
--- a/crates/craneknot-model/src/hunt.rs
+++ b/crates/craneknot-model/src/hunt.rs
@@ -149,11 +149,11 @@
     fn a_search_is_deterministic_and_its_script_reproduces_the_result() {
         let base =
             Script { length: Span::millis(8_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
-        let (one, two) = (search(&base, 12, |_, _| {}), search(&base, 12, |_, _| {}));
-        assert_eq!((&one.script, one.runs_played), (&two.script, two.runs_played));
-        let again = world::play(&one.script);
-        assert_eq!(again.lines(), one.report.lines());
+        let (first, second) = (search(&base, 12, |_, _| {}), search(&base, 12, |_, _| {}));
+        assert_eq!((&first.script, first.runs_played), (&second.script, second.runs_played));
+        let replayed = world::play(&first.script);
+        assert_eq!(replayed.lines(), first.report.lines());
         let undisturbed = world::play(&base);
-        assert!(again.service.service < undisturbed.service.service, "{}", again.lines());
+        assert!(replayed.service.service < undisturbed.service.service, "{}", replayed.lines());
     }
 }
--- a/crates/craneknot-model/tests/closed_form.rs
+++ b/crates/craneknot-model/tests/closed_form.rs
@@ -86,8 +86,8 @@
     assert!((area / stay - 1.0).abs() < 0.01, "{area} {stay}");
 }
 
-/// Whatever happens, an operation that was asked for ends once, or is still under way at the end, and none
-/// ends that was not asked for; each try that was sent is sent by a proxy that stands.
+/// In any run, a requested operation ends exactly once, and none ends that wasn't requested; every try is sent
+/// by a proxy that is up.
 #[test]
 fn each_operation_ends_once() {
     for (seed, policy) in [
@@ -105,14 +105,14 @@
                 What::Asked { op, .. } => assert_eq!(open.insert(op.0, 0), None),
                 What::Sent { op, proxy, .. } => {
                     assert!(up[*proxy], "sent by a proxy that is down");
-                    *open.get_mut(&op.0).expect("a try of an operation that is under way") += 1;
+                    *open.get_mut(&op.0).expect("a try of an operation in progress") += 1;
                 }
                 What::Ended { op, .. } => assert!(open.remove(&op.0).is_some(), "{op:?} ended twice"),
-                What::Proxy { proxy, up: stands } => up[*proxy] = *stands,
+                What::Proxy { proxy, up: proxy_is_up } => up[*proxy] = *proxy_is_up,
                 _ => {}
             }
         }
-        // The run goes on for longer than any hard stop after the last one: none is left.
-        assert!(open.is_empty(), "{} left", open.len());
+        // The run continues for longer than any hard stop after the last operation, so none is left.
+        assert!(open.is_empty(), "{} operations left", open.len());
     }
 }
