--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -19,7 +19,7 @@
 use craneknot_coordinator::shell::{ExitReason, Shell};
 use craneknot_node::shell::StartError;
 use craneknot_reactor::{SignalFlags, SteadyClock};
-use craneknot_rehearsal::conduct::{Kept, Programs};
+use craneknot_rehearsal::runner::{Outputs, Programs};
 use craneknot_rehearsal::soak::{Day, Load, SoakSettings};
 use craneknot_rehearsal::Script;
 use craneknot_settings::{load, schema_text, AgentSettings, CoordinatorSettings, Problems};
@@ -337,7 +337,7 @@
             let script = load_script(script.as_deref(), seed)?;
             let program = std::env::current_exe().map_err(system_failure)?;
             let programs = Programs { first: upgrade_from.as_deref().unwrap_or(&program), next: &program };
-            let outputs = Kept { folder: folder.as_deref(), recording: record.as_deref() };
+            let outputs = Outputs { folder: folder.as_deref(), recording: record.as_deref() };
             let result = craneknot_rehearsal::rehearse(&script, programs, outputs).map_err(system_failure)?;
             output::write_output(format_args!("{}", result.lines()));
             write_json(report.as_deref(), &result)?;
--- a/crates/craneknot-cli/tests/rehearse.rs
+++ b/crates/craneknot-cli/tests/rehearse.rs
@@ -3,14 +3,14 @@
 use std::path::Path;
 
 use craneknot_rehearsal::auditor::Rule;
-use craneknot_rehearsal::conduct::{Kept, Programs};
+use craneknot_rehearsal::runner::{Outputs, Programs};
 use craneknot_rehearsal::script::{Plant, SharedFleet, Trouble, TroubleKind};
 use craneknot_rehearsal::{rehearse, Report, Script};
 use craneknot_settings::Span;
 
 fn run_script(script: &Script) -> Report {
     let program = Path::new(env!("CARGO_BIN_EXE_craneknot"));
-    let report = rehearse(script, Programs::one(program), Kept::default()).unwrap();
+    let report = rehearse(script, Programs::single(program), Outputs::default()).unwrap();
     assert!(report.service.asked > 100, "{}", report.lines());
     report
 }
--- a/crates/craneknot-cli/tests/shared.rs
+++ b/crates/craneknot-cli/tests/shared.rs
@@ -156,7 +156,7 @@
 /// not check.
 #[test]
 fn a_reload_adds_a_member() {
-    use craneknot_rehearsal::conduct::{await_ready, write_settings, Process};
+    use craneknot_rehearsal::runner::{await_ready, write_settings, Process};
     let folder = tempfile::tempdir().unwrap();
     write_server_list(folder.path(), 1, &[9001]);
     let bind_socket = || std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -457,7 +457,7 @@
         let fault = Fault::default();
         let build = Build::Hosted(PathBuf::from("/nowhere/at/all"));
         let script = craneknot_rehearsal::Script::built_in().unwrap();
-        let settings = craneknot_rehearsal::conduct::coordinator_settings(&script, 0).controller_settings().1;
+        let settings = craneknot_rehearsal::runner::coordinator_settings(&script, 0).controller_settings().1;
         let mut controller = build.start(&settings, 1, Nanos(0), &fault);
         assert!(controller.step(Nanos(1), &[Event::Woken]).is_empty());
         assert!(fault.get().unwrap().contains("/nowhere/at/all"));
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -106,7 +106,7 @@
                     let (kind, text) = (staged.kind, staged.text.clone());
                     next = state.holding.commit(staged);
                     let server = |text: &str| self.addresses.server(text);
-                    match state.chooser.take_up(kind, text.as_bytes(), &server) {
+                    match state.chooser.load_file(kind, text.as_bytes(), &server) {
                         Ok(()) => {
                             let (lines, epoch) = (state.chooser.lines(), state.chooser.epoch());
                             self.log.add(self.now, What::Swapped { proxy, lines, epoch });
@@ -136,7 +136,7 @@
     /// Redirects a stream's agent to the leading coordinator.
     pub(super) fn redirect_agent(&mut self, stream: StreamId, to: &str) {
         let Some(proxy) = self.stream_proxies.get(&stream).copied() else { return };
-        if let Some(to) = coordinator_named(to) {
+        if let Some(to) = parse_coordinator_name(to) {
             self.schedule(self.now + HOP, Event::AgentRedirected { proxy, stream, to });
         }
     }
@@ -185,12 +185,12 @@
     }
 
     /// The agent sends the pending load report unless an earlier one is unanswered. A coordinator that leaves a report
-    /// unanswered for `SILENT` is considered lost.
+    /// unanswered for `SILENCE_TIMEOUT` is considered lost.
     pub(super) fn send_report(&mut self, proxy: usize, stream: StreamId) {
         let state = &mut self.proxies[proxy];
         let Some((coordinator, _)) = state.stream.filter(|(_, of)| *of == stream) else { return };
         match state.unanswered {
-            Some(since) if self.now - since >= SILENT => {
+            Some(since) if self.now - since >= SILENCE_TIMEOUT => {
                 self.end_stream(proxy);
                 return self.redial(proxy);
             }
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -92,8 +92,8 @@
     }
 
     fn send_datagram(&mut self, from: usize, to: &str, text: Vec<u8>) {
-        let Some(to) = coordinator_named(to).filter(|to| *to < self.coordinators.len()) else { return };
-        if !self.network_cuts.lose(from, to) {
+        let Some(to) = parse_coordinator_name(to).filter(|to| *to < self.coordinators.len()) else { return };
+        if !self.network_cuts.drops(from, to) {
             self.schedule_after_hop(Event::Datagram { to, text });
         }
     }
--- a/crates/craneknot-model/src/world/faults.rs
+++ b/crates/craneknot-model/src/world/faults.rs
@@ -53,7 +53,7 @@
                 self.log.add(self.now, What::Proxy { proxy, up: false });
             }
             ProxyAct::Start => {
-                (state.up, state.down_since, state.totals) = (true, None, Sums::default());
+                (state.up, state.down_since, state.totals) = (true, None, LoadTotals::default());
                 state.totals_since = self.now;
                 self.fronts = None;
                 self.log.add(self.now, What::Proxy { proxy, up: true });
@@ -67,8 +67,8 @@
 
     pub(super) fn fleet_act(&mut self, act: FleetAct) {
         match act {
-            FleetAct::List { server, shows } => {
-                self.listed_states[server] = shows;
+            FleetAct::List { server, state } => {
+                self.listed_states[server] = state;
                 if self.list_text.is_some() {
                     self.publish_list();
                 }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -19,15 +19,17 @@
 use craneknot_fleet::raft::PersistentState;
 use craneknot_rehearsal::auditor;
 use craneknot_rehearsal::caller::{Answer, Caller, Next, Operation};
-use craneknot_rehearsal::chooser::{Chooser, Tried};
-use craneknot_rehearsal::conduct::{
-    coordinator_named, coordinator_settings, shared_settings, terms, FIRST_TABLES, REDIAL, SETTLE, SILENT,
-    STATUS_EVERY,
-};
+use craneknot_rehearsal::load_totals::LoadTotals;
 use craneknot_rehearsal::machine::{Arrival, Job, Machine, Make};
-use craneknot_rehearsal::plan::{Cuts, FleetAct, Plan, ProxyAct, ServerAct, ServerPlan, Shows, Struck};
+use craneknot_rehearsal::plan::{
+    FleetAct, LeaderStrikes, ListedState, NetworkCuts, Plan, ProxyAct, ServerAct, ServerPlan,
+};
+use craneknot_rehearsal::proxy_policy::{ProxyPolicy, Tried};
 use craneknot_rehearsal::record::{merge, EndedAs, Log, Record, What};
-use craneknot_rehearsal::sums::Sums;
+use craneknot_rehearsal::runner::{
+    audit_settings, coordinator_settings, parse_coordinator_name, shared_settings, DRAIN_TIME,
+    RECONNECT_DELAY, SILENCE_TIMEOUT, START_DELAY, STATUS_INTERVAL,
+};
 use craneknot_rehearsal::{Report, Script};
 use craneknot_settings::LedgerSettings;
 use craneknot_xds::discovery::{DiscoveryRequest, DiscoveryResponse, Kind, Locality, Node, Status};
@@ -142,14 +144,14 @@
     zone: usize,
     up: bool,
     down_since: Option<Nanos>,
-    chooser: Chooser,
+    chooser: ProxyPolicy,
     holding: ProxyResources,
     nonces: BTreeMap<Kind, String>,
     dial: Dialer,
     coordinator_order: Vec<usize>,
     stream: Option<(usize, StreamId)>,
     agent_up: bool,
-    totals: Sums,
+    totals: LoadTotals,
     totals_since: Nanos,
     /// Load reports that the agent has not sent yet.
     unsent_totals: craneknot_agent::load_totals::LoadTotals,
@@ -192,8 +194,8 @@
     disks: Vec<Disk>,
     /// Datagrams received by each coordinator while it is stalled.
     held_datagrams: Vec<Vec<Vec<u8>>>,
-    network_cuts: Cuts,
-    leader_strikes: Struck,
+    network_cuts: NetworkCuts,
+    leader_strikes: LeaderStrikes,
     servers: Vec<Server>,
     proxies: Vec<Proxy>,
     stream_proxies: BTreeMap<StreamId, usize>,
@@ -204,7 +206,7 @@
     rate_factor: f64,
     /// Proxies to which the front layer sends: by zone, then of all zones; none if they must be determined again.
     fronts: Option<Vec<Vec<usize>>>,
-    listed_states: Vec<Shows>,
+    listed_states: Vec<ListedState>,
     list_version: u64,
     list_text: Option<Vec<u8>>,
     rng: Pcg32,
@@ -302,15 +304,15 @@
 /// Simulates a script with the given options.
 pub fn play_with_options(script: &Script, options: RunOptions) -> RunResult {
     let plan = Plan::draw(script);
-    let terms = terms(script, &plan);
-    let begin = START + FIRST_TABLES;
+    let terms = audit_settings(script, &plan);
+    let begin = START + START_DELAY;
     let Some(caller) = Caller::new(script, script.seed ^ options.seed_xor ^ 0xca11) else {
         let report = Report::new(script, 0.0, auditor::judge(&terms, &[]), Vec::new());
         let (records, asked, cost) = (Vec::new(), Vec::new(), Cost::default());
         return RunResult { report, records, asked, begin, fault: None, cost, ledgers: Vec::new() };
     };
     let mut world = World::new(script, plan, caller, options);
-    let (stop, end) = (world.begin + script.length.0, world.begin + script.length.0 + SETTLE);
+    let (stop, end) = (world.begin + script.length.0, world.begin + script.length.0 + DRAIN_TIME);
     world.run(stop, end);
     let status = world
         .coordinators
@@ -362,19 +364,24 @@
             let seed = run_seed.wrapping_mul(31).wrapping_add(place as u64);
             let mut coordinator_order: Vec<usize> = (0..count).map(|k| (k + place) % count).collect();
             coordinator_order.sort_by_key(|coordinator| plan.coordinator_zones[*coordinator] != *zone);
-            let (least, most) = REDIAL;
+            let (least, most) = RECONNECT_DELAY;
             Proxy {
                 zone: script.zones.iter().position(|other| other == zone).unwrap_or(0),
                 up: true,
                 down_since: None,
-                chooser: Chooser::new(classes.clone(), script.habits.ejects, script.habits.keep_away.0, seed),
+                chooser: ProxyPolicy::new(
+                    classes.clone(),
+                    script.habits.ejects,
+                    script.habits.keep_away.0,
+                    seed,
+                ),
                 holding: ProxyResources::default(),
                 nonces: BTreeMap::new(),
                 dial: Dialer::new(count, least, most, seed ^ 0xd1a1, START),
                 coordinator_order,
                 stream: None,
                 agent_up: true,
-                totals: Sums::default(),
+                totals: LoadTotals::default(),
                 totals_since: START,
                 unsent_totals: craneknot_agent::load_totals::LoadTotals::default(),
                 unanswered: None,
@@ -384,7 +391,7 @@
         };
         let mut world = World {
             now: START - script.report_period.0,
-            begin: START + FIRST_TABLES,
+            begin: START + START_DELAY,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_id: 0,
@@ -393,8 +400,8 @@
             stalled: vec![false; count],
             disks: (0..count).map(|_| Disk::default()).collect(),
             held_datagrams: vec![Vec::new(); count],
-            network_cuts: Cuts::default(),
-            leader_strikes: Struck::default(),
+            network_cuts: NetworkCuts::default(),
+            leader_strikes: LeaderStrikes::default(),
             servers: plan.servers.iter().enumerate().map(server).collect(),
             proxies: plan.proxy_zones.iter().enumerate().map(proxy).collect(),
             stream_proxies: BTreeMap::new(),
@@ -407,7 +414,7 @@
             listed_states: plan
                 .servers
                 .iter()
-                .map(|s| if s.from_start { Shows::Up(None) } else { Shows::Nothing })
+                .map(|s| if s.from_start { ListedState::Up(None) } else { ListedState::Unlisted })
                 .collect(),
             list_version: 0,
             list_text: None,
@@ -547,7 +554,7 @@
                     let (lines, most) = (status.channel_lines, status.channel_most);
                     self.log.add(self.now, What::Queue { coordinator, lines, most });
                 }
-                self.schedule(self.now + STATUS_EVERY, Event::LogQueues);
+                self.schedule(self.now + STATUS_INTERVAL, Event::LogQueues);
             }
         }
     }
--- a/crates/craneknot-model/src/world/operations.rs
+++ b/crates/craneknot-model/src/world/operations.rs
@@ -58,13 +58,13 @@
             Who::Ours => state.chooser.admit(self.now, class),
             Who::Random | Who::LeastLoaded | Who::TwoChoices => Ok(()),
         };
-        state.totals.came(class, admitted.is_ok());
+        state.totals.count_operation(class, admitted.is_ok());
         match admitted {
             Ok(()) => self.send_try(number, None),
             Err(refusal) => {
                 let again = match refusal {
-                    craneknot_rehearsal::chooser::Refusal::Level { again } => again,
-                    craneknot_rehearsal::chooser::Refusal::NoLine => Nanos(0),
+                    craneknot_rehearsal::proxy_policy::Rejection::Level { retry_after } => retry_after,
+                    craneknot_rehearsal::proxy_policy::Rejection::NoLine => Nanos(0),
                 };
                 self.reject(number, again);
             }
@@ -95,7 +95,7 @@
         let (op, attempt, until) = (pending.operation.id, pending.operation.attempt, pending.until);
         self.tries.insert(number, pending);
         self.log.add(self.now, What::Sent { proxy, server, op, attempt, class });
-        self.proxies[proxy].totals.sent(class, server);
+        self.proxies[proxy].totals.count_try(class, server);
         self.schedule(until, Event::TryTimeout(number));
         let cut = self.proxies[proxy].path_loss.get(&server).copied().unwrap_or(0.0);
         if cut > 0.0 && self.rng.random::<f64>() < cut {
@@ -115,7 +115,7 @@
             let group = &self.plan.servers[server].group;
             if !rules.allows(&group.zone, &group.kind)
                 || tried.contains(&server)
-                || !matches!(shows, Shows::Up(_))
+                || !matches!(shows, ListedState::Up(_))
             {
                 continue;
             }
@@ -126,7 +126,7 @@
                 answers: state.up && !state.silent && !state.hangs,
                 queue: self.relative_queue(server),
                 late: self.queue_samples.get(server).copied().unwrap_or(0.0),
-                kept_away: self.proxies[proxy].chooser.keeps_away(self.now, server),
+                kept_away: self.proxies[proxy].chooser.is_ejected(self.now, server),
             });
         }
         baseline::choose(self.options.selector, &seen, &mut self.rng)
@@ -212,13 +212,13 @@
         };
         let state = &mut self.proxies[proxy];
         if tried == Tried::Good {
-            state.totals.load(class, server, &report);
+            state.totals.add_server_load(class, server, &report);
         }
-        state.totals.ended(class, server, tried == Tried::Good, took);
+        state.totals.count_outcome(class, server, tried == Tried::Good, took);
         self.log.add(self.now, What::Tried { proxy, server, class, how: tried, took });
         let state = &mut self.proxies[proxy];
-        state.chooser.note(self.now, server, tried);
-        if self.now < until && state.up && state.chooser.may_try_again(class, tried, tries) {
+        state.chooser.record_outcome(self.now, server, tried);
+        if self.now < until && state.up && state.chooser.may_retry(class, tried, tries) {
             return self.send_try(number, Some(tried));
         }
         match tried {
--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -1,5 +1,5 @@
-//! The judge of the rules. It knows the rules' figures and the record of what crossed the sockets, and nothing of
-//! how the coordinator, the agents or the stand-ins work.
+//! Checks the rules. It uses only the limits of the rules and the record of the traffic on the sockets, and is
+//! independent of how the coordinator, the agents and the simulated parties work.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -10,7 +10,7 @@
 
 /// What the auditor must know of the fleet.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct AuditSettings {
     pub bare_limit: Nanos,
     pub drain_grace: Nanos,
     pub cold_share: f64,
@@ -18,26 +18,26 @@
     pub fall_multiple: f64,
     pub fall_window: Nanos,
     pub lines_limit: f64,
-    pub classes: Vec<ClassTerms>,
-    pub servers: Vec<ServerTerms>,
-    /// The zone of each.
+    pub classes: Vec<AuditedClass>,
+    pub servers: Vec<AuditedServer>,
+    /// The zone of each proxy.
     pub proxies: Vec<usize>,
-    /// How long coordinators may take to settle; nothing: capacities are not judged.
+    /// How long coordinators may take to settle; `None`: capacities are not checked.
     pub settle: Option<Nanos>,
 }
 
 #[derive(Clone, Debug)]
-pub struct ClassTerms {
+pub struct AuditedClass {
     pub name: String,
     pub importance: f64,
     pub repeats: craneknot::interface::Repeats,
-    /// Servers where it may run.
+    /// Servers where operations of the class may run.
     pub allowed: BTreeSet<usize>,
 }
 
 #[derive(Clone, Debug)]
-pub struct ServerTerms {
-    /// Work a second when warm, s.
+pub struct AuditedServer {
+    /// Work per second when warm, s.
     pub capacity: f64,
     pub cell: i64,
     pub zone: usize,
@@ -85,13 +85,13 @@
     }
 }
 
-/// How often a rule was looked at, how often it was broken, and the first break.
+/// How often a rule was checked and broken, and the first break.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     pub checks: u64,
     pub breaks: u64,
     pub first: Option<String>,
-    /// How near it came to a break: 1 is the limit. Nothing where that has no measure.
+    /// The nearest approach to a break, as a share of the limit (1 is the limit); `None` where no measure exists.
     pub nearest: Option<f64>,
 }
 
@@ -100,11 +100,11 @@
         self.checks += 1;
     }
 
-    fn near(&mut self, part: f64) {
+    fn record_nearness(&mut self, part: f64) {
         self.nearest = Some(self.nearest.map_or(part, |nearest| nearest.max(part)));
     }
 
-    fn broken(&mut self, evidence: impl FnOnce() -> String) {
+    fn record_break(&mut self, evidence: impl FnOnce() -> String) {
         self.breaks += 1;
         if self.first.is_none() {
             self.first = Some(evidence());
@@ -112,7 +112,7 @@
     }
 }
 
-/// What was asked and what came of it.
+/// The operations requested and their outcomes.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Service {
     pub asked: u64,
@@ -121,7 +121,7 @@
     pub refused: u64,
     pub failed: u64,
     pub given_up: u64,
-    /// Importance answered within the goal over importance asked for.
+    /// Importance of the operations answered within the goal, as a share of the importance of all.
     pub service: f64,
     /// The same in the worst ten seconds.
     pub worst_window: f64,
@@ -131,27 +131,29 @@
     pub torn_reads: u64,
     pub swaps: u64,
     pub never_twice_run_twice: u64,
-    /// Proxies' spans from the end of a stream to the first swap by the next one.
+    /// Intervals of proxies from the end of a stream to the first swap through the next stream.
     pub unled: u64,
     pub unled_p50_ms: f64,
     pub unled_p99_ms: f64,
     pub unled_most_ms: f64,
-    /// Tries, and those of them that went from one zone to another.
+    /// Tries, and those among them that crossed zones.
     pub sent: u64,
     pub crossed: u64,
 }
 
+/// The result of an audit.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Judgement {
     pub rules: BTreeMap<Rule, Verdict>,
     pub service: Service,
 }
 
+/// A server's state in the list, or as known to a coordinator.
 #[derive(Clone, Copy, Default)]
-struct Told {
-    /// Not to be sent to, since then.
+struct KnownState {
+    /// The time since which nothing may be sent to the server.
     lost: Option<Nanos>,
-    /// The start that the list shows, and since when it does.
+    /// The start that the list shows, and the time since which it shows it.
     started: Option<(Nanos, Nanos)>,
     listed: bool,
 }
@@ -162,100 +164,100 @@
     joined: Option<(usize, Nanos)>,
     lines: BTreeMap<usize, Vec<usize>>,
     swapped: Nanos,
-    bare_since: BTreeMap<usize, Nanos>,
+    missing_since: BTreeMap<usize, Nanos>,
     epoch: u64,
-    unled_since: Option<Nanos>,
+    disconnected_since: Option<Nanos>,
 }
 
 #[derive(Default)]
 struct Coordinator {
     up: bool,
     stalled: bool,
-    told: Vec<Told>,
+    known: Vec<KnownState>,
 }
 
 #[derive(Default)]
-struct Cold {
+struct ColdServer {
     since: Option<Nanos>,
-    /// When, how much work, and whether its sender knew of the start.
+    /// Arrival time, work, and whether the sender knew of the server's start.
     recent: VecDeque<(Nanos, f64, bool)>,
-    pushed: bool,
+    overloaded: bool,
 }
 
-/// Work that came to a server in the second under way.
+/// Work that arrived at a server in the current second.
 #[derive(Clone, Copy, Default)]
 struct Load {
     slot: u64,
     work: f64,
-    /// Part of its speed that it has.
+    /// Current share of the server's full speed.
     speed: f64,
-    /// When it started; nothing: long ago.
+    /// When the server started; `None`: long ago.
     started: Option<Nanos>,
-    /// It was down, or changed its speed, within the second.
+    /// The server was down or changed its speed within the second.
     changed: bool,
 }
 
-const SERVERS_KNOW: f64 = 2.0 / 3.0; // share of the work, from senders that knew, that makes a fall a break
-const SLOT: Nanos = Nanos::from_millis(1_000); // ms; the span in which a server must not be sent more than it can do
-const WINDOW: Nanos = Nanos::from_millis(10_000); // ms; the span of the worst window
+const INFORMED_SHARE: f64 = 2.0 / 3.0; // share of the work that informed senders must have sent for an overload to count as a break
+const CAPACITY_INTERVAL: Nanos = Nanos::from_millis(1_000); // ms; the interval in which a server must not be sent more than its capacity
+const SERVICE_WINDOW: Nanos = Nanos::from_millis(10_000); // ms; the length of the worst window
 
 struct Audit<'a> {
-    terms: &'a Terms,
+    settings: &'a AuditSettings,
     judgement: Judgement,
-    list: Vec<Told>,
-    list_gone: bool,
+    list: Vec<KnownState>,
+    list_unavailable: bool,
     proxies: Vec<Proxy>,
     coordinators: BTreeMap<usize, Coordinator>,
-    cold: Vec<Cold>,
+    cold: Vec<ColdServer>,
     loads: Vec<Load>,
-    /// Until then coordinators settle.
-    settles: Nanos,
+    /// The time until which coordinators may still be settling.
+    settling_until: Nanos,
     ran: HashMap<(OpId, u32), (usize, u32)>,
-    /// Runs of an operation, whatever the client's attempt.
+    /// Executions of an operation over all attempts of the client.
     ran_ever: HashMap<OpId, u32>,
     windows: BTreeMap<u64, (f64, f64)>,
     asked_at: HashMap<OpId, Nanos>,
     latencies: Vec<u64>,
-    unled: Vec<u64>,
+    reconnect_times: Vec<u64>,
     classes: BTreeMap<usize, (f64, f64)>,
     now: Nanos,
     begin: Nanos,
 }
 
-/// Judges a record in the order of time.
-pub fn judge(terms: &Terms, records: &[Record]) -> Judgement {
+/// Audits a record, which is ordered by time.
+pub fn judge(settings: &AuditSettings, records: &[Record]) -> Judgement {
     let mut audit = Audit {
-        terms,
+        settings,
         judgement: Judgement::default(),
-        list: vec![Told::default(); terms.servers.len()],
-        list_gone: false,
-        proxies: terms.proxies.iter().map(|_| Proxy::default()).collect(),
-        loads: vec![Load { speed: 1.0, ..Load::default() }; terms.servers.len()],
-        settles: Nanos(0),
+        list: vec![KnownState::default(); settings.servers.len()],
+        list_unavailable: false,
+        proxies: settings.proxies.iter().map(|_| Proxy::default()).collect(),
+        loads: vec![Load { speed: 1.0, ..Load::default() }; settings.servers.len()],
+        settling_until: Nanos(0),
         coordinators: BTreeMap::new(),
-        cold: terms.servers.iter().map(|_| Cold::default()).collect(),
+        cold: settings.servers.iter().map(|_| ColdServer::default()).collect(),
         ran: HashMap::new(),
         ran_ever: HashMap::new(),
         windows: BTreeMap::new(),
         asked_at: HashMap::new(),
         latencies: Vec::new(),
-        unled: Vec::new(),
+        reconnect_times: Vec::new(),
         classes: BTreeMap::new(),
         now: Nanos(0),
         begin: records.first().map_or(Nanos(0), |record| record.at),
     };
-    // Not every script has capacities judged.
-    let judged = |rule: &Rule| *rule != Rule::WithinCapacity || terms.settle.is_some();
+    // Capacities are checked only where the script asks for it.
+    let judged = |rule: &Rule| *rule != Rule::WithinCapacity || settings.settle.is_some();
     Rule::ALL.into_iter().filter(judged).for_each(|rule| {
         audit.judgement.rules.insert(rule, Verdict::default());
     });
     for record in records {
         audit.now = record.at;
-        audit.take(&record.what);
+        audit.apply(&record.what);
     }
-    audit.look_for_bare();
-    (0..terms.servers.len()).for_each(|server| audit.close_second(server));
-    audit.close()
+    audit.check_missing_lines();
+    (0..settings.servers.len()).for_each(|server| audit.check_second(server));
+    audit.finish()
 }
 
 impl Audit<'_> {
@@ -263,129 +265,131 @@
         self.judgement.rules.entry(rule).or_default()
     }
 
-    fn moment(&self) -> String {
+    fn timestamp(&self) -> String {
         format!("at {:.3} s", (self.now - self.begin).secs())
     }
 
-    fn take(&mut self, what: &What) {
+    fn apply(&mut self, what: &What) {
         match what {
             What::Rostered { servers } => {
-                self.look_for_bare();
-                self.list_gone = false;
-                let mut list = vec![Told::default(); self.terms.servers.len()];
+                self.check_missing_lines();
+                self.list_unavailable = false;
+                let mut list = vec![KnownState::default(); self.settings.servers.len()];
                 for listed in servers {
-                    let told = &mut list[listed.server];
-                    told.listed = true;
-                    told.started = listed.started.map(|started| (started, self.now));
-                    told.lost = listed.draining.then_some(self.now);
+                    let known = &mut list[listed.server];
+                    known.listed = true;
+                    known.started = listed.started.map(|started| (started, self.now));
+                    known.lost = listed.draining.then_some(self.now);
                 }
-                list.iter_mut().filter(|told| !told.listed).for_each(|told| told.lost = Some(self.now));
+                list.iter_mut().filter(|known| !known.listed).for_each(|known| known.lost = Some(self.now));
                 self.list = list;
-                self.tell_all();
-                self.look_for_bare();
+                self.notify_coordinators();
+                self.check_missing_lines();
             }
-            What::RosterGone => self.list_gone = true,
+            What::RosterGone => self.list_unavailable = true,
             What::Coordinator { coordinator, up } => {
-                let held = self.coordinators.entry(*coordinator).or_default();
-                (held.up, held.stalled) = (*up, false);
+                let state = self.coordinators.entry(*coordinator).or_default();
+                (state.up, state.stalled) = (*up, false);
                 if !up {
-                    held.told.clear();
+                    state.known.clear();
                 }
-                self.tell_all();
+                self.notify_coordinators();
             }
             What::Stalled { coordinator, on } => {
                 self.coordinators.entry(*coordinator).or_default().stalled = *on;
-                self.tell_all();
+                self.notify_coordinators();
             }
             What::Joined { proxy, coordinator } => {
-                self.look_for_bare_among(*proxy..*proxy + 1);
+                self.check_missing_lines_among(*proxy..*proxy + 1);
                 self.proxies[*proxy].joined = Some((*coordinator, self.now));
-                self.look_for_bare_among(*proxy..*proxy + 1);
+                self.check_missing_lines_among(*proxy..*proxy + 1);
             }
             What::Left { proxy, coordinator } => {
-                self.look_for_bare_among(*proxy..*proxy + 1);
-                let held = &mut self.proxies[*proxy];
-                if held.joined.is_some_and(|(of, _)| of == *coordinator) {
-                    held.unled_since = held.unled_since.or(Some(self.now));
-                    held.joined = None;
+                self.check_missing_lines_among(*proxy..*proxy + 1);
+                let state = &mut self.proxies[*proxy];
+                if state.joined.is_some_and(|(of, _)| of == *coordinator) {
+                    state.disconnected_since = state.disconnected_since.or(Some(self.now));
+                    state.joined = None;
                 }
-                self.look_for_bare_among(*proxy..*proxy + 1);
+                self.check_missing_lines_among(*proxy..*proxy + 1);
             }
             What::Queue { coordinator, lines, most } => {
-                // It comes again and again: a server that has become warm shows by then.
-                self.look_for_bare();
-                let limit = self.terms.lines_limit;
-                let (moment, worst) = (self.moment(), lines.max(*most));
+                // These records are periodic, so missing lines are checked regularly, also for servers that became warm.
+                self.check_missing_lines();
+                let limit = self.settings.lines_limit;
+                let (timestamp, worst) = (self.timestamp(), lines.max(*most));
                 let verdict = self.rule(Rule::ShortQueue);
                 verdict.check();
-                verdict.near(worst / limit);
+                verdict.record_nearness(worst / limit);
                 if worst > limit {
-                    verdict.broken(|| {
-                        format!("coordinator {coordinator} held {worst} lines of {limit}, seen {moment}")
+                    verdict.record_break(|| {
+                        format!("coordinator {coordinator} held {worst} lines of {limit}, seen {timestamp}")
                     });
                 }
             }
             What::Swapped { proxy, lines, epoch } => {
-                self.epoch(*proxy, *epoch);
+                self.check_epoch(*proxy, *epoch);
                 self.judgement.service.swaps += 1;
-                self.look_for_bare_among(*proxy..*proxy + 1);
-                let held = &mut self.proxies[*proxy];
-                held.lines.clone_from(lines);
-                held.swapped = self.now;
-                self.look_for_bare_among(*proxy..*proxy + 1);
+                self.check_missing_lines_among(*proxy..*proxy + 1);
+                let state = &mut self.proxies[*proxy];
+                state.lines.clone_from(lines);
+                state.swapped = self.now;
+                self.check_missing_lines_among(*proxy..*proxy + 1);
                 self.rule(Rule::NoTornRead).check();
                 self.check_lines(*proxy);
             }
             What::Torn { proxy, cause } => {
                 self.judgement.service.torn_reads += 1;
-                let moment = self.moment();
+                let timestamp = self.timestamp();
                 let verdict = self.rule(Rule::NoTornRead);
                 verdict.check();
-                verdict.broken(|| format!("proxy {proxy} read a torn file {moment}: {cause}"));
+                verdict.record_break(|| format!("proxy {proxy} read a torn file {timestamp}: {cause}"));
             }
             What::Proxy { proxy, up } => {
-                self.look_for_bare_among(*proxy..*proxy + 1);
+                self.check_missing_lines_among(*proxy..*proxy + 1);
                 self.proxies[*proxy].up = *up;
-                self.look_for_bare_among(*proxy..*proxy + 1);
+                self.check_missing_lines_among(*proxy..*proxy + 1);
             }
-            What::Sent { proxy, server, op, class, .. } => self.sent(*proxy, *server, *op, *class),
+            What::Sent { proxy, server, op, class, .. } => self.check_sent(*proxy, *server, *op, *class),
             What::Arrived { server, proxy, op, class, work, .. } => {
-                let allowed = self.terms.classes[*class].allowed.contains(server);
-                let moment = self.moment();
-                let name = &self.terms.classes[*class].name;
+                let allowed = self.settings.classes[*class].allowed.contains(server);
+                let timestamp = self.timestamp();
+                let name = &self.settings.classes[*class].name;
                 let verdict = self.rule(Rule::Placement);
                 verdict.check();
                 if !allowed {
-                    verdict
-                        .broken(|| format!("operation {} of {name} came to server {server} {moment}", op.0));
+                    verdict.record_break(|| {
+                        format!("operation {} of {name} came to server {server} {timestamp}", op.0)
+                    });
                 }
-                self.push(*server, *proxy, work.secs());
-                self.load(*server, work.secs());
+                self.check_cold_server(*server, *proxy, work.secs());
+                self.add_load(*server, work.secs());
             }
-            What::Ran { server, op, attempt, class } => self.ran(*server, *op, *attempt, *class),
+            What::Ran { server, op, attempt, class } => self.check_run(*server, *op, *attempt, *class),
             What::Started { server } => {
-                self.cold[*server] = Cold { since: Some(self.now), ..Cold::default() };
-                self.changed(*server, 1.0, Some(self.now));
+                self.cold[*server] = ColdServer { since: Some(self.now), ..ColdServer::default() };
+                self.capacity_changed(*server, 1.0, Some(self.now));
                 self.rule(Rule::NoColdPushedOver).check();
             }
             What::Stopped { server } => {
-                self.cold[*server] = Cold::default();
-                self.changed(*server, 1.0, None);
+                self.cold[*server] = ColdServer::default();
+                self.capacity_changed(*server, 1.0, None);
             }
             What::Slowed { server, factor } => {
                 let started = self.loads[*server].started;
-                self.changed(*server, 1.0 / factor.max(1e-9), started);
+                self.capacity_changed(*server, 1.0 / factor.max(1e-9), started);
             }
-            // The machine's own word; the work that came is weighed here anew.
+            // The simulated machine's own verdict is ignored: the work that arrived is evaluated here independently.
             What::Fell { .. } => {}
             What::Tried { .. } => {}
             What::Asked { op, class, .. } => {
                 self.judgement.service.asked += 1;
                 if self.judgement.service.asked == 1 {
-                    self.settles = self.settles.max(self.now + self.terms.settle.unwrap_or_default());
+                    self.settling_until =
+                        self.settling_until.max(self.now + self.settings.settle.unwrap_or_default());
                 }
                 self.asked_at.insert(*op, self.now);
-                let importance = self.terms.classes[*class].importance;
+                let importance = self.settings.classes[*class].importance;
                 self.window(self.now).0 += importance;
                 self.classes.entry(*class).or_default().0 += importance;
             }
@@ -393,81 +397,83 @@
         }
     }
 
-    /// What the list says reaches each coordinator that runs; one that is stopped learns of it when it goes on.
-    fn tell_all(&mut self) {
-        if self.list_gone {
+    /// Updates what each running coordinator knows from the list; a stopped one is notified when it continues.
+    fn notify_coordinators(&mut self) {
+        if self.list_unavailable {
             return;
         }
-        for held in self.coordinators.values_mut().filter(|held| held.up && !held.stalled) {
-            held.told.resize(self.list.len(), Told::default());
-            for (told, news) in held.told.iter_mut().zip(&self.list) {
-                let lost = news.lost.map(|_| told.lost.unwrap_or(self.now));
-                let same =
-                    |(started, _): &(Nanos, Nanos)| news.started.is_some_and(|(news, _)| news == *started);
+        for state in self.coordinators.values_mut().filter(|state| state.up && !state.stalled) {
+            state.known.resize(self.list.len(), KnownState::default());
+            for (known, current) in state.known.iter_mut().zip(&self.list) {
+                let lost = current.lost.map(|_| known.lost.unwrap_or(self.now));
+                let same = |(started, _): &(Nanos, Nanos)| {
+                    current.started.is_some_and(|(current, _)| current == *started)
+                };
                 let started =
-                    told.started.filter(same).or(news.started.map(|(started, _)| (started, self.now)));
-                *told = Told { lost, started, listed: news.listed };
+                    known.started.filter(same).or(current.started.map(|(started, _)| (started, self.now)));
+                *known = KnownState { lost, started, listed: current.listed };
             }
         }
     }
 
-    /// A proxy that has followed an epoch follows none before it, also after a restart.
-    fn epoch(&mut self, proxy: usize, epoch: u64) {
-        let moment = self.moment();
-        let held = &mut self.proxies[proxy];
-        if let Some(since) = held.unled_since.filter(|_| held.joined.is_some()) {
-            held.unled_since = None;
-            self.unled.push((self.now - since).0);
+    /// A proxy that has applied an epoch must not apply an earlier one, not even after a restart.
+    fn check_epoch(&mut self, proxy: usize, epoch: u64) {
+        let timestamp = self.timestamp();
+        let state = &mut self.proxies[proxy];
+        if let Some(since) = state.disconnected_since.filter(|_| state.joined.is_some()) {
+            state.disconnected_since = None;
+            self.reconnect_times.push((self.now - since).0);
         }
-        let before = held.epoch;
-        held.epoch = before.max(epoch);
+        let before = state.epoch;
+        state.epoch = before.max(epoch);
         let verdict = self.rule(Rule::NoOlderEpoch);
         verdict.check();
         if epoch < before {
-            verdict.broken(|| format!("proxy {proxy} followed epoch {epoch} after {before} {moment}"));
+            verdict
+                .record_break(|| format!("proxy {proxy} followed epoch {epoch} after {before} {timestamp}"));
         }
     }
 
-    fn told(&self, proxy: usize, server: usize) -> Option<(Told, Nanos)> {
+    fn known_state(&self, proxy: usize, server: usize) -> Option<(KnownState, Nanos)> {
         let (coordinator, since) = self.proxies[proxy].joined?;
-        let told = self.coordinators.get(&coordinator)?.told.get(server)?;
-        Some((*told, since))
+        let known = self.coordinators.get(&coordinator)?.known.get(server)?;
+        Some((*known, since))
     }
 
-    fn sent(&mut self, proxy: usize, server: usize, op: OpId, class: usize) {
-        let grace = self.terms.drain_grace;
-        let moment = self.moment();
-        let told = self.told(proxy, server);
+    fn check_sent(&mut self, proxy: usize, server: usize, op: OpId, class: usize) {
+        let grace = self.settings.drain_grace;
+        let timestamp = self.timestamp();
+        let known = self.known_state(proxy, server);
         let now = self.now;
-        let crosses = self.terms.proxies[proxy] != self.terms.servers[server].zone;
+        let crosses = self.settings.proxies[proxy] != self.settings.servers[server].zone;
         self.judgement.service.sent += 1;
         self.judgement.service.crossed += u64::from(crosses);
-        let name = &self.terms.classes[class].name;
+        let name = &self.settings.classes[class].name;
         let verdict = self.rule(Rule::DrainsKept);
         verdict.check();
-        let Some((Told { lost: Some(lost), .. }, joined)) = told else { return };
+        let Some((KnownState { lost: Some(lost), .. }, joined)) = known else { return };
         let late = now - lost.max(joined);
-        verdict.near(late.secs() / grace.secs());
+        verdict.record_nearness(late.secs() / grace.secs());
         if late > grace {
-            verdict.broken(|| {
+            verdict.record_break(|| {
                 let late = late.secs();
-                format!("operation {} of {name} sent by proxy {proxy} to server {server} {moment}, {late:.3} s after", op.0)
+                format!("operation {} of {name} sent by proxy {proxy} to server {server} {timestamp}, {late:.3} s after", op.0)
             });
         }
     }
 
-    fn ran(&mut self, server: usize, op: OpId, attempt: u32, class: usize) {
+    fn check_run(&mut self, server: usize, op: OpId, attempt: u32, class: usize) {
         use craneknot::interface::Repeats;
-        let (cell, repeats) = (self.terms.servers[server].cell, self.terms.classes[class].repeats);
-        let moment = self.moment();
-        let name = &self.terms.classes[class].name;
+        let (cell, repeats) = (self.settings.servers[server].cell, self.settings.classes[class].repeats);
+        let timestamp = self.timestamp();
+        let name = &self.settings.classes[class].name;
         let first = self.ran.entry((op, attempt)).or_insert((server, 0));
         first.1 += 1;
         let (first_server, times) = *first;
-        let other_cell = self.terms.servers[first_server].cell != cell;
+        let other_cell = self.settings.servers[first_server].cell != cell;
         let runs = self.ran_ever.entry(op).or_insert(0);
         *runs += 1;
-        let again_ever = repeats == Repeats::Never && *runs > 1;
+        let repeated = repeats == Repeats::Never && *runs > 1;
         let verdict = self.judgement.rules.entry(Rule::NoEffectTwice).or_default();
         verdict.check();
         let broken = match repeats {
@@ -475,127 +481,130 @@
             Repeats::Guarded => times > 1 && other_cell,
             Repeats::Never => times > 1,
         };
-        if again_ever {
+        if repeated {
             self.judgement.service.never_twice_run_twice += 1;
         }
         if broken {
-            verdict.broken(|| {
+            verdict.record_break(|| {
                 format!(
-                    "operation {} of {name} ran at server {first_server} and again at {server} {moment}",
+                    "operation {} of {name} ran at server {first_server} and again at {server} {timestamp}",
                     op.0
                 )
             });
         }
     }
 
-    /// Work comes to a server that may be cold: it is weighed against what the server can bear in a window.
-    fn push(&mut self, server: usize, proxy: usize, work: f64) {
+    /// Checks work that arrives at a possibly cold server against what the server can handle in a window.
+    fn check_cold_server(&mut self, server: usize, proxy: usize, work: f64) {
         let Some(since) = self.cold[server].since else { return };
         let age = self.now - since;
-        if age >= self.terms.warm_after {
+        if age >= self.settings.warm_after {
             self.cold[server].since = None;
             return;
         }
-        let knows = (proxy < self.proxies.len()) && {
+        let informed = (proxy < self.proxies.len()) && {
             let swapped = self.proxies[proxy].swapped;
-            self.told(proxy, server)
-                .and_then(|(told, _)| told.started)
-                .is_some_and(|(_, told)| swapped >= told || self.now - told >= self.terms.drain_grace)
+            self.known_state(proxy, server)
+                .and_then(|(known, _)| known.started)
+                .is_some_and(|(_, known)| swapped >= known || self.now - known >= self.settings.drain_grace)
         };
-        let window = self.terms.fall_window;
-        let warmth = self.terms.cold_share
-            + (1.0 - self.terms.cold_share) * (age.secs() / self.terms.warm_after.secs()).min(1.0);
-        let budget = self.terms.fall_multiple * self.terms.servers[server].capacity * warmth * window.secs();
-        let (now, moment) = (self.now, self.moment());
+        let window = self.settings.fall_window;
+        let warmth = self.settings.cold_share
+            + (1.0 - self.settings.cold_share) * (age.secs() / self.settings.warm_after.secs()).min(1.0);
+        let budget =
+            self.settings.fall_multiple * self.settings.servers[server].capacity * warmth * window.secs();
+        let (now, timestamp) = (self.now, self.timestamp());
         let cold = &mut self.cold[server];
-        cold.recent.push_back((now, work, knows));
+        cold.recent.push_back((now, work, informed));
         while cold.recent.front().is_some_and(|(at, ..)| now - *at > window) {
             cold.recent.pop_front();
         }
         let all: f64 = cold.recent.iter().map(|(_, work, _)| work).sum();
-        let known: f64 = cold.recent.iter().filter(|(.., knows)| *knows).map(|(_, work, _)| work).sum();
-        let pushed = all > budget && known >= SERVERS_KNOW * all;
-        let first = pushed && !cold.pushed;
-        cold.pushed |= pushed;
+        let known: f64 = cold.recent.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
+        let overloaded = all > budget && known >= INFORMED_SHARE * all;
+        let first = overloaded && !cold.overloaded;
+        cold.overloaded |= overloaded;
         let verdict = self.rule(Rule::NoColdPushedOver);
         verdict.check();
-        verdict.near(known / budget);
+        verdict.record_nearness(known / budget);
         if first {
-            verdict.broken(|| {
+            verdict.record_break(|| {
                 format!(
-                    "server {server}, cold for {:.1} s, was sent {all:.2} s of work for {budget:.2} {moment}",
+                    "server {server}, cold for {:.1} s, was sent {all:.2} s of work for {budget:.2} {timestamp}",
                     age.secs()
                 )
             });
         }
     }
 
-    /// What a server can do has changed: coordinators settle anew.
-    fn changed(&mut self, server: usize, speed: f64, started: Option<Nanos>) {
-        self.close_second(server);
+    /// A server's capacity has changed: coordinators are given time to settle again.
+    fn capacity_changed(&mut self, server: usize, speed: f64, started: Option<Nanos>) {
+        self.check_second(server);
         let load = &mut self.loads[server];
         (load.speed, load.started, load.changed) = (speed, started, true);
-        self.settles = self.now + self.terms.settle.unwrap_or_default();
+        self.settling_until = self.now + self.settings.settle.unwrap_or_default();
     }
 
-    fn load(&mut self, server: usize, work: f64) {
-        if self.terms.settle.is_none() {
+    fn add_load(&mut self, server: usize, work: f64) {
+        if self.settings.settle.is_none() {
             return;
         }
-        let slot = (self.now - self.begin).0 / SLOT.0;
+        let slot = (self.now - self.begin).0 / CAPACITY_INTERVAL.0;
         if slot != self.loads[server].slot {
-            self.close_second(server);
+            self.check_second(server);
             let load = &mut self.loads[server];
             (load.slot, load.work, load.changed) = (slot, 0.0, false);
         }
         self.loads[server].work += work;
     }
 
-    /// A second is over at a server: was more sent than it can do?
-    fn close_second(&mut self, server: usize) {
+    /// At the end of a second, checks whether a server was sent more work than its capacity.
+    fn check_second(&mut self, server: usize) {
         let load = self.loads[server];
-        let begun = self.begin + Nanos(load.slot * SLOT.0);
-        let cold = load.started.is_some_and(|started| begun - started < self.terms.warm_after);
-        let settling = begun < self.settles && !cold;
-        if self.terms.settle.is_none() || load.work <= 0.0 || load.changed || settling {
+        let begun = self.begin + Nanos(load.slot * CAPACITY_INTERVAL.0);
+        let cold = load.started.is_some_and(|started| begun - started < self.settings.warm_after);
+        let settling = begun < self.settling_until && !cold;
+        if self.settings.settle.is_none() || load.work <= 0.0 || load.changed || settling {
             return;
         }
-        // A cold one has at least this much by the middle of the second.
-        let age = load.started.map(|started| (begun + Nanos(SLOT.0 / 2) - started).secs());
-        let part = age.map_or(1.0, |age| (age / self.terms.warm_after.secs().max(1e-9)).min(1.0));
-        let warmth = self.terms.cold_share + (1.0 - self.terms.cold_share) * part;
-        let able = self.terms.servers[server].capacity * warmth * load.speed * SLOT.secs();
+        // The least warmth of a cold server, taken at the middle of the second.
+        let age = load.started.map(|started| (begun + Nanos(CAPACITY_INTERVAL.0 / 2) - started).secs());
+        let part = age.map_or(1.0, |age| (age / self.settings.warm_after.secs().max(1e-9)).min(1.0));
+        let warmth = self.settings.cold_share + (1.0 - self.settings.cold_share) * part;
+        let capacity =
+            self.settings.servers[server].capacity * warmth * load.speed * CAPACITY_INTERVAL.secs();
         let at = (begun - self.begin).secs();
         self.loads[server].work = 0.0;
         let verdict = self.rule(Rule::WithinCapacity);
         verdict.check();
-        verdict.near(load.work / able.max(1e-9));
-        if load.work > able {
+        verdict.record_nearness(load.work / capacity.max(1e-9));
+        if load.work > capacity {
             let cold = if cold { ", cold," } else { "" };
-            verdict.broken(|| {
-                format!("server {server}{cold} was sent {:.2} s of work for {able:.2} in the second from {at:.0} s", load.work)
+            verdict.record_break(|| {
+                format!("server {server}{cold} was sent {:.2} s of work for {capacity:.2} in the second from {at:.0} s", load.work)
             });
         }
     }
 
-    /// For each joined proxy and class: how long it has had no line though an open server was listed, cold or warm.
-    fn look_for_bare(&mut self) {
-        self.look_for_bare_among(0..self.proxies.len());
+    /// For each joined proxy and class: checks how long it has had no line although an open server, cold or warm, was
+    /// listed.
+    fn check_missing_lines(&mut self) {
+        self.check_missing_lines_among(0..self.proxies.len());
     }
 
-    /// The same for some proxies: what concerns one alone changes nothing for the others.
-    fn look_for_bare_among(&mut self, places: std::ops::Range<usize>) {
+    /// The same for a range of proxies: an event of one proxy changes nothing for the others.
+    fn check_missing_lines_among(&mut self, places: std::ops::Range<usize>) {
         let now = self.now;
-        let limit = self.terms.bare_limit;
-        let is_open = |told: &Told| told.listed && told.lost.is_none();
+        let limit = self.settings.bare_limit;
+        let is_open = |known: &KnownState| known.listed && known.lost.is_none();
         let open: Vec<usize> = self
             .list
             .iter()
             .enumerate()
-            .filter(|(_, told)| is_open(told))
+            .filter(|(_, known)| is_open(known))
             .map(|(server, _)| server)
             .collect();
-        let classes = self.terms.classes.iter();
+        let classes = self.settings.classes.iter();
         let served: Vec<bool> =
             classes.map(|class| open.iter().any(|server| class.allowed.contains(server))).collect();
         let begin = self.begin;
@@ -605,55 +614,57 @@
             let place = from + place;
             for (class, served) in served.iter().enumerate() {
                 let lines = proxy.lines.get(&class).is_some_and(|lines| !lines.is_empty());
-                let bare = proxy.up && proxy.joined.is_some() && *served && !lines;
+                let missing = proxy.up && proxy.joined.is_some() && *served && !lines;
                 verdict.check();
-                match (bare, proxy.bare_since.get(&class).copied()) {
+                match (missing, proxy.missing_since.get(&class).copied()) {
                     (true, None) => {
-                        proxy.bare_since.insert(class, now);
+                        proxy.missing_since.insert(class, now);
                     }
-                    (true, Some(since)) => verdict.near((now - since).secs() / limit.secs()),
+                    (true, Some(since)) => verdict.record_nearness((now - since).secs() / limit.secs()),
                     (false, Some(since)) => {
-                        proxy.bare_since.remove(&class);
-                        verdict.near((now - since).secs() / limit.secs());
+                        proxy.missing_since.remove(&class);
+                        verdict.record_nearness((now - since).secs() / limit.secs());
                     }
                     (false, None) => {}
                 }
-                let since = proxy.bare_since.get(&class).copied();
+                let since = proxy.missing_since.get(&class).copied();
                 if since.is_some_and(|since| now - since > limit) {
-                    let name = &self.terms.classes[class].name;
+                    let name = &self.settings.classes[class].name;
                     let since = since.unwrap_or(now);
-                    verdict.broken(|| {
+                    verdict.record_break(|| {
                         let (from, to) = ((since - begin).secs(), (now - begin).secs());
                         format!("proxy {place} had no server for {name} from {from:.3} s to {to:.3} s")
                     });
-                    // Counted once for each span of the limit.
-                    proxy.bare_since.insert(class, now);
+                    // Counted once per interval of the limit.
+                    proxy.missing_since.insert(class, now);
                 }
             }
         }
     }
 
-    /// After a swap: what the proxy now holds must itself keep the rules on placement and drains.
+    /// After a swap, checks the proxy's new lines against the rules on placement and drains.
     fn check_lines(&mut self, proxy: usize) {
-        let moment = self.moment();
+        let timestamp = self.timestamp();
         let lines = self.proxies[proxy].lines.clone();
         for (class, servers) in lines {
             for server in servers {
-                let allowed = self.terms.classes[class].allowed.contains(&server);
-                let name = self.terms.classes[class].name.clone();
+                let allowed = self.settings.classes[class].allowed.contains(&server);
+                let name = self.settings.classes[class].name.clone();
                 let verdict = self.rule(Rule::Placement);
                 verdict.check();
                 if !allowed {
-                    verdict.broken(|| format!("proxy {proxy} was given server {server} for {name} {moment}"));
+                    verdict.record_break(|| {
+                        format!("proxy {proxy} was given server {server} for {name} {timestamp}")
+                    });
                 }
-                let told = self.told(proxy, server);
-                let (now, grace) = (self.now, self.terms.drain_grace);
+                let known = self.known_state(proxy, server);
+                let (now, grace) = (self.now, self.settings.drain_grace);
                 let verdict = self.rule(Rule::DrainsKept);
                 verdict.check();
-                if let Some((Told { lost: Some(lost), .. }, joined)) = told {
+                if let Some((KnownState { lost: Some(lost), .. }, joined)) = known {
                     if now - lost.max(joined) > grace {
-                        verdict.broken(|| {
-                            format!("proxy {proxy} was given server {server} {moment}, lost long before")
+                        verdict.record_break(|| {
+                            format!("proxy {proxy} was given server {server} {timestamp}, lost long before")
                         });
                     }
                 }
@@ -662,7 +673,7 @@
     }
 
     fn window(&mut self, at: Nanos) -> &mut (f64, f64) {
-        self.windows.entry((at - self.begin).0 / WINDOW.0).or_default()
+        self.windows.entry((at - self.begin).0 / SERVICE_WINDOW.0).or_default()
     }
 
     fn ended(&mut self, op: OpId, class: usize, how: EndedAs, took: Nanos) {
@@ -677,23 +688,23 @@
         if matches!(how, EndedAs::InGoal | EndedAs::Late) {
             self.latencies.push(took.0);
         }
-        let importance = self.terms.classes[class].importance;
+        let importance = self.settings.classes[class].importance;
         if let (EndedAs::InGoal, Some(asked)) = (how, self.asked_at.remove(&op)) {
             self.window(asked).1 += importance;
             self.classes.entry(class).or_default().1 += importance;
         }
     }
 
-    fn close(mut self) -> Judgement {
+    fn finish(mut self) -> Judgement {
         let ratio = |(asked, served): (f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         let add = |sum: (f64, f64), part: &(f64, f64)| (sum.0 + part.0, sum.1 + part.1);
         let whole = self.classes.values().fold((0.0, 0.0), add);
-        // The last window may hold a moment only.
+        // Windows with 1 % or less of the demand are left out: the last one may be very short.
         let full = self.windows.values().filter(|(asked, _)| *asked > whole.0 / 100.0);
         let service = &mut self.judgement.service;
         service.service = ratio(whole);
         service.worst_window = full.map(|window| ratio(*window)).fold(1.0, f64::min);
-        let name = |class: usize| self.terms.classes[class].name.clone();
+        let name = |class: usize| self.settings.classes[class].name.clone();
         service.by_class = self.classes.iter().map(|(class, sums)| (name(*class), ratio(*sums))).collect();
         self.latencies.sort_unstable();
         let at = |part: f64| {
@@ -703,12 +714,12 @@
                 .map_or(0.0, |nanos| *nanos as f64 / 1e6)
         };
         (service.latency_p50_ms, service.latency_p99_ms) = (at(0.5), at(0.99));
-        self.unled.sort_unstable();
+        self.reconnect_times.sort_unstable();
         let unled = |part: f64| {
-            let place = (self.unled.len().saturating_sub(1) as f64 * part) as usize;
-            self.unled.get(place).map_or(0.0, |nanos| *nanos as f64 / 1e6)
+            let place = (self.reconnect_times.len().saturating_sub(1) as f64 * part) as usize;
+            self.reconnect_times.get(place).map_or(0.0, |nanos| *nanos as f64 / 1e6)
         };
-        service.unled = self.unled.len() as u64;
+        service.unled = self.reconnect_times.len() as u64;
         (service.unled_p50_ms, service.unled_p99_ms, service.unled_most_ms) =
             (unled(0.5), unled(0.99), unled(1.0));
         self.judgement
--- a/crates/craneknot-rehearsal/src/measure.rs
+++ b/crates/craneknot-rehearsal/src/measure.rs
@@ -25,7 +25,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::conduct::{await_ready, write_settings, Process};
+use crate::runner::{await_ready, write_settings, Process};
 
 /// What is to be measured.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -366,6 +366,6 @@
     let all = bench.await_all(killed, &source);
     let recovered = bench.mark(address, process.id())?;
     parts.insert("4 recovery after a kill".to_owned(), followed(bench.part(&begun, &recovered), all));
-    process.end();
+    process.terminate();
     Ok(())
 }
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -1,4 +1,4 @@
-//! What will happen when: a script's troubles drawn from its seed into single acts, before anything starts.
+//! The schedule of a rehearsal: a script's faults, expanded with its seed into single timed actions before the start.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 use crate::record::Listed;
 use crate::script::{Script, ServerGroup, Trouble, TroubleKind, Weights};
 
-/// A server that stands or will stand, with its place in the script's groups.
+/// A server that runs from the start or is started later, with its group in the script.
 #[derive(Clone, Debug)]
 pub struct ServerPlan {
     pub group: ServerGroup,
-    /// A few servers of a zone that share kept keys.
+    /// The cell: a few servers of a zone that share stored keys.
     pub cell: i64,
-    /// It stands from the start, warm; else it is raised later, cold.
+    /// Whether it runs from the start, warm; otherwise it is started later, cold.
     pub from_start: bool,
 }
 
@@ -28,12 +28,12 @@
     Start,
     Die,
     Silence,
-    /// Share of operations that quickly fail.
+    /// Share of operations that fail quickly.
     Errors(f64),
     Hang(bool),
     /// Factor by which it runs slower.
     Slow(f64),
-    /// Share of answers that never leave.
+    /// Share of answers that are never sent.
     LoseAnswers(f64),
 }
 
@@ -41,9 +41,9 @@
 pub enum ProxyAct {
     Die,
     Start,
-    /// Stands still so long.
+    /// Is suspended for this long.
     Stall(Nanos),
-    /// Tries at these servers get no answer, by this share; 0: as usual again.
+    /// This share of the tries at these servers gets no answer; 0 ends the fault.
     Path {
         servers: BTreeSet<usize>,
         share: f64,
@@ -52,14 +52,14 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetAct {
-    /// The list shows a server so: as up with a start, as draining, or not at all.
+    /// Changes the state in which the list shows a server.
     List {
         server: usize,
-        shows: Shows,
+        state: ListedState,
     },
     RosterOut(bool),
     BreakStreams(BTreeSet<usize>),
-    /// These proxies' agents reach none of these coordinators, or do again.
+    /// Makes these coordinators unreachable for these proxies' agents, or reachable again.
     Unreach {
         proxies: BTreeSet<usize>,
         coordinators: BTreeSet<usize>,
@@ -68,15 +68,15 @@
     KillCoordinator(usize),
     StartCoordinator(usize),
     StallCoordinator(usize, bool),
-    /// Ended, and started from the next version of the program.
+    /// Ends the process and starts it from the next version of the program.
     UpgradeCoordinator(usize),
     UpgradeAgent(usize),
-    /// Whoever leads is struck; the same slot ends it for the one that was.
+    /// Applies a fault to the current leader; the same slot ends it for the coordinator that was affected.
     Leader {
         slot: usize,
         strike: Strike,
     },
-    /// Datagrams of some coordinator get lost: those it sends, those it gets.
+    /// Drops datagrams of a coordinator: those it sends, those it receives.
     Cut {
         coordinator: usize,
         sends: bool,
@@ -86,7 +86,7 @@
     StartAgent(usize),
 }
 
-/// What is done to the one that leads.
+/// An action on the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strike {
     Kill,
@@ -95,12 +95,12 @@
     Continue,
 }
 
-/// Which coordinator led when a leader was struck, by slot.
+/// The coordinator affected by each fault of the leader, by slot.
 #[derive(Default)]
-pub struct Struck(BTreeMap<usize, usize>);
+pub struct LeaderStrikes(BTreeMap<usize, usize>);
 
-impl Struck {
-    /// The same as an act on one coordinator; nothing where none runs, or none was struck.
+impl LeaderStrikes {
+    /// The action on a particular coordinator; `None` if none is running or none was affected.
     pub fn resolve(&mut self, slot: usize, strike: Strike, leader: Option<usize>) -> Option<FleetAct> {
         let begins = matches!(strike, Strike::Kill | Strike::Stall);
         let coordinator = if begins { leader } else { self.0.remove(&slot) }?;
@@ -116,16 +116,16 @@
     }
 }
 
-/// Coordinators whose datagrams get lost: those that they send, those that they get.
+/// Coordinators whose datagrams are dropped, by direction.
 #[derive(Default)]
-pub struct Cuts {
-    mute: BTreeSet<usize>,
-    deaf: BTreeSet<usize>,
+pub struct NetworkCuts {
+    senders: BTreeSet<usize>,
+    receivers: BTreeSet<usize>,
 }
 
-impl Cuts {
+impl NetworkCuts {
     pub fn set(&mut self, coordinator: usize, sends: bool, gets: bool) {
-        for (of, lost) in [(&mut self.mute, sends), (&mut self.deaf, gets)] {
+        for (of, lost) in [(&mut self.senders, sends), (&mut self.receivers, gets)] {
             if lost {
                 of.insert(coordinator);
             } else {
@@ -134,20 +134,21 @@
         }
     }
 
-    /// Whether what one sends another gets lost.
-    pub fn lose(&self, from: usize, to: usize) -> bool {
-        self.mute.contains(&from) || self.deaf.contains(&to)
+    /// Whether a datagram from one to another is dropped.
+    pub fn drops(&self, from: usize, to: usize) -> bool {
+        self.senders.contains(&from) || self.receivers.contains(&to)
     }
 }
 
+/// How the list shows a server: as up, with its start if known, as draining, or not at all.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shows {
+pub enum ListedState {
     Up(Option<Nanos>),
     Draining,
-    Nothing,
+    Unlisted,
 }
 
-/// Acts by whom they concern, each in the order of time; times are since the beginning.
+/// Actions by the parties they concern, each ordered by time; times are relative to the beginning.
 #[derive(Default)]
 pub struct Plan {
     pub servers: Vec<ServerPlan>,
@@ -155,29 +156,29 @@
     pub server_acts: Vec<(Nanos, usize, ServerAct)>,
     pub proxy_acts: Vec<(Nanos, usize, ProxyAct)>,
     pub fleet_acts: Vec<(Nanos, FleetAct)>,
-    /// Factor of traffic from that moment on.
+    /// Traffic factor from that time on.
     pub rates: Vec<(Nanos, f64)>,
-    /// Times a leader is struck.
+    /// Number of faults of the leader.
     pub leaders: usize,
-    /// What the list says of weights.
+    /// How the list states weights.
     pub weights: Weights,
     pub seed: u64,
-    /// The zone a coordinator stands in.
+    /// The zone of each coordinator.
     pub coordinator_zones: Vec<String>,
 }
 
-const CELL: usize = 3; // servers of a zone that share kept keys
-const NOTICE: Nanos = Nanos::from_millis(1_500); // ms; a server that is taken away is listed as draining so long
-const BOOT: Nanos = Nanos::from_millis(1_500); // ms; from the end of one server to the start of its replacement
-const RESTART: Nanos = Nanos::from_millis(1_500); // ms; how long a server that restarts is down
-const STALL_GAP: Nanos = Nanos::from_millis(2_500); // ms; between two standstills
-const TURN: Nanos = Nanos::from_millis(5_000); // ms; a flapping server's turn, three tenths of it bad
+const SERVERS_PER_CELL: usize = 3; // servers of a zone that share stored keys
+const DRAIN_NOTICE: Nanos = Nanos::from_millis(1_500); // ms; how long a server that is removed is listed as draining
+const BOOT_TIME: Nanos = Nanos::from_millis(1_500); // ms; from the end of one server to the start of its replacement
+const RESTART_TIME: Nanos = Nanos::from_millis(1_500); // ms; how long a server that restarts is down
+const STALL_GAP: Nanos = Nanos::from_millis(2_500); // ms; between two stalls
+const FLAP_PERIOD: Nanos = Nanos::from_millis(5_000); // ms; period of a flapping server, which is down for three tenths of it
 
-struct Drawing<'a> {
+struct PlanBuilder<'a> {
     script: &'a Script,
     plan: Plan,
     rng: Pcg32,
-    /// Servers that stand, and will to the end of what is drawn so far.
+    /// Servers that are running, and keep running to the end of the schedule so far.
     alive: BTreeSet<usize>,
 }
 
@@ -187,7 +188,7 @@
         let mut cells = 0;
         for group in &script.servers {
             for place in 0..usize::from(group.count) {
-                cells += usize::from(place % CELL == 0);
+                cells += usize::from(place % SERVERS_PER_CELL == 0);
                 plan.servers.push(ServerPlan { group: group.clone(), cell: cells as i64, from_start: true });
             }
         }
@@ -197,11 +198,11 @@
         let zones = script.zones.iter().cycle().take(script.coordinators as usize);
         plan.coordinator_zones = zones.cloned().collect();
         let alive = (0..plan.servers.len()).collect();
-        let mut drawing = Drawing { script, plan, rng: Pcg32::seed_from_u64(script.seed), alive };
+        let mut builder = PlanBuilder { script, plan, rng: Pcg32::seed_from_u64(script.seed), alive };
         let mut troubles: Vec<&Trouble> = script.troubles.iter().collect();
         troubles.sort_by_key(|trouble| trouble.at);
-        troubles.into_iter().for_each(|trouble| drawing.trouble(trouble));
-        let mut plan = drawing.plan;
+        troubles.into_iter().for_each(|trouble| builder.schedule_trouble(trouble));
+        let mut plan = builder.plan;
         plan.server_acts.sort_by_key(|act| act.0);
         plan.proxy_acts.sort_by_key(|act| act.0);
         plan.fleet_acts.sort_by_key(|act| act.0);
@@ -209,7 +210,7 @@
         plan
     }
 
-    /// What a server of the plan can do.
+    /// The capabilities of a server of the plan.
     pub fn make(&self, script: &Script, server: usize) -> Make {
         let group = &self.servers[server].group;
         Make {
@@ -225,31 +226,31 @@
 
     fn listed_weight(&self, server: usize) -> f64 {
         let group = &self.servers[server].group;
-        let truth = f64::from(group.cores) * group.speed;
+        let actual = f64::from(group.cores) * group.speed;
         match self.weights {
-            Weights::True => truth,
+            Weights::True => actual,
             Weights::Equal => 1.0,
             Weights::Rough => {
                 let off = Pcg32::seed_from_u64(self.seed ^ server as u64).random_range(-1.0..=1.0f64);
-                (truth * off.exp2() * 100.0).round() / 100.0
+                (actual * off.exp2() * 100.0).round() / 100.0
             }
         }
     }
 
-    /// The list of servers as they show, and the same for the record; starts are told since `begin`.
+    /// The list of servers in their listed states, and the same for the record; starts are relative to `begin`.
     pub fn roster(
         &self,
         version: u64,
         begin: Nanos,
-        shows: &[Shows],
+        states: &[ListedState],
         address: &dyn Fn(usize) -> SocketAddr,
     ) -> (Roster, Vec<Listed>) {
         let (mut servers, mut listed) = (Vec::new(), Vec::new());
-        for (server, shows) in shows.iter().enumerate() {
-            let (state, started) = match shows {
-                Shows::Nothing => continue,
-                Shows::Up(started) => (ServerState::Up, started.map(|started| begin + started)),
-                Shows::Draining => (ServerState::Draining, None),
+        for (server, listed_state) in states.iter().enumerate() {
+            let (state, started) = match listed_state {
+                ListedState::Unlisted => continue,
+                ListedState::Up(started) => (ServerState::Up, started.map(|started| begin + started)),
+                ListedState::Draining => (ServerState::Draining, None),
             };
             let planned = &self.servers[server];
             servers.push(Entry {
@@ -267,122 +268,128 @@
     }
 }
 
-impl Drawing<'_> {
-    fn part<T: Copy + Ord>(&mut self, all: Vec<T>, part: f64) -> Vec<T> {
+impl PlanBuilder<'_> {
+    fn sample<T: Copy + Ord>(&mut self, all: Vec<T>, share: f64) -> Vec<T> {
         let mut all = all;
         all.shuffle(&mut self.rng);
-        let count = ((all.len() as f64 * part).round() as usize).max(1);
+        let count = ((all.len() as f64 * share).round() as usize).max(1);
         all.truncate(count);
         all.sort();
         all
     }
 
-    fn struck(&mut self, trouble: &Trouble) -> Vec<usize> {
+    fn select_servers(&mut self, trouble: &Trouble) -> Vec<usize> {
         let fits = |server: &usize| {
             let group = &self.plan.servers[*server].group;
             trouble.zone.as_ref().is_none_or(|zone| *zone == group.zone)
                 && trouble.server_kind.as_ref().is_none_or(|kind| *kind == group.kind)
         };
         let all: Vec<usize> = self.alive.iter().copied().filter(fits).collect();
-        self.part(all, trouble.part)
+        self.sample(all, trouble.part)
     }
 
-    fn proxies(&mut self, trouble: &Trouble) -> Vec<usize> {
+    fn select_proxies(&mut self, trouble: &Trouble) -> Vec<usize> {
         let zones = &self.plan.proxy_zones;
         let fits = |proxy: &usize| trouble.zone.as_ref().is_none_or(|zone| *zone == zones[*proxy]);
         let all: Vec<usize> = (0..zones.len()).filter(fits).collect();
-        self.part(all, trouble.part)
+        self.sample(all, trouble.part)
     }
 
-    fn coordinators(&mut self, trouble: &Trouble) -> Vec<usize> {
-        self.part((0..self.script.coordinators as usize).collect(), trouble.part)
+    fn select_coordinators(&mut self, trouble: &Trouble) -> Vec<usize> {
+        self.sample((0..self.script.coordinators as usize).collect(), trouble.part)
     }
 
-    fn list(&mut self, at: Nanos, server: usize, shows: Shows) {
-        self.plan.fleet_acts.push((at + self.script.roster_lag.0, FleetAct::List { server, shows }));
+    fn schedule_listing(&mut self, at: Nanos, server: usize, state: ListedState) {
+        self.plan.fleet_acts.push((at + self.script.roster_lag.0, FleetAct::List { server, state }));
     }
 
-    /// The server ends, and begins anew: dead, or silent, in between.
-    fn down(&mut self, server: usize, from: Nanos, to: Nanos, act: ServerAct, unlisted: bool) {
+    /// The server fails and starts again, being dead or silent in between.
+    fn schedule_outage(&mut self, server: usize, from: Nanos, to: Nanos, act: ServerAct, unlisted: bool) {
         self.plan.server_acts.push((from, server, act));
         self.plan.server_acts.push((to, server, ServerAct::Start));
         if !unlisted {
-            // A silent one is found out late; one that is dead shows at once.
+            // The list shows a dead server at once, but not a silent one, which is detected late.
             if act == ServerAct::Die {
-                self.list(from, server, Shows::Nothing);
+                self.schedule_listing(from, server, ListedState::Unlisted);
             }
-            self.list(to, server, Shows::Up(Some(to)));
+            self.schedule_listing(to, server, ListedState::Up(Some(to)));
         }
     }
 
-    /// A new server of the same make starts cold.
-    fn replacement(&mut self, of: usize, at: Nanos) -> usize {
+    /// Starts a new, cold server with the same capabilities.
+    fn schedule_replacement(&mut self, of: usize, at: Nanos) -> usize {
         let server = self.plan.servers.len();
         self.plan.servers.push(ServerPlan { from_start: false, ..self.plan.servers[of].clone() });
         self.plan.server_acts.push((at, server, ServerAct::Start));
-        self.list(at, server, Shows::Up(Some(at)));
+        self.schedule_listing(at, server, ListedState::Up(Some(at)));
         self.alive.insert(server);
         server
     }
 
-    /// Listed as draining, dead soon after.
-    fn take_away(&mut self, server: usize, at: Nanos, notice: Nanos) {
-        self.list(at, server, Shows::Draining);
+    /// Lists a server as draining and stops it soon after.
+    fn schedule_removal(&mut self, server: usize, at: Nanos, notice: Nanos) {
+        self.schedule_listing(at, server, ListedState::Draining);
         let dead = at + self.script.roster_lag.0 + notice;
         self.plan.server_acts.push((dead, server, ServerAct::Die));
-        self.list(dead, server, Shows::Nothing);
+        self.schedule_listing(dead, server, ListedState::Unlisted);
         self.alive.remove(&server);
     }
 
-    fn for_a_while(&mut self, trouble: &Trouble, on: ServerAct, off: ServerAct) {
+    fn schedule_temporary(&mut self, trouble: &Trouble, on: ServerAct, off: ServerAct) {
         let end = trouble.at.0 + trouble.length.0;
-        for server in self.struck(trouble) {
+        for server in self.select_servers(trouble) {
             self.plan.server_acts.push((trouble.at.0, server, on));
             self.plan.server_acts.push((end, server, off));
         }
     }
 
-    fn trouble(&mut self, trouble: &Trouble) {
+    fn schedule_trouble(&mut self, trouble: &Trouble) {
         let (at, end) = (trouble.at.0, trouble.at.0 + trouble.length.0);
         let strength = |usual: f64| trouble.strength.unwrap_or(usual);
         match trouble.kind {
             TroubleKind::Burst => self.plan.rates.extend([(at, strength(1.6)), (end, 1.0)]),
             TroubleKind::Deploy => {
-                let struck = self.struck(trouble);
-                let span = trouble.length.0 .0 / struck.len().max(1) as u64;
-                for (place, server) in struck.into_iter().enumerate() {
+                let selected = self.select_servers(trouble);
+                let span = trouble.length.0 .0 / selected.len().max(1) as u64;
+                for (place, server) in selected.into_iter().enumerate() {
                     let at = at + Nanos(span * place as u64);
-                    self.take_away(server, at, NOTICE);
-                    self.replacement(server, at + NOTICE + BOOT);
+                    self.schedule_removal(server, at, DRAIN_NOTICE);
+                    self.schedule_replacement(server, at + DRAIN_NOTICE + BOOT_TIME);
                 }
             }
             TroubleKind::FastErrors => {
-                self.for_a_while(trouble, ServerAct::Errors(strength(0.7)), ServerAct::Errors(0.0));
+                self.schedule_temporary(trouble, ServerAct::Errors(strength(0.7)), ServerAct::Errors(0.0));
+            }
+            TroubleKind::Hang => {
+                self.schedule_temporary(trouble, ServerAct::Hang(true), ServerAct::Hang(false))
             }
-            TroubleKind::Hang => self.for_a_while(trouble, ServerAct::Hang(true), ServerAct::Hang(false)),
             TroubleKind::Slow => {
-                self.for_a_while(trouble, ServerAct::Slow(strength(5.0)), ServerAct::Slow(1.0))
+                self.schedule_temporary(trouble, ServerAct::Slow(strength(5.0)), ServerAct::Slow(1.0))
             }
             TroubleKind::AnswersLost => {
-                self.for_a_while(trouble, ServerAct::LoseAnswers(strength(0.2)), ServerAct::LoseAnswers(0.0));
+                self.schedule_temporary(
+                    trouble,
+                    ServerAct::LoseAnswers(strength(0.2)),
+                    ServerAct::LoseAnswers(0.0),
+                );
             }
             TroubleKind::Crash => {
-                for server in self.struck(trouble) {
-                    self.down(server, at, end, ServerAct::Die, trouble.unlisted);
+                for server in self.select_servers(trouble) {
+                    self.schedule_outage(server, at, end, ServerAct::Die, trouble.unlisted);
                 }
             }
             TroubleKind::Silent => {
-                for server in self.struck(trouble) {
-                    self.down(server, at, end, ServerAct::Silence, trouble.unlisted);
+                for server in self.select_servers(trouble) {
+                    self.schedule_outage(server, at, end, ServerAct::Silence, trouble.unlisted);
                 }
             }
             TroubleKind::Flapping => {
-                for server in self.struck(trouble) {
-                    let mut turn = at + Nanos(self.rng.random_range(0..TURN.0));
-                    while turn + TURN <= end {
-                        let back = turn + Nanos(TURN.0 * 3 / 10);
-                        self.down(server, turn, back, ServerAct::Die, trouble.unlisted);
-                        turn = turn + TURN;
+                for server in self.select_servers(trouble) {
+                    let mut period = at + Nanos(self.rng.random_range(0..FLAP_PERIOD.0));
+                    while period + FLAP_PERIOD <= end {
+                        let back = period + Nanos(FLAP_PERIOD.0 * 3 / 10);
+                        self.schedule_outage(server, period, back, ServerAct::Die, trouble.unlisted);
+                        period = period + FLAP_PERIOD;
                     }
                 }
             }
@@ -391,22 +398,22 @@
                 self.plan.fleet_acts.push((end, FleetAct::RosterOut(false)));
             }
             TroubleKind::StreamBreak => {
-                let proxies = self.proxies(trouble).into_iter().collect();
+                let proxies = self.select_proxies(trouble).into_iter().collect();
                 self.plan.fleet_acts.push((at, FleetAct::BreakStreams(proxies)));
             }
             TroubleKind::Unreachable => {
-                let proxies: BTreeSet<usize> = self.proxies(trouble).into_iter().collect();
-                self.unreach(at, end, proxies, (0..self.script.coordinators as usize).collect());
+                let proxies: BTreeSet<usize> = self.select_proxies(trouble).into_iter().collect();
+                self.schedule_unreachable(at, end, proxies, (0..self.script.coordinators as usize).collect());
             }
             TroubleKind::ProxyKilled => {
-                for proxy in self.proxies(trouble) {
+                for proxy in self.select_proxies(trouble) {
                     self.plan.proxy_acts.extend([(at, proxy, ProxyAct::Die), (end, proxy, ProxyAct::Start)]);
                     self.plan.fleet_acts.push((at, FleetAct::KillAgent(proxy)));
                     self.plan.fleet_acts.push((end, FleetAct::StartAgent(proxy)));
                 }
             }
             TroubleKind::AgentKilled => {
-                for proxy in self.proxies(trouble) {
+                for proxy in self.select_proxies(trouble) {
                     self.plan.fleet_acts.push((at, FleetAct::KillAgent(proxy)));
                     self.plan.fleet_acts.push((end, FleetAct::StartAgent(proxy)));
                 }
@@ -441,14 +448,14 @@
                 }
             }
             TroubleKind::CoordinatorKilled => {
-                for coordinator in self.coordinators(trouble) {
+                for coordinator in self.select_coordinators(trouble) {
                     self.plan.fleet_acts.push((at, FleetAct::KillCoordinator(coordinator)));
                     self.plan.fleet_acts.push((end, FleetAct::StartCoordinator(coordinator)));
                 }
             }
             TroubleKind::ProxyStall => {
                 let span = Nanos::from_secs(strength(1.0));
-                for proxy in self.proxies(trouble) {
+                for proxy in self.select_proxies(trouble) {
                     let mut stall = at + Nanos(self.rng.random_range(0..STALL_GAP.0));
                     while stall + span <= end {
                         self.plan.proxy_acts.push((stall, proxy, ProxyAct::Stall(span)));
@@ -458,7 +465,7 @@
             }
             TroubleKind::CoordinatorStall => {
                 let span = Nanos::from_secs(strength(1.0));
-                for coordinator in self.coordinators(trouble) {
+                for coordinator in self.select_coordinators(trouble) {
                     let mut stall = at;
                     while stall + span <= end {
                         self.plan.fleet_acts.push((stall, FleetAct::StallCoordinator(coordinator, true)));
@@ -471,54 +478,60 @@
             }
             TroubleKind::ZoneLost => {
                 let whole = Trouble { part: 1.0, ..trouble.clone() };
-                for server in self.struck(&whole) {
-                    self.down(server, at, end, ServerAct::Die, trouble.unlisted);
+                for server in self.select_servers(&whole) {
+                    self.schedule_outage(server, at, end, ServerAct::Die, trouble.unlisted);
                 }
             }
-            TroubleKind::ZoneCut => self.cut(trouble, at, end),
+            TroubleKind::ZoneCut => self.schedule_zone_cut(trouble, at, end),
             TroubleKind::MassRestart => {
-                for server in self.struck(trouble) {
+                for server in self.select_servers(trouble) {
                     let at = at + Nanos(self.rng.random_range(0..trouble.length.0 .0.clamp(1, 500_000_000)));
-                    self.down(server, at, at + RESTART, ServerAct::Die, trouble.unlisted);
+                    self.schedule_outage(server, at, at + RESTART_TIME, ServerAct::Die, trouble.unlisted);
                 }
             }
             TroubleKind::Preempt => {
-                let struck = self.struck(trouble);
-                let waves = 2.min(struck.len());
-                for (place, server) in struck.into_iter().enumerate() {
+                let selected = self.select_servers(trouble);
+                let waves = 2.min(selected.len());
+                for (place, server) in selected.into_iter().enumerate() {
                     let wave = Nanos(trouble.length.0 .0 / 3 * (place % waves) as u64);
-                    self.take_away(server, at + wave, NOTICE);
-                    self.replacement(server, end.max(at + wave + NOTICE + BOOT));
+                    self.schedule_removal(server, at + wave, DRAIN_NOTICE);
+                    self.schedule_replacement(server, end.max(at + wave + DRAIN_NOTICE + BOOT_TIME));
                 }
             }
             TroubleKind::OneSided => {
-                let servers: BTreeSet<usize> = self.struck(trouble).into_iter().collect();
+                let servers: BTreeSet<usize> = self.select_servers(trouble).into_iter().collect();
                 let half = Trouble { part: 0.5, zone: None, ..trouble.clone() };
-                for proxy in self.proxies(&half) {
+                for proxy in self.select_proxies(&half) {
                     let path = |share| ProxyAct::Path { servers: servers.clone(), share };
                     self.plan.proxy_acts.extend([(at, proxy, path(strength(0.7))), (end, proxy, path(0.0))]);
                 }
             }
             TroubleKind::Growth => {
-                let like = self.struck(trouble);
+                let like = self.select_servers(trouble);
                 let span = trouble.length.0 .0 / like.len().max(1) as u64;
                 for (place, server) in like.into_iter().enumerate() {
-                    self.replacement(server, at + Nanos(span * place as u64));
+                    self.schedule_replacement(server, at + Nanos(span * place as u64));
                 }
                 self.plan.rates.push((end, strength(1.3)));
             }
         }
     }
 
-    fn unreach(&mut self, at: Nanos, end: Nanos, proxies: BTreeSet<usize>, coordinators: BTreeSet<usize>) {
+    fn schedule_unreachable(
+        &mut self,
+        at: Nanos,
+        end: Nanos,
+        proxies: BTreeSet<usize>,
+        coordinators: BTreeSet<usize>,
+    ) {
         for (at, on) in [(at, true), (end, false)] {
             let (proxies, coordinators) = (proxies.clone(), coordinators.clone());
             self.plan.fleet_acts.push((at, FleetAct::Unreach { proxies, coordinators, on }));
         }
     }
 
-    /// Whatever goes from one side to the other gets lost.
-    fn cut(&mut self, trouble: &Trouble, at: Nanos, end: Nanos) {
+    /// Drops all traffic between the zone and the other zones, in both directions.
+    fn schedule_zone_cut(&mut self, trouble: &Trouble, at: Nanos, end: Nanos) {
         let Some(zone) = &trouble.zone else { return };
         for inside in [true, false] {
             let here = |name: &String| (name == zone) == inside;
@@ -534,7 +547,7 @@
                 let path = |share| ProxyAct::Path { servers: servers.clone(), share };
                 self.plan.proxy_acts.extend([(at, *proxy, path(1.0)), (end, *proxy, path(0.0))]);
             }
-            self.unreach(at, end, proxies, coordinators);
+            self.schedule_unreachable(at, end, proxies, coordinators);
         }
     }
 }
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -24,12 +24,12 @@
 use socket2::Socket;
 
 use crate::caller::{Answer, Caller, Next, Operation};
-use crate::chooser::{Chooser, Refusal, Tried};
+use crate::load_totals::LoadTotals;
 use crate::plan::{Plan, ProxyAct, ServerAct};
+use crate::proxy_policy::{ProxyPolicy, Rejection, Tried};
 use crate::record::{EndedAs, Log, OpId, What};
 use crate::script::{Plant, Script};
 use crate::servers::{header, number};
-use crate::sums::Sums;
 
 const FOLDERS: usize = 1; // the number under which the proxies' folders are watched
 const LIMITS: HttpLimits = HttpLimits { head: 8 * 1024, body: 64 * 1024 };
@@ -107,7 +107,7 @@
     /// Keeps the address while the proxy is dead.
     _reserve: Socket,
     listener: Option<ListenerId>,
-    chooser: Chooser,
+    chooser: ProxyPolicy,
     up: bool,
     down_since: Option<Nanos>,
     stalled_until: Option<Nanos>,
@@ -115,7 +115,7 @@
     unread: BTreeSet<Kind>,
     idle: BTreeMap<usize, Vec<ConnId>>,
     conns: BTreeSet<ConnId>,
-    sums: Sums,
+    sums: LoadTotals,
     sums_since: Nanos,
     agent: Option<ConnId>,
     paths: BTreeMap<usize, f64>,
@@ -197,7 +197,12 @@
                 address,
                 _reserve: reserve,
                 listener: Some(listener),
-                chooser: Chooser::new(classes.clone(), script.habits.ejects, script.habits.keep_away.0, seed),
+                chooser: ProxyPolicy::new(
+                    classes.clone(),
+                    script.habits.ejects,
+                    script.habits.keep_away.0,
+                    seed,
+                ),
                 up: true,
                 down_since: None,
                 stalled_until: None,
@@ -205,7 +210,7 @@
                 unread: BTreeSet::new(),
                 idle: BTreeMap::new(),
                 conns: BTreeSet::new(),
-                sums: Sums::default(),
+                sums: LoadTotals::default(),
                 sums_since: reactor.now(),
                 agent: None,
                 paths: BTreeMap::new(),
@@ -399,8 +404,10 @@
         let texts: Vec<(Kind, Vec<u8>)> = kinds.iter().filter_map(read).collect();
         let numbers = &self.numbers;
         let number = |server: &str| numbers.get(server).copied();
-        let torn =
-            texts.into_iter().rev().find_map(|(kind, text)| held.chooser.take_up(kind, &text, &number).err());
+        let torn = texts
+            .into_iter()
+            .rev()
+            .find_map(|(kind, text)| held.chooser.load_file(kind, &text, &number).err());
         match torn {
             None => self
                 .log
@@ -627,7 +634,7 @@
         }
         let held = &mut self.proxies[proxy];
         let admitted = held.chooser.admit(now, class);
-        held.sums.came(class, admitted.is_ok());
+        held.sums.count_operation(class, admitted.is_ok());
         match admitted {
             Ok(()) => {
                 self.serving.insert(number_of, serving);
@@ -640,10 +647,10 @@
     }
 
     /// Answers at once, with when to come back.
-    fn refuse(&mut self, client: ConnId, refusal: Refusal) {
+    fn refuse(&mut self, client: ConnId, refusal: Rejection) {
         let again = match refusal {
-            Refusal::Level { again } => again,
-            Refusal::NoLine => Nanos::from_millis(1_000),
+            Rejection::Level { retry_after } => retry_after,
+            Rejection::NoLine => Nanos::from_millis(1_000),
         };
         // Whole seconds by the published header; never at once.
         let again = again.secs().ceil().max(1.0).to_string();
@@ -663,7 +670,7 @@
         }
     }
 
-    fn choose(&mut self, serving: &Serving, now: Nanos) -> Result<usize, Refusal> {
+    fn choose(&mut self, serving: &Serving, now: Nanos) -> Result<usize, Rejection> {
         let planted = |plant: Plant| self.planted && self.script.plants.contains(&plant);
         if planted(Plant::Misplace) {
             return Ok(self.rng.random_range(0..self.servers.len()));
@@ -699,7 +706,7 @@
         let (proxy, class) = (serving.proxy, serving.class);
         let (op, attempt) = (serving.op, serving.attempt);
         self.log.add(now, What::Sent { proxy, server, op, attempt, class });
-        self.proxies[proxy].sums.sent(class, server);
+        self.proxies[proxy].sums.count_try(class, server);
         let over = self.reactor.set_timer(serving.until, Due::TryOver(number));
         serving.over = Some(over);
         let cut = self.proxies[proxy].paths.get(&server).copied().unwrap_or(0.0);
@@ -746,7 +753,7 @@
         let Some(server) = serving.tried.last().copied() else { return };
         let text = answer.headers().get(orca::HEADER).and_then(|value| value.to_str().ok());
         if let Some(report) = text.and_then(orca::LoadReport::parse) {
-            self.proxies[proxy].sums.load(class, server, &report);
+            self.proxies[proxy].sums.add_server_load(class, server, &report);
         }
         if let Some(conn) = conn {
             if let Some(Use::ToServer { trying, .. }) = self.uses.get_mut(&conn) {
@@ -781,13 +788,13 @@
             self.reactor.close(conn);
         }
         self.log.add(now, What::Tried { proxy, server, class, how: tried, took });
-        self.proxies[proxy].sums.ended(class, server, tried == Tried::Good, took);
-        self.proxies[proxy].chooser.note(now, server, tried);
+        self.proxies[proxy].sums.count_outcome(class, server, tried == Tried::Good, took);
+        self.proxies[proxy].chooser.record_outcome(now, server, tried);
         let planted = self.planted && op_never && self.script.plants.contains(&Plant::RunTwice);
         let again = match tried {
             // Planted: what was done is done again.
             _ if planted && tries < 2 => true,
-            tried => now < until && self.proxies[proxy].chooser.may_try_again(class, tried, tries),
+            tried => now < until && self.proxies[proxy].chooser.may_retry(class, tried, tries),
         };
         if again && self.proxies[proxy].up {
             return self.attempt(number, Some(tried));
@@ -795,7 +802,7 @@
         self.serving.remove(&number);
         match tried {
             Tried::Good => self.reply(client, response(StatusCode::OK, &[], b"")),
-            Tried::Unrun => self.refuse(client, Refusal::NoLine),
+            Tried::Unrun => self.refuse(client, Rejection::NoLine),
             Tried::Failed => self.reply(client, response(StatusCode::BAD_GATEWAY, &[], b"")),
         }
         // The client's next operation may wait in the buffer already.
@@ -817,7 +824,7 @@
                 held.stalled_until = None;
                 held.deferred.clear();
                 held.idle.clear();
-                held.sums = Sums::default();
+                held.sums = LoadTotals::default();
                 for conn in std::mem::take(&mut held.conns) {
                     self.uses.remove(&conn);
                     self.reactor.reset(conn);
@@ -889,7 +896,7 @@
         self.planted = true;
         if self.script.plants.contains(&Plant::Bare) {
             let classes = self.script.classes.iter().map(|class| class.name.clone()).collect();
-            self.proxies[0].chooser = Chooser::new(classes, 0, Nanos(0), 1);
+            self.proxies[0].chooser = ProxyPolicy::new(classes, 0, Nanos(0), 1);
             self.log.add(now, What::Swapped { proxy: 0, lines: BTreeMap::new(), epoch: u64::MAX });
         }
         if self.script.plants.contains(&Plant::Torn) {
--- a/crates/craneknot-rehearsal/src/record.rs
+++ b/crates/craneknot-rehearsal/src/record.rs
@@ -4,7 +4,7 @@
 
 use craneknot::interface::Nanos;
 
-use crate::chooser::Tried;
+use crate::proxy_policy::Tried;
 
 /// An operation of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -13,7 +13,7 @@
 use flate2::Compression;
 use serde::{Deserialize, Serialize};
 
-use crate::chooser::Tried;
+use crate::proxy_policy::Tried;
 use crate::record::{EndedAs, Record, What};
 use crate::report::Report;
 use crate::script::Script;
--- a/crates/craneknot-rehearsal/src/conduct.rs
+++ b/crates/craneknot-rehearsal/src/runner.rs
@@ -1,4 +1,4 @@
-//! Raises a whole fleet on this machine, plays the plan, and has the record judged.
+//! Runs a rehearsal: starts a whole fleet on this machine, executes the plan, and has the record audited.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs;
@@ -22,8 +22,8 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tracing::{info, warn};
 
-use crate::auditor::{self, ClassTerms, ServerTerms, Terms};
-use crate::plan::{Cuts, FleetAct, Plan, Shows, Struck};
+use crate::auditor::{self, AuditSettings, AuditedClass, AuditedServer};
+use crate::plan::{FleetAct, LeaderStrikes, ListedState, NetworkCuts, Plan};
 use crate::proxies::{self, agent_ready, proxy_folder, proxy_name, ready_address};
 use crate::record::{merge, Log, Record, What};
 use crate::recording::Recording;
@@ -34,13 +34,13 @@
 
 const ROSTER: &str = "servers.json";
 const DISK: RealDisk = RealDisk { sync: false };
-const READY_WITHIN: Duration = Duration::from_secs(20); // until a process must listen
-pub const FIRST_TABLES: Nanos = Nanos::from_millis(1_500); // ms; from the agents' start to the first operation
-pub const SETTLE: Nanos = Nanos::from_millis(2_500); // ms; after the last operation, for what is under way
-const PROXIES_MOST: usize = 200; // a rehearsal raises an agent's process for each
-pub const REDIAL: (Nanos, Nanos) = (Nanos::from_millis(150), Nanos::from_millis(1_500)); // ms; an agent's shortest and longest wait
-pub const SILENT: Nanos = Nanos::from_millis(2_000); // ms; an agent whose report has no answer for so long dials anew
-pub const STATUS_EVERY: Nanos = Nanos::from_millis(200); // ms; between two looks at a coordinator's queue
+const READY_TIMEOUT: Duration = Duration::from_secs(20); // for a process to start listening
+pub const START_DELAY: Nanos = Nanos::from_millis(1_500); // ms; from the start of the agents to the first operation
+pub const DRAIN_TIME: Nanos = Nanos::from_millis(2_500); // ms; after the last operation, for operations in flight
+const MAX_PROXIES: usize = 200; // a rehearsal starts an agent process for each
+pub const RECONNECT_DELAY: (Nanos, Nanos) = (Nanos::from_millis(150), Nanos::from_millis(1_500)); // ms; an agent's shortest and longest delay
+pub const SILENCE_TIMEOUT: Nanos = Nanos::from_millis(2_000); // ms; an agent whose report stays unanswered for so long reconnects
+pub const STATUS_INTERVAL: Nanos = Nanos::from_millis(200); // ms; between two status requests to a coordinator
 
 fn loopback() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
@@ -52,7 +52,7 @@
 }
 
 impl Process {
-    /// Starts the program, its log in a file of its own beside the settings.
+    /// Starts the program, with its log in a file beside its settings.
     pub fn start(program: &Path, sub_command: &str, settings: &Path) -> io::Result<Self> {
         let log = fs::OpenOptions::new().create(true).append(true).open(settings.with_extension("log"))?;
         let mut command = Command::new(program);
@@ -71,14 +71,14 @@
         self.child.id()
     }
 
-    /// Killed as by the system, without a word.
+    /// Kills the process with SIGKILL, without a graceful shutdown.
     pub fn kill(mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asked to end, and killed if it does not.
-    pub fn end(mut self) -> bool {
+    /// Asks the process to end with SIGTERM and kills it if it hasn't ended after 3 s; returns whether it succeeded.
+    pub fn terminate(mut self) -> bool {
         self.signal(Signal::TERM);
         let until = Instant::now() + Duration::from_secs(3);
         while Instant::now() < until {
@@ -101,74 +101,78 @@
     }
 }
 
-/// Waits until a process has written where it listens.
+/// Waits until a process has written its listening address.
 pub fn await_ready(path: &Path) -> io::Result<SocketAddr> {
-    let until = Instant::now() + READY_WITHIN;
+    let until = Instant::now() + READY_TIMEOUT;
     loop {
         if let Some(address) = ready_address(path) {
             return Ok(address);
         }
         if Instant::now() >= until {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{} never came", path.display())));
+            return Err(io::Error::new(
+                io::ErrorKind::TimedOut,
+                format!("ready file {} was not written in time", path.display()),
+            ));
         }
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-enum Due {
+enum TimerEvent {
     Act(usize),
     Status,
-    /// Bytes that took their time arrive.
+    /// Delayed bytes are due at the relays.
     Deliver,
-    /// Look whether a coordinator that was started listens.
+    /// Check whether a coordinator that was started is listening.
     Ready(usize),
     End,
 }
 
-struct Stage<'a> {
+/// The processes of a rehearsal, and the state of the plan's execution.
+struct FleetRunner<'a> {
     script: &'a Script,
     programs: Programs<'a>,
     folder: &'a Path,
-    /// Coordinators and agents that run from the next version.
+    /// Coordinators and agents that run the next version.
     upgraded: (BTreeSet<usize>, BTreeSet<usize>),
     plan: Plan,
-    reactor: Reactor<Due>,
+    reactor: Reactor<TimerEvent>,
     relays: Relays,
     log: Log,
     servers: Vec<SocketAddr>,
-    shows: Vec<Shows>,
+    listed_states: Vec<ListedState>,
     version: u64,
-    roster_out: bool,
+    roster_unavailable: bool,
     coordinators: BTreeMap<usize, Process>,
     agents: BTreeMap<usize, Process>,
     addresses: BTreeMap<usize, SocketAddr>,
-    asking: HashMap<ConnId, (usize, ResponseReader)>,
+    status_requests: HashMap<ConnId, (usize, ResponseReader)>,
     status: BTreeMap<usize, serde_json::Value>,
     begin: Nanos,
-    mail: Mail,
-    struck: Struck,
+    datagram_relay: DatagramRelay,
+    leader_strikes: LeaderStrikes,
 }
 
-/// Sockets between coordinators: what one sends to another goes through one of them, and may get lost there.
+/// Sockets between coordinators: a datagram from one to another passes through one of them, and may be dropped there.
 #[derive(Default)]
-struct Mail {
+struct DatagramRelay {
     sockets: Vec<UdpSocket>,
-    /// From whom and to whom.
-    ways: Vec<(usize, usize)>,
-    /// Where each coordinator's datagrams come in, as far as it runs.
-    places: BTreeMap<usize, SocketAddr>,
-    cuts: Cuts,
+    /// Sender and receiver of each socket.
+    routes: Vec<(usize, usize)>,
+    /// The datagram address of each running coordinator.
+    addresses: BTreeMap<usize, SocketAddr>,
+    cuts: NetworkCuts,
 }
 
-impl Mail {
-    /// Passes on what has come on a way.
-    fn pass(&self, way: usize) {
-        let (from, to) = self.ways[way];
-        let lost = self.cuts.lose(from, to);
+impl DatagramRelay {
+    /// Forwards the datagrams received on a route.
+    fn forward(&self, route: usize) {
+        let (from, to) = self.routes[route];
+        let dropped = self.cuts.drops(from, to);
         let mut buffer = vec![0; 64 * 1024];
-        while let Ok((length, _)) = self.sockets[way].recv_from(&mut buffer) {
-            if let Some(place) = self.places.get(&to).filter(|_| !lost) {
-                let _ = self.sockets[way].send_to(&buffer[..length], place);
+        while let Ok((length, _)) = self.sockets[route].recv_from(&mut buffer) {
+            if let Some(place) = self.addresses.get(&to).filter(|_| !dropped) {
+                let _ = self.sockets[route].send_to(&buffer[..length], place);
             }
         }
     }
@@ -178,12 +182,12 @@
     format!("coordinator-{coordinator}")
 }
 
-/// The coordinator of that name.
-pub fn coordinator_named(name: &str) -> Option<usize> {
+/// The number of the coordinator of that name.
+pub fn parse_coordinator_name(name: &str) -> Option<usize> {
     name.strip_prefix("coordinator-")?.parse().ok()
 }
 
-/// What a coordinator of a shared fleet is told of it: where each one's datagrams go, and where its own come in.
+/// The settings of a shared fleet for one coordinator: the datagram addresses of all members, and its own.
 pub fn shared_settings(
     of: usize,
     places: &[SocketAddr],
@@ -203,7 +207,7 @@
     }
 }
 
-/// Settings of a coordinator of the script.
+/// The settings of a coordinator of the script.
 pub fn coordinator_settings(script: &Script, coordinator: usize) -> CoordinatorSettings {
     let mut channel = script.channel.clone();
     if script.plants.contains(&Plant::LongQueue) {
@@ -231,19 +235,19 @@
     }
 }
 
-/// Writes settings as a user would.
+/// Writes settings to a JSON file, as a user would.
 pub fn write_settings(path: &Path, settings: &impl serde::Serialize) -> io::Result<()> {
     fs::write(path, serde_json::to_string_pretty(settings).map_err(io::Error::other)?)
 }
 
-/// What the auditor is told of the fleet.
-pub fn terms(script: &Script, plan: &Plan) -> Terms {
+/// What the auditor needs to know of the fleet.
+pub fn audit_settings(script: &Script, plan: &Plan) -> AuditSettings {
     let class = |class: &craneknot_settings::ClassSettings| {
         let fits = |place: &usize| {
             let group = &plan.servers[*place].group;
             class.allows(&group.zone, &group.kind)
         };
-        ClassTerms {
+        AuditedClass {
             name: class.name.clone(),
             importance: class.importance,
             repeats: class.repeats.into(),
@@ -251,12 +255,12 @@
         }
     };
     let zone_of = |name: &String| script.zones.iter().position(|zone| zone == name).unwrap_or(usize::MAX);
-    let server = |server: &crate::plan::ServerPlan| ServerTerms {
+    let server = |server: &crate::plan::ServerPlan| AuditedServer {
         capacity: f64::from(server.group.cores) * server.group.speed,
         cell: server.cell,
         zone: zone_of(&server.group.zone),
     };
-    Terms {
+    AuditSettings {
         bare_limit: script.rules.bare_limit.0,
         drain_grace: script.rules.drain_grace.0,
         cold_share: script.rules.cold_share,
@@ -271,7 +275,7 @@
     }
 }
 
-/// The program under rehearsal, and its next version, which a rolling upgrade brings.
+/// The program under rehearsal, and the next version that a rolling upgrade installs.
 #[derive(Clone, Copy)]
 pub struct Programs<'a> {
     pub first: &'a Path,
@@ -279,12 +283,12 @@
 }
 
 impl<'a> Programs<'a> {
-    /// No other version than this.
-    pub fn one(program: &'a Path) -> Self {
+    /// The same version before and after an upgrade.
+    pub fn single(program: &'a Path) -> Self {
         Programs { first: program, next: program }
     }
 
-    fn of(self, upgraded: bool) -> &'a Path {
+    fn select(self, upgraded: bool) -> &'a Path {
         if upgraded {
             self.next
         } else {
@@ -293,18 +297,19 @@
     }
 }
 
-/// Where things are kept: what was written, which is else removed; what was seen, as a recording.
+/// Where the outputs of a rehearsal are kept: the folder of its files, which are otherwise removed, and the path of
+/// the recording.
 #[derive(Clone, Copy, Default)]
-pub struct Kept<'a> {
+pub struct Outputs<'a> {
     pub folder: Option<&'a Path>,
     pub recording: Option<&'a Path>,
 }
 
-/// Plays a script.
-pub fn rehearse(script: &Script, programs: Programs, kept: Kept) -> io::Result<Report> {
-    let Kept { folder, recording } = kept;
+/// Runs a script and returns the report.
+pub fn rehearse(script: &Script, programs: Programs, kept: Outputs) -> io::Result<Report> {
+    let Outputs { folder, recording } = kept;
     let temporary = tempfile::tempdir()?;
-    let keep = folder.is_some();
+    let keep_files = folder.is_some();
     let folder = match folder {
         Some(folder) => {
             fs::create_dir_all(folder)?;
@@ -312,41 +317,41 @@
         }
         None => temporary.path().to_owned(),
     };
-    if script.proxy_count() > PROXIES_MOST {
+    if script.proxy_count() > MAX_PROXIES {
         let cause = format!(
-            "{} proxies on one machine; {PROXIES_MOST} at most, more in the model",
+            "{} proxies; at most {MAX_PROXIES} on one machine; use the model for more",
             script.proxy_count()
         );
         return Err(io::Error::new(io::ErrorKind::InvalidInput, cause));
     }
     let clock: Arc<dyn Clock> = Arc::new(SteadyClock::new());
     let plan = Plan::draw(script);
-    let terms = terms(script, &plan);
+    let audit_settings = audit_settings(script, &plan);
     let server_host = servers::Host::new(script, &plan, clock.clone())?;
     let addresses = server_host.addresses();
     let proxy_host = proxies::Host::new(script, &plan, addresses.clone(), &folder, clock.clone())?;
-    let mut stage = Stage::raise(script, programs, &folder, plan, addresses, clock.clone())?;
-    let begin = clock.now() + FIRST_TABLES;
+    let mut fleet = FleetRunner::start(script, programs, &folder, plan, addresses, clock.clone())?;
+    let begin = clock.now() + START_DELAY;
     let stop = begin + script.length.0;
-    let end = stop + SETTLE;
-    info!(script = script.name, seed = script.seed, folder = %folder.display(), "the fleet stands");
+    let end = stop + DRAIN_TIME;
+    info!(script = script.name, seed = script.seed, folder = %folder.display(), "fleet started");
     let (logs, status) = thread::scope(|scope| {
         let servers = scope.spawn(move || server_host.run(begin, end));
         let folder = &folder;
         let proxies = scope.spawn(move || proxy_host.run(folder, begin, stop, end));
-        let played = stage.play(begin, end);
-        let lost = |_| io::Error::other("a stand-in's thread failed");
+        let played = fleet.play(begin, end);
+        let lost = |_| io::Error::other("a thread of the simulated servers or proxies panicked");
         let servers = servers.join().map_err(lost)??;
         let proxies = proxies.join().map_err(lost)??;
         played?;
-        let (log, status) = stage.finish();
+        let (log, status) = fleet.finish();
         Ok::<_, io::Error>((vec![log, servers, proxies], status))
     })?;
     let records = merge(logs);
-    if keep {
+    if keep_files {
         write_record(&folder.join("record.txt"), begin, &records)?;
     }
-    let judgement = auditor::judge(&terms, &records);
+    let judgement = auditor::judge(&audit_settings, &records);
     let report = Report::new(script, script.length.0.secs(), judgement, status);
     if let Some(path) = recording {
         Recording::of("sockets", script, begin, &records, &report).write(path)?;
@@ -354,7 +359,7 @@
     Ok(report)
 }
 
-/// The record as text, a line each, with seconds since the first operation.
+/// Writes the record as text, one line per entry, with seconds since the first operation.
 fn write_record(path: &Path, begin: Nanos, records: &[Record]) -> io::Result<()> {
     let mut file = io::BufWriter::new(fs::File::create(path)?);
     for Record { at, what } in records {
@@ -363,9 +368,9 @@
     file.flush()
 }
 
-impl<'a> Stage<'a> {
-    /// Starts the coordinators, and the agents with relays in between.
-    fn raise(
+impl<'a> FleetRunner<'a> {
+    /// Starts the coordinators, and the agents with relays between them.
+    fn start(
         script: &'a Script,
         programs: Programs<'a>,
         folder: &'a Path,
@@ -374,93 +379,97 @@
         clock: Arc<dyn Clock>,
     ) -> io::Result<Self> {
         let reactor = Reactor::new(clock, Limits::default())?;
-        let shows = plan.servers.iter().map(|s| if s.from_start { Shows::Up(None) } else { Shows::Nothing });
-        let mut stage = Stage {
+        let listed_states =
+            plan.servers
+                .iter()
+                .map(|s| if s.from_start { ListedState::Up(None) } else { ListedState::Unlisted });
+        let mut fleet = FleetRunner {
             script,
             programs,
             upgraded: Default::default(),
             folder,
-            shows: shows.collect(),
+            listed_states: listed_states.collect(),
             plan,
             reactor,
             relays: Relays::new(script.delays, script.seed ^ 0xde1a),
             log: Log::default(),
             servers,
             version: 0,
-            roster_out: false,
+            roster_unavailable: false,
             coordinators: BTreeMap::new(),
             agents: BTreeMap::new(),
             addresses: BTreeMap::new(),
-            asking: HashMap::new(),
+            status_requests: HashMap::new(),
             status: BTreeMap::new(),
             begin: Nanos(0),
-            mail: Mail::default(),
-            struck: Struck::default(),
+            datagram_relay: DatagramRelay::default(),
+            leader_strikes: LeaderStrikes::default(),
         };
-        stage.write_roster()?;
+        fleet.write_roster()?;
         for coordinator in 0..script.coordinators as usize {
             let mut settings = coordinator_settings(script, coordinator);
             if let Some(shared) = &script.shared {
-                settings.shared = Some(stage.members(coordinator, shared.lease)?);
+                settings.shared = Some(fleet.shared_settings(coordinator, shared.lease)?);
             }
-            write_settings(&stage.coordinator_file(coordinator), &settings)?;
-            stage.start_coordinator(coordinator)?;
+            write_settings(&fleet.coordinator_settings_path(coordinator), &settings)?;
+            fleet.start_coordinator(coordinator)?;
         }
         for coordinator in 0..script.coordinators as usize {
-            let address = await_ready(&stage.coordinator_file(coordinator).with_extension("ready.json"))?;
-            stage.coordinator_listens(coordinator, address);
+            let address =
+                await_ready(&fleet.coordinator_settings_path(coordinator).with_extension("ready.json"))?;
+            fleet.coordinator_ready(coordinator, address);
         }
-        for proxy in 0..stage.plan.proxy_zones.len() {
-            stage.write_agent(proxy)?;
-            stage.start_agent(proxy)?;
+        for proxy in 0..fleet.plan.proxy_zones.len() {
+            fleet.write_agent_settings(proxy)?;
+            fleet.start_agent(proxy)?;
         }
-        Ok(stage)
+        Ok(fleet)
     }
 
-    fn coordinator_file(&self, coordinator: usize) -> PathBuf {
+    fn coordinator_settings_path(&self, coordinator: usize) -> PathBuf {
         self.folder.join(format!("coordinator-{coordinator}.json"))
     }
 
-    fn agent_file(&self, proxy: usize) -> PathBuf {
+    fn agent_settings_path(&self, proxy: usize) -> PathBuf {
         self.folder.join(format!("agent-{proxy}.json"))
     }
 
     fn start_coordinator(&mut self, coordinator: usize) -> io::Result<()> {
-        let file = self.coordinator_file(coordinator);
+        let file = self.coordinator_settings_path(coordinator);
         let _ = fs::remove_file(file.with_extension("ready.json"));
-        let program = self.programs.of(self.upgraded.0.contains(&coordinator));
+        let program = self.programs.select(self.upgraded.0.contains(&coordinator));
         self.coordinators.insert(coordinator, Process::start(program, "run", &file)?);
         self.log.add(self.reactor.now(), What::Coordinator { coordinator, up: true });
         Ok(())
     }
 
-    fn coordinator_listens(&mut self, coordinator: usize, address: SocketAddr) {
+    fn coordinator_ready(&mut self, coordinator: usize, address: SocketAddr) {
         self.addresses.insert(coordinator, address);
         self.relays.set(coordinator, Some(address));
-        let ready =
-            fs::read(self.coordinator_file(coordinator).with_extension("ready.json")).unwrap_or_default();
+        let ready = fs::read(self.coordinator_settings_path(coordinator).with_extension("ready.json"))
+            .unwrap_or_default();
         let ready: serde_json::Value = serde_json::from_slice(&ready).unwrap_or_default();
         let place = ready.get("datagrams").and_then(|place| place.as_str()?.parse().ok());
         if let Some(place) = place {
-            self.mail.places.insert(coordinator, place);
+            self.datagram_relay.addresses.insert(coordinator, place);
         }
     }
 
-    /// The members of a shared fleet as one of them is told: every other one behind a socket of ours.
-    fn members(&mut self, of: usize, lease: Span) -> io::Result<SharedSettings> {
+    /// The settings of a shared fleet for one member: every member is reached through a socket of this process.
+    fn shared_settings(&mut self, of: usize, lease: Span) -> io::Result<SharedSettings> {
         let mut places = Vec::new();
         for to in 0..self.script.coordinators as usize {
             let socket = UdpSocket::bind(loopback())?;
             socket.set_nonblocking(true)?;
             places.push(socket.local_addr()?);
-            self.reactor.watch(&socket, self.mail.sockets.len())?;
-            self.mail.sockets.push(socket);
-            self.mail.ways.push((of, to));
+            self.reactor.watch(&socket, self.datagram_relay.sockets.len())?;
+            self.datagram_relay.sockets.push(socket);
+            self.datagram_relay.routes.push((of, to));
         }
         Ok(shared_settings(of, &places, loopback(), lease))
     }
 
-    /// The coordinator that says that it leads, in the latest term; the first that runs where none does.
+    /// The coordinator that reports itself as leader in the latest term, or else the first running one.
     fn leader(&self) -> Option<usize> {
         let term = |(coordinator, status): (&usize, &serde_json::Value)| {
             let shared = status.get("shared")?;
@@ -468,8 +477,8 @@
                 shared.get("role")?.as_str()? == "leader" && self.coordinators.contains_key(coordinator);
             leads.then_some((shared.get("term")?.as_u64()?, *coordinator))
         };
-        let led = self.status.iter().filter_map(term).max().map(|(_, coordinator)| coordinator);
-        led.or(self.coordinators.keys().next().copied())
+        let leading = self.status.iter().filter_map(term).max().map(|(_, coordinator)| coordinator);
+        leading.or(self.coordinators.keys().next().copied())
     }
 
     fn kill_coordinator(&mut self, coordinator: usize) {
@@ -477,15 +486,15 @@
             process.kill();
             self.relays.set(coordinator, None);
             self.addresses.remove(&coordinator);
-            self.mail.places.remove(&coordinator);
+            self.datagram_relay.addresses.remove(&coordinator);
             self.log.add(self.reactor.now(), What::Coordinator { coordinator, up: false });
         }
     }
 
-    fn raise_coordinator(&mut self, coordinator: usize) -> io::Result<()> {
+    fn ensure_coordinator(&mut self, coordinator: usize) -> io::Result<()> {
         if !self.coordinators.contains_key(&coordinator) {
             self.start_coordinator(coordinator)?;
-            self.look_for(coordinator);
+            self.check_ready(coordinator);
         }
         Ok(())
     }
@@ -497,8 +506,8 @@
         }
     }
 
-    /// The coordinators of an agent: those of its own zone first, else dealt in turn.
-    fn write_agent(&mut self, proxy: usize) -> io::Result<()> {
+    /// Writes the settings of an agent; its coordinators are those of its own zone first, otherwise in rotation.
+    fn write_agent_settings(&mut self, proxy: usize) -> io::Result<()> {
         let zone = self.plan.proxy_zones[proxy].clone();
         let count = self.script.coordinators as usize;
         let mut order: Vec<usize> = (0..count).map(|k| (k + proxy) % count).collect();
@@ -517,26 +526,26 @@
             coordinators: relays.collect::<io::Result<_>>()?,
             listen: loopback(),
             ready_file: Some(agent_ready(self.folder, proxy)),
-            redial_least: Span(REDIAL.0),
-            redial_most: Span(REDIAL.1),
-            silent_after: Span(SILENT),
+            redial_least: Span(RECONNECT_DELAY.0),
+            redial_most: Span(RECONNECT_DELAY.1),
+            silent_after: Span(SILENCE_TIMEOUT),
             sync: true,
             seed: Some(self.script.seed.wrapping_add(1_000 + proxy as u64)),
         };
-        write_settings(&self.agent_file(proxy), &settings)
+        write_settings(&self.agent_settings_path(proxy), &settings)
     }
 
     fn start_agent(&mut self, proxy: usize) -> io::Result<()> {
-        let program = self.programs.of(self.upgraded.1.contains(&proxy));
-        self.agents.insert(proxy, Process::start(program, "agent", &self.agent_file(proxy))?);
+        let program = self.programs.select(self.upgraded.1.contains(&proxy));
+        self.agents.insert(proxy, Process::start(program, "agent", &self.agent_settings_path(proxy))?);
         Ok(())
     }
 
     fn write_roster(&mut self) -> io::Result<()> {
         self.version += 1;
         let address = |server: usize| self.servers[server];
-        let (roster, listed) = self.plan.roster(self.version, self.begin, &self.shows, &address);
-        if !self.roster_out {
+        let (roster, listed) = self.plan.roster(self.version, self.begin, &self.listed_states, &address);
+        if !self.roster_unavailable {
             let text = serde_json::to_vec(&roster).map_err(io::Error::other)?;
             self.log.add(self.reactor.now(), What::Rostered { servers: listed });
             replace(&DISK, &self.folder.join(ROSTER), &text)?;
@@ -544,41 +553,41 @@
         Ok(())
     }
 
-    /// Plays the plan from `begin` to `end`.
+    /// Executes the plan from `begin` to `end`.
     fn play(&mut self, begin: Nanos, end: Nanos) -> io::Result<()> {
         self.begin = begin;
         for place in 0..self.plan.fleet_acts.len() {
-            self.reactor.set_timer(begin + self.plan.fleet_acts[place].0, Due::Act(place));
+            self.reactor.set_timer(begin + self.plan.fleet_acts[place].0, TimerEvent::Act(place));
         }
-        self.reactor.set_timer(self.reactor.now(), Due::Status);
-        self.reactor.set_timer(end, Due::End);
+        self.reactor.set_timer(self.reactor.now(), TimerEvent::Status);
+        self.reactor.set_timer(end, TimerEvent::End);
         loop {
             self.reactor.poll(None)?;
-            while let Some(happened) = self.reactor.next_event() {
-                match happened {
+            while let Some(event) = self.reactor.next_event() {
+                match event {
                     ReactorEvent::Accepted { listener, conn, .. } => {
                         self.relays.accept(&mut self.reactor, listener, conn);
                     }
                     ReactorEvent::Received { conn } if self.relays.has(conn) => {
                         if let Some(at) = self.relays.came(&mut self.reactor, &mut self.log, conn) {
-                            self.reactor.set_timer(at, Due::Deliver);
+                            self.reactor.set_timer(at, TimerEvent::Deliver);
                         }
                     }
                     ReactorEvent::Received { conn } => self.read_status(conn),
                     ReactorEvent::Closed { conn, .. } => {
-                        self.asking.remove(&conn);
+                        self.status_requests.remove(&conn);
                         self.relays.closed(&mut self.reactor, &mut self.log, conn);
                     }
-                    ReactorEvent::Timer(Due::End) => return Ok(()),
-                    ReactorEvent::Timer(Due::Status) => self.ask_status(),
-                    ReactorEvent::Timer(Due::Deliver) => {
+                    ReactorEvent::Timer(TimerEvent::End) => return Ok(()),
+                    ReactorEvent::Timer(TimerEvent::Status) => self.request_status(),
+                    ReactorEvent::Timer(TimerEvent::Deliver) => {
                         self.relays.deliver(&mut self.reactor, &mut self.log)
                     }
-                    ReactorEvent::Timer(Due::Act(place)) => {
+                    ReactorEvent::Timer(TimerEvent::Act(place)) => {
                         self.act(self.plan.fleet_acts[place].1.clone())?
                     }
-                    ReactorEvent::Timer(Due::Ready(coordinator)) => self.look_for(coordinator),
-                    ReactorEvent::Ready(way) => self.mail.pass(way),
+                    ReactorEvent::Timer(TimerEvent::Ready(coordinator)) => self.check_ready(coordinator),
+                    ReactorEvent::Ready(route) => self.datagram_relay.forward(route),
                     ReactorEvent::Connected { .. }
                     | ReactorEvent::Flushed { .. }
                     | ReactorEvent::Signal(_) => {}
@@ -587,13 +596,13 @@
         }
     }
 
-    fn look_for(&mut self, coordinator: usize) {
-        let file = self.coordinator_file(coordinator).with_extension("ready.json");
+    fn check_ready(&mut self, coordinator: usize) {
+        let file = self.coordinator_settings_path(coordinator).with_extension("ready.json");
         match ready_address(&file).filter(|_| self.coordinators.contains_key(&coordinator)) {
-            Some(address) => self.coordinator_listens(coordinator, address),
+            Some(address) => self.coordinator_ready(coordinator, address),
             None => {
                 let at = self.reactor.now() + Nanos::from_millis(5);
-                self.reactor.set_timer(at, Due::Ready(coordinator));
+                self.reactor.set_timer(at, TimerEvent::Ready(coordinator));
             }
         }
     }
@@ -601,18 +610,18 @@
     fn act(&mut self, act: FleetAct) -> io::Result<()> {
         let now = self.reactor.now();
         match act {
-            FleetAct::List { server, shows } => {
-                self.shows[server] = shows;
+            FleetAct::List { server, state } => {
+                self.listed_states[server] = state;
                 self.write_roster()?;
             }
             FleetAct::RosterOut(true) => {
-                self.roster_out = true;
+                self.roster_unavailable = true;
                 let path = self.folder.join(ROSTER);
                 fs::rename(&path, path.with_extension("away"))?;
                 self.log.add(now, What::RosterGone);
             }
             FleetAct::RosterOut(false) => {
-                self.roster_out = false;
+                self.roster_unavailable = false;
                 self.write_roster()?;
             }
             FleetAct::BreakStreams(proxies) => {
@@ -622,12 +631,12 @@
                 self.relays.unreach(&mut self.reactor, &mut self.log, &proxies, &coordinators, on);
             }
             FleetAct::KillCoordinator(coordinator) => self.kill_coordinator(coordinator),
-            FleetAct::StartCoordinator(coordinator) => self.raise_coordinator(coordinator)?,
+            FleetAct::StartCoordinator(coordinator) => self.ensure_coordinator(coordinator)?,
             FleetAct::StallCoordinator(coordinator, on) => self.stall_coordinator(coordinator, on),
             FleetAct::UpgradeCoordinator(coordinator) => {
                 self.upgraded.0.insert(coordinator);
                 self.kill_coordinator(coordinator);
-                self.raise_coordinator(coordinator)?;
+                self.ensure_coordinator(coordinator)?;
             }
             FleetAct::UpgradeAgent(proxy) => {
                 self.upgraded.1.insert(proxy);
@@ -637,11 +646,13 @@
                 self.start_agent(proxy)?;
             }
             FleetAct::Leader { slot, strike } => {
-                if let Some(act) = self.struck.resolve(slot, strike, self.leader()) {
+                if let Some(act) = self.leader_strikes.resolve(slot, strike, self.leader()) {
                     self.act(act)?;
                 }
             }
-            FleetAct::Cut { coordinator, sends, gets } => self.mail.cuts.set(coordinator, sends, gets),
+            FleetAct::Cut { coordinator, sends, gets } => {
+                self.datagram_relay.cuts.set(coordinator, sends, gets)
+            }
             FleetAct::KillAgent(proxy) => {
                 if let Some(process) = self.agents.remove(&proxy) {
                     process.kill();
@@ -652,26 +663,27 @@
         Ok(())
     }
 
-    fn ask_status(&mut self) {
+    fn request_status(&mut self) {
         let now = self.reactor.now();
-        self.reactor.set_timer(now + STATUS_EVERY, Due::Status);
-        let under_way: BTreeSet<usize> = self.asking.values().map(|(coordinator, _)| *coordinator).collect();
+        self.reactor.set_timer(now + STATUS_INTERVAL, TimerEvent::Status);
+        let pending: BTreeSet<usize> =
+            self.status_requests.values().map(|(coordinator, _)| *coordinator).collect();
         for (coordinator, address) in self.addresses.clone() {
-            if under_way.contains(&coordinator) {
+            if pending.contains(&coordinator) {
                 continue;
             }
             let Ok(conn) = self.reactor.connect(address) else { continue };
             let close = [(http::header::CONNECTION, "close")];
             let _ = self.reactor.send(conn, [request(&Method::GET, "/status", "coordinator", &close, b"")]);
             let reader = ResponseReader::new(HttpLimits { body: 1024 * 1024, ..HttpLimits::default() });
-            self.asking.insert(conn, (coordinator, reader));
+            self.status_requests.insert(conn, (coordinator, reader));
         }
     }
 
     fn read_status(&mut self, conn: ConnId) {
         let now = self.reactor.now();
         let (Some((coordinator, reader)), Some(input)) =
-            (self.asking.get_mut(&conn), self.reactor.input(conn))
+            (self.status_requests.get_mut(&conn), self.reactor.input(conn))
         else {
             return;
         };
@@ -680,28 +692,28 @@
             Ok(None) => return,
             Ok(Some(answer)) => match serde_json::from_slice::<serde_json::Value>(answer.body()) {
                 Ok(status) => {
-                    let figure =
+                    let number =
                         |name: &str| status.get(name).and_then(|value| value.as_f64()).unwrap_or(0.0);
-                    let (lines, most) = (figure("channel_lines"), figure("channel_most"));
+                    let (lines, most) = (number("channel_lines"), number("channel_most"));
                     self.log.add(now, What::Queue { coordinator, lines, most });
                     self.status.insert(coordinator, status);
                 }
-                Err(cause) => warn!(coordinator, %cause, "its status cannot be read"),
+                Err(cause) => warn!(coordinator, %cause, "coordinator's status could not be parsed"),
             },
-            Err(wrong) => warn!(coordinator, %wrong, "its status cannot be read"),
+            Err(wrong) => warn!(coordinator, %wrong, "coordinator's status could not be parsed"),
         }
-        self.asking.remove(&conn);
+        self.status_requests.remove(&conn);
         self.reactor.close(conn);
     }
 
-    /// Ends all processes, and gives the record and the last status of each coordinator.
+    /// Ends all processes, and returns the record and the last status of each coordinator.
     fn finish(&mut self) -> (Log, Vec<serde_json::Value>) {
         for (_, process) in std::mem::take(&mut self.agents) {
-            process.end();
+            process.terminate();
         }
         for (coordinator, process) in std::mem::take(&mut self.coordinators) {
-            if !process.end() {
-                warn!(coordinator, "did not end when asked");
+            if !process.terminate() {
+                warn!(coordinator, "coordinator did not exit cleanly on SIGTERM");
             }
         }
         (std::mem::take(&mut self.log), self.status.values().cloned().collect())
