--- a/crates/craneknot-cli/src/main.rs
+++ b/crates/craneknot-cli/src/main.rs
@@ -395,7 +395,7 @@
         }
         Command::Measure { agents, servers, seconds, sync, report } => {
             let program = std::env::current_exe().map_err(system_failure)?;
-            let options = craneknot_rehearsal::measure::Asked { agents, servers, seconds, sync };
+            let options = craneknot_rehearsal::measure::MeasureSettings { agents, servers, seconds, sync };
             let figures = craneknot_rehearsal::measure::measure(&program, options).map_err(system_failure)?;
             print_line!("{}", to_pretty_json(&figures));
             write_json(report.as_deref(), &figures)
--- a/crates/craneknot-cli/src/model.rs
+++ b/crates/craneknot-cli/src/model.rs
@@ -259,7 +259,7 @@
             if let Some(path) = record {
                 let played = play_with_options(&script, RunOptions::default());
                 let recording =
-                    Recording::of("model", &script, played.begin, &played.records, &played.report);
+                    Recording::from_records("model", &script, played.begin, &played.records, &played.report);
                 recording.write(&path).map_err(system_failure)?;
                 output::write_output(format_args!("{}", played.report.lines()));
             }
--- a/crates/craneknot-model/src/bound.rs
+++ b/crates/craneknot-model/src/bound.rs
@@ -31,7 +31,7 @@
         since: Option<f64>,
     }
     let one = |server: usize| {
-        let make = plan.make(script, server);
+        let make = plan.server_spec(script, server);
         let mut acts = plan.server_acts.iter().filter(|(_, of, _)| *of == server).peekable();
         let up = plan.servers[server].from_start;
         let mut now = Now { up, mute: false, slow: 1.0, loses: 0.0, since: None };
--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use craneknot::interface::Nanos;
-use craneknot_rehearsal::machine::Make;
+use craneknot_rehearsal::machine::ServerSpec;
 use craneknot_rehearsal::plan::Plan;
 use craneknot_rehearsal::recording::{How, Line, Recording};
 use craneknot_rehearsal::Script;
@@ -187,7 +187,7 @@
     }
     let usual = median(&mut warm);
     let miss = |share: f64, after: f64| {
-        let make = Make { cold_share: share, warm_after: Nanos::from_secs(after), ..NONE };
+        let make = ServerSpec { cold_share: share, warm_after: Nanos::from_secs(after), ..NONE };
         let bin = |tries: &Vec<(f64, f64)>| {
             // By their own ages: within a bin they come late, since news of a start is late.
             let as_warm = |(age, part): &(f64, f64)| part * make.warmth(Nanos::from_secs(*age));
@@ -208,7 +208,7 @@
     *values.select_nth_unstable_by(middle, f64::total_cmp).1
 }
 
-const NONE: Make = Make {
+const NONE: ServerSpec = ServerSpec {
     cores: 1,
     speed: 1.0,
     queue: 0,
@@ -241,7 +241,8 @@
         };
         script.troubles = (0..12).map(|k| deploy(2_000 + 12_000 * k)).collect();
         let played = play_with_options(&script, RunOptions::default());
-        let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
+        let mut recording =
+            Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         let true_work = script.clients.demand.clone();
         // The recording's own script is no help.
         recording.head.script.clients.demand.iter_mut().for_each(|demand| demand.work = Span::millis(777));
@@ -267,7 +268,8 @@
     fn a_recording_with_nothing_in_it_says_so() {
         let script = Script::built_in().unwrap();
         let played = play_with_options(&script, RunOptions::default());
-        let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
+        let mut recording =
+            Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         recording.lines.clear();
         assert!(fit(&recording, ROUND_TRIP).unwrap_err().contains("nothing can be fitted"));
     }
--- a/crates/craneknot-model/src/plot.rs
+++ b/crates/craneknot-model/src/plot.rs
@@ -315,7 +315,8 @@
         let script =
             Script { length: Span::millis(6_000), troubles: Vec::new(), ..Script::built_in().unwrap() };
         let played = play_with_options(&script, RunOptions::default());
-        let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
+        let recording =
+            Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         let asked = Asked { least: 2, most: 2, narrow: 1.0, baselines: true, cost: true };
         let one = run(&script, &Build::Own, asked, |_| {});
         let axes = ["/clients/rate=50,100".parse().unwrap()];
--- a/crates/craneknot-model/src/timeline.rs
+++ b/crates/craneknot-model/src/timeline.rs
@@ -114,7 +114,8 @@
     fn the_seconds_add_up_to_the_report() {
         let script = Script::built_in().unwrap();
         let played = play_with_options(&script, RunOptions::default());
-        let recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
+        let recording =
+            Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         let stats = Timeline::from_recording(&recording);
         let sum = |of: fn(&Second) -> u64| stats.seconds.iter().map(of).sum::<u64>();
         let service = &played.report.service;
--- a/crates/craneknot-model/src/world/faults.rs
+++ b/crates/craneknot-model/src/world/faults.rs
@@ -30,7 +30,7 @@
             ServerAct::Errors(share) => self.servers[server].error_share = share,
             ServerAct::Hang(on) => self.servers[server].hangs = on,
             ServerAct::Slow(factor) => {
-                self.servers[server].machine.slow = factor;
+                self.servers[server].machine.slowdown = factor;
                 self.log.add(self.now, What::Slowed { server, factor });
             }
             ServerAct::LoseAnswers(share) => self.servers[server].answer_loss = share,
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -18,9 +18,9 @@
 use craneknot_coordinator::session::Response as StreamAnswer;
 use craneknot_fleet::raft::PersistentState;
 use craneknot_rehearsal::auditor;
-use craneknot_rehearsal::caller::{Answer, Caller, Next, Operation};
+use craneknot_rehearsal::caller::{Answer, Caller, NextStep, Operation};
 use craneknot_rehearsal::load_totals::LoadTotals;
-use craneknot_rehearsal::machine::{Arrival, Job, Machine, Make};
+use craneknot_rehearsal::machine::{Arrival, Job, Machine, ServerSpec};
 use craneknot_rehearsal::plan::{
     FleetAct, LeaderStrikes, ListedState, NetworkCuts, Plan, ProxyAct, ServerAct, ServerPlan,
 };
@@ -129,7 +129,7 @@
 }
 
 struct Server {
-    make: Make,
+    make: ServerSpec,
     machine: Machine,
     up: bool,
     life: u64,
@@ -345,7 +345,7 @@
         let run_seed = script.seed ^ options.seed_xor;
         let classes: Vec<String> = script.classes.iter().map(|class| class.name.clone()).collect();
         let server = |(place, planned): (usize, &ServerPlan)| {
-            let make = plan.make(script, place);
+            let make = plan.server_spec(script, place);
             let machine = Machine::new(make, None);
             let up = planned.from_start;
             Server {
--- a/crates/craneknot-model/src/world/operations.rs
+++ b/crates/craneknot-model/src/world/operations.rs
@@ -10,7 +10,7 @@
                 let Some((at, class, zone)) = arrivals.get(self.arrivals_used).copied() else { return };
                 self.arrivals_used += 1;
                 let at = self.begin + at;
-                (at, self.caller.given(at, class, zone))
+                (at, self.caller.operation_at(at, class, zone))
             }
         };
         if at < stop {
@@ -74,7 +74,10 @@
     pub(super) fn reject(&mut self, number: u64, again: Nanos) {
         let again = Nanos::from_secs(again.secs().ceil().max(1.0));
         self.tries.remove(&number);
-        self.schedule_after_hop(Event::ClientAnswered { number, answer: Answer::Refused { again } });
+        self.schedule_after_hop(Event::ClientAnswered {
+            number,
+            answer: Answer::Refused { retry_after: again },
+        });
     }
 
     pub(super) fn send_try(&mut self, number: u64, last: Option<Tried>) {
@@ -135,7 +138,7 @@
     /// Operations in flight at a server, plus one, relative to its current capacity.
     pub(super) fn relative_queue(&self, server: usize) -> f64 {
         let state = &self.servers[server];
-        (state.machine.held() as f64 + 1.0) / state.machine.capacity(self.now).max(1e-9)
+        (state.machine.in_flight() as f64 + 1.0) / state.machine.capacity(self.now).max(1e-9)
     }
 
     pub(super) fn try_arrived(&mut self, number: u64) {
@@ -158,14 +161,14 @@
             return self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Failed });
         }
         match state.machine.arrive(self.now, Job { number, work }) {
-            Arrival::Runs { until } => {
+            Arrival::Running { until } => {
                 let life = state.life;
                 self.log.add(self.now, What::Ran { server, op, attempt, class });
                 self.schedule(until, Event::JobDone { server, life, job: number });
             }
-            Arrival::Waits => {}
+            Arrival::Queued => {}
             Arrival::Full => self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Unrun }),
-            Arrival::Falls => {
+            Arrival::Overloaded => {
                 self.log.add(self.now, What::Fell { server });
                 self.stop_server(server);
             }
@@ -177,7 +180,7 @@
         if state.life != life {
             return;
         }
-        if let Some((next, until)) = state.machine.done(self.now) {
+        if let Some((next, until)) = state.machine.finish(self.now) {
             if let Some(pending) = self.tries.get(&next.number) {
                 let (op, attempt, class) =
                     (pending.operation.id, pending.operation.attempt, pending.operation.class);
@@ -201,13 +204,13 @@
         let Some(server) = pending.tried.last().copied() else { return };
         // A queued operation is dropped when its connection closes.
         if tried == Tried::Failed {
-            self.servers[server].machine.give_up(number);
+            self.servers[server].machine.cancel(number);
         }
         let report = orca::LoadReport {
             cpu_utilization: Some(self.servers[server].machine.busy(self.now)),
             named_metrics: BTreeMap::from([
-                ("inflight".to_owned(), self.servers[server].machine.held() as f64),
-                ("service_ms".to_owned(), self.servers[server].machine.service() * 1e3),
+                ("inflight".to_owned(), self.servers[server].machine.in_flight() as f64),
+                ("service_ms".to_owned(), self.servers[server].machine.service_time() * 1e3),
             ]),
         };
         let state = &mut self.proxies[proxy];
@@ -233,7 +236,7 @@
 
     pub(super) fn client_answered(&mut self, number: u64, answer: Answer) {
         let Some(mut operation) = self.clients.remove(&number) else { return };
-        if let Next::Again { at } = self.caller.after(self.now, &operation, answer) {
+        if let NextStep::Retry { at } = self.caller.next_step(self.now, &operation, answer) {
             operation.attempt += 1;
             return self.schedule(at, Event::ClientAttempt(Box::new(operation)));
         }
--- a/crates/craneknot-rehearsal/src/caller.rs
+++ b/crates/craneknot-rehearsal/src/caller.rs
@@ -1,4 +1,4 @@
-//! The clients without I/O: operations come by chance, ask a proxy of their zone, and come again by themselves.
+//! The simulated clients without I/O: operations arrive at random for a proxy of their zone, and clients retry.
 
 use craneknot::interface::Nanos;
 use rand::{Rng, SeedableRng};
@@ -9,7 +9,7 @@
 use crate::record::OpId;
 use crate::script::Script;
 
-/// One operation.
+/// A client's operation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
     pub id: OpId,
@@ -21,13 +21,13 @@
     pub attempt: u32,
 }
 
-/// What an attempt came to.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     Good,
-    /// Refused before it ran, and told when to come back.
+    /// Rejected before it ran, with the time after which to retry.
     Refused {
-        again: Nanos,
+        retry_after: Nanos,
     },
     Failed,
     /// No answer in time.
@@ -36,17 +36,18 @@
 
 /// What the client does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    Again { at: Nanos },
+pub enum NextStep {
+    Retry { at: Nanos },
     End,
 }
 
-const KEYS: u32 = 1_000; // distinct keys
+const KEY_COUNT: u32 = 1_000; // number of distinct keys
 
+/// Generates operations and decides on the clients' retries.
 pub struct Caller {
     rng: Pcg32,
-    /// Apart from the other, so that what is asked for does not hang on what became of it.
-    waits: Pcg32,
+    /// Separate from `rng`, so that the generated operations do not depend on their outcomes.
+    retry_rng: Pcg32,
     next_id: u64,
     rate: f64,
     classes: WeightedIndex<f64>,
@@ -60,14 +61,14 @@
 }
 
 impl Caller {
-    /// Nothing where the script's figures make no distribution; its checks see to that.
+    /// `None` if the script's numbers give no valid distribution, which the checks of the script prevent.
     pub fn new(script: &Script, seed: u64) -> Option<Self> {
         let clients = &script.clients;
         let class = |name: &str| script.classes.iter().position(|class| class.name == name);
         let work = |mean: f64, shape: f64| Gamma::new(shape, mean.max(1e-6) / shape).ok();
         Some(Caller {
             rng: Pcg32::seed_from_u64(seed),
-            waits: Pcg32::seed_from_u64(!seed),
+            retry_rng: Pcg32::seed_from_u64(!seed),
             next_id: 0,
             rate: clients.rate,
             classes: WeightedIndex::new(clients.demand.iter().map(|demand| demand.share)).ok()?,
@@ -89,14 +90,14 @@
         })
     }
 
-    /// The next operation, and how long after the one before it comes; `factor` times as many as usual.
+    /// The next operation and its arrival time, at `factor` times the usual rate.
     pub fn next(&mut self, now: Nanos, factor: f64) -> (Nanos, Operation) {
         let gap = Exp::new(self.rate * factor.max(1e-3)).map_or(1.0, |gaps| gaps.sample(&mut self.rng));
         let at = now + Nanos((gap * 1e9) as u64);
         let place = self.classes.sample(&mut self.rng);
         self.next_id += 1;
         // Squared, so that a few keys are far more popular than the rest.
-        let key = (self.rng.random::<f64>().powi(2) * f64::from(KEYS)) as u32;
+        let key = (self.rng.random::<f64>().powi(2) * f64::from(KEY_COUNT)) as u32;
         let operation = Operation {
             id: OpId(self.next_id),
             class: self.class_of[place],
@@ -109,11 +110,11 @@
         (at, operation)
     }
 
-    /// An operation that is known to have come, with work and key by chance.
-    pub fn given(&mut self, at: Nanos, class: usize, zone: usize) -> Operation {
+    /// An operation of a known arrival, with random work and key.
+    pub fn operation_at(&mut self, at: Nanos, class: usize, zone: usize) -> Operation {
         let place = self.class_of.iter().position(|of| *of == class);
         let work = place.map_or(0.0, |place| self.work[place].sample(&mut self.rng));
-        let key = (self.rng.random::<f64>().powi(2) * f64::from(KEYS)) as u32;
+        let key = (self.rng.random::<f64>().powi(2) * f64::from(KEY_COUNT)) as u32;
         self.next_id += 1;
         Operation {
             id: OpId(self.next_id),
@@ -126,20 +127,22 @@
         }
     }
 
-    /// What a client does after an attempt. One that must never run twice comes again only after a refusal.
-    pub fn after(&mut self, now: Nanos, operation: &Operation, answer: Answer) -> Next {
-        let again = match answer {
-            Answer::Good => return Next::End,
-            Answer::Refused { again } => Some(again),
+    /// What a client does after an attempt. An operation that must never run twice is retried only after a rejection.
+    pub fn next_step(&mut self, now: Nanos, operation: &Operation, answer: Answer) -> NextStep {
+        let allowed_after = match answer {
+            Answer::Good => return NextStep::End,
+            Answer::Refused { retry_after } => Some(retry_after),
             Answer::Failed | Answer::Silent => self.repeatable[operation.class].then_some(Nanos(0)),
         };
-        let Some(told) = again.filter(|_| operation.attempt < self.retries) else { return Next::End };
+        let Some(server_delay) = allowed_after.filter(|_| operation.attempt < self.retries) else {
+            return NextStep::End;
+        };
         let wait = Nanos(self.retry_wait.0 << operation.attempt.min(10));
-        let jitter = 0.5 + self.waits.random::<f64>();
-        let at = now + told.max(Nanos((wait.0 as f64 * jitter) as u64));
+        let jitter = 0.5 + self.retry_rng.random::<f64>();
+        let at = now + server_delay.max(Nanos((wait.0 as f64 * jitter) as u64));
         match at - operation.asked < self.hard_stops[operation.class] {
-            true => Next::Again { at },
-            false => Next::End,
+            true => NextStep::Retry { at },
+            false => NextStep::End,
         }
     }
 }
@@ -149,7 +152,7 @@
     use super::*;
 
     #[test]
-    fn traffic_is_as_asked_for_and_the_same_for_a_seed() {
+    fn traffic_matches_the_script_and_is_reproducible_by_seed() {
         let script = Script::built_in().unwrap();
         let draw = |seed| {
             let (mut caller, mut now, mut all) = (Caller::new(&script, seed).unwrap(), Nanos(0), Vec::new());
@@ -168,21 +171,21 @@
     }
 
     #[test]
-    fn what_must_never_run_twice_comes_again_only_after_a_refusal() {
+    fn a_never_repeatable_operation_is_retried_only_after_a_rejection() {
         let script = Script::built_in().unwrap();
         let mut caller = Caller::new(&script, 1).unwrap();
         let mut operation =
             Operation { id: OpId(1), class: 1, zone: 0, key: 0, work: Nanos(1), asked: Nanos(0), attempt: 0 };
-        assert_eq!(caller.after(Nanos(5), &operation, Answer::Failed), Next::End);
-        assert_eq!(caller.after(Nanos(5), &operation, Answer::Silent), Next::End);
-        let again = Nanos::from_millis(700);
-        let next = caller.after(Nanos(5), &operation, Answer::Refused { again });
-        assert_eq!(next, Next::Again { at: Nanos(5) + again });
-        let past = Answer::Refused { again: Nanos::from_millis(2_000) };
-        assert_eq!(caller.after(Nanos(5), &operation, past), Next::End);
+        assert_eq!(caller.next_step(Nanos(5), &operation, Answer::Failed), NextStep::End);
+        assert_eq!(caller.next_step(Nanos(5), &operation, Answer::Silent), NextStep::End);
+        let retry_after = Nanos::from_millis(700);
+        let next = caller.next_step(Nanos(5), &operation, Answer::Refused { retry_after });
+        assert_eq!(next, NextStep::Retry { at: Nanos(5) + retry_after });
+        let past = Answer::Refused { retry_after: Nanos::from_millis(2_000) };
+        assert_eq!(caller.next_step(Nanos(5), &operation, past), NextStep::End);
         operation.class = 0;
-        assert!(matches!(caller.after(Nanos(5), &operation, Answer::Failed), Next::Again { .. }));
+        assert!(matches!(caller.next_step(Nanos(5), &operation, Answer::Failed), NextStep::Retry { .. }));
         operation.attempt = 2;
-        assert_eq!(caller.after(Nanos(5), &operation, Answer::Failed), Next::End);
+        assert_eq!(caller.next_step(Nanos(5), &operation, Answer::Failed), NextStep::End);
     }
 }
--- a/crates/craneknot-rehearsal/src/measure.rs
+++ b/crates/craneknot-rehearsal/src/measure.rs
@@ -1,6 +1,7 @@
-//! One coordinator as a process of its own, many agents in this one: from decision to swapped file, the cost of a
-//! full first deal, of standing streams and of a rolling deploy, and recovery after a kill. The servers are names
-//! only, and proxies report nothing but that they stand: what is measured is the program, not the decisions.
+//! Measures one coordinator in its own process with many agents in this one: the time from decision to swapped file,
+//! the cost of the full first assignment, of idle streams and of a rolling deploy, and recovery after a kill. The
+//! servers exist only in the list, and proxies report only that they are up, so that the program is measured and not
+//! its decisions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fs;
@@ -27,9 +28,9 @@
 
 use crate::runner::{await_ready, write_settings, Process};
 
-/// What is to be measured.
+/// The parameters of a measurement.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Asked {
+pub struct MeasureSettings {
     pub agents: u32,
     pub servers: u16,
     pub seconds: u64,
@@ -40,38 +41,38 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Part {
     pub seconds: f64,
-    /// From decision to the accepted answer, which is written after the swap; the way back is in it.
+    /// From the decision to the acknowledgement, which is sent after the swap; includes the way back.
     pub decided_to_swapped_ms: Option<(f64, f64, f64)>,
     pub swaps: u64,
     pub messages: u64,
     pub lines: f64,
-    /// Texts made, their bytes, and the bytes sent of them: the last over the one before is what sharing saves.
+    /// Texts made, their bytes, and the bytes sent from them: bytes sent over bytes made is the saving by sharing.
     pub texts: u64,
     pub bytes_made: u64,
     pub bytes_sent: u64,
-    /// Of the coordinator's process, in seconds of one core, and for a thousand streams a second of time.
+    /// CPU time of the coordinator's process, in seconds of one core; and the same per second and thousand streams.
     pub cpu_seconds: f64,
     pub cpu_per_second_and_1000_streams: f64,
-    /// Until every proxy had followed, s; nothing where that was not waited for or never came.
+    /// Time until every proxy had swapped, s; `None` if that was not awaited or did not happen.
     pub all_followed_after: Option<f64>,
     pub followed_p50_ms: Option<f64>,
     pub followed_p99_ms: Option<f64>,
 }
 
-const FOLLOW_WITHIN: Duration = Duration::from_secs(60); // for all proxies to have new tables
-const TICKS: f64 = 100.0; // a second, in which the system counts a process's time (USER_HZ)
-const THREADS: usize = 2; // that carry agents; the coordinator has a core of its own
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(60); // for all proxies to receive new tables
+const TICKS_PER_SECOND: f64 = 100.0; // unit of process times in /proc (USER_HZ)
+const AGENT_THREADS: usize = 2; // threads that run agents; the coordinator has a core of its own
 
 #[derive(Default)]
 struct Swaps {
     count: u64,
-    /// When a proxy last swapped its bindings, and by whose order.
-    bound: HashMap<String, (Nanos, String)>,
+    /// Time and source of each proxy's last swap of bindings.
+    binding_swaps: HashMap<String, (Nanos, String)>,
 }
 
 struct Bench {
     folder: PathBuf,
-    asked: Asked,
+    requested: MeasureSettings,
     clock: Arc<dyn Clock>,
     swaps: Arc<Mutex<Swaps>>,
     version: u64,
@@ -79,7 +80,7 @@
     next_server: u16,
 }
 
-fn settings(asked: Asked) -> CoordinatorSettings {
+fn settings(requested: MeasureSettings) -> CoordinatorSettings {
     let class = |name: &str, repeats, only_zones: &[&str]| ClassSettings {
         name: name.to_owned(),
         latency_goal: Span::millis(1_000),
@@ -104,7 +105,7 @@
                 class("issue", Repeats::Never, &["north"]),
             ],
             coordinators: 1,
-            proxies: asked.agents,
+            proxies: requested.agents,
             levels: LevelUnit::Rate,
             lb_policy: "RANDOM".to_owned(),
         },
@@ -116,7 +117,7 @@
             fall_window: Span::millis(3_000),
             bare_limit: Span::millis(2_500),
         },
-        // Wide enough that the program is measured, not the pace that is asked of it.
+        // High enough that the program is measured and not the configured pace.
         channel: ChannelSettings {
             lines_per_second: 2e6,
             lines_limit: 4e6,
@@ -144,7 +145,7 @@
             kind: "one".to_owned(),
             cell: i64::from(server / 4),
             weight: Some(1.0),
-            started: (*server >= 20_000 + self.asked.servers).then(|| now.secs()),
+            started: (*server >= 20_000 + self.requested.servers).then(|| now.secs()),
             state: ServerState::Up,
         };
         let roster = Roster { version: self.version, servers: self.servers.iter().map(entry).collect() };
@@ -162,14 +163,14 @@
         Ok((process, address, ready))
     }
 
-    /// Waits until every proxy has swapped bindings later than `since`, by another source than `not`.
-    fn await_all(&self, since: Nanos, not: &str) -> Option<(f64, Histogram<u64>)> {
-        let until = Instant::now() + FOLLOW_WITHIN;
+    /// Waits until every proxy has swapped bindings after `since` from a source other than `excluded`.
+    fn await_all(&self, since: Nanos, excluded: &str) -> Option<(f64, Histogram<u64>)> {
+        let until = Instant::now() + FOLLOW_TIMEOUT;
         while Instant::now() < until {
             thread::sleep(Duration::from_millis(2));
             let swaps = self.swaps.lock().ok()?;
-            let fresh = swaps.bound.values().filter(|(at, source)| *at > since && source != not);
-            if fresh.clone().count() >= self.asked.agents as usize {
+            let fresh = swaps.binding_swaps.values().filter(|(at, source)| *at > since && source != excluded);
+            if fresh.clone().count() >= self.requested.agents as usize {
                 let mut spans = Histogram::<u64>::new(3).ok()?;
                 for (at, _) in fresh {
                     let _ = spans.record((*at - since).0 / 1_000);
@@ -180,81 +181,86 @@
         None
     }
 
-    fn swapped(&self) -> u64 {
+    fn swap_count(&self) -> u64 {
         self.swaps.lock().map_or(0, |swaps| swaps.count)
     }
 }
 
-/// Asks a coordinator for its status; the spans it keeps begin anew.
-fn status(address: SocketAddr) -> io::Result<serde_json::Value> {
+/// Fetches a coordinator's status and resets its recorded spans.
+fn reset_status(address: SocketAddr) -> io::Result<serde_json::Value> {
     let within = Timeouts { connect: Duration::from_secs(5), read: Duration::from_secs(10) };
     fetch_json(address, "/status?spans=anew", within)
 }
 
-/// CPU of a process so far, in seconds of one core.
+/// CPU time used by a process so far, in seconds of one core.
 fn cpu(pid: u32) -> f64 {
     let text = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields = text.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace();
     let ticks: Vec<f64> = fields.skip(11).take(2).filter_map(|field| field.parse().ok()).collect();
-    ticks.iter().sum::<f64>() / TICKS
+    ticks.iter().sum::<f64>() / TICKS_PER_SECOND
 }
 
-struct Mark {
+struct Sample {
     at: Instant,
     cpu: f64,
     swaps: u64,
     status: serde_json::Value,
 }
 
-fn figure(status: &serde_json::Value, name: &str) -> f64 {
+fn number_field(status: &serde_json::Value, name: &str) -> f64 {
     status.get(name).and_then(serde_json::Value::as_f64).unwrap_or(0.0)
 }
 
 impl Bench {
-    fn mark(&self, address: SocketAddr, pid: u32) -> io::Result<Mark> {
-        Ok(Mark { at: Instant::now(), cpu: cpu(pid), swaps: self.swapped(), status: status(address)? })
+    fn sample(&self, address: SocketAddr, pid: u32) -> io::Result<Sample> {
+        Ok(Sample {
+            at: Instant::now(),
+            cpu: cpu(pid),
+            swaps: self.swap_count(),
+            status: reset_status(address)?,
+        })
     }
 
-    fn part(&self, from: &Mark, to: &Mark) -> Part {
+    fn difference(&self, from: &Sample, to: &Sample) -> Part {
         let seconds = (to.at - from.at).as_secs_f64();
-        let gained = |name: &str| figure(&to.status, name) - figure(&from.status, name);
+        let increase = |name: &str| number_field(&to.status, name) - number_field(&from.status, name);
         let cpu_seconds = to.cpu - from.cpu;
         let spans = to.status.get("decided_to_swapped_ms");
         Part {
             seconds,
             decided_to_swapped_ms: spans.and_then(|spans| serde_json::from_value(spans.clone()).ok()),
             swaps: to.swaps - from.swaps,
-            messages: gained("messages") as u64,
-            lines: gained("lines"),
-            texts: gained("texts") as u64,
-            bytes_made: gained("bytes_made") as u64,
-            bytes_sent: gained("bytes_sent") as u64,
+            messages: increase("messages") as u64,
+            lines: increase("lines"),
+            texts: increase("texts") as u64,
+            bytes_made: increase("bytes_made") as u64,
+            bytes_sent: increase("bytes_sent") as u64,
             cpu_seconds,
-            cpu_per_second_and_1000_streams: cpu_seconds / seconds * 1e3 / f64::from(self.asked.agents),
+            cpu_per_second_and_1000_streams: cpu_seconds / seconds * 1e3 / f64::from(self.requested.agents),
             ..Part::default()
         }
     }
 }
 
-/// Measures, part by part.
-pub fn measure(program: &Path, asked: Asked) -> io::Result<BTreeMap<String, Part>> {
+/// Runs all parts of the measurement; the result is by part.
+pub fn measure(program: &Path, requested: MeasureSettings) -> io::Result<BTreeMap<String, Part>> {
     let folder = tempfile::tempdir()?;
     let clock: Arc<dyn Clock> = Arc::new(SteadyClock::new());
     let mut bench = Bench {
         folder: folder.path().to_owned(),
-        asked,
+        requested,
         clock: clock.clone(),
         swaps: Arc::default(),
         version: 0,
-        servers: (20_000..20_000 + asked.servers).collect(),
-        next_server: 20_000 + asked.servers,
+        servers: (20_000..20_000 + requested.servers).collect(),
+        next_server: 20_000 + requested.servers,
     };
     fs::write(folder.path().join("program"), program.to_string_lossy().as_bytes())?;
-    write_settings(&folder.path().join("coordinator.json"), &settings(asked))?;
+    write_settings(&folder.path().join("coordinator.json"), &settings(requested))?;
     bench.write_roster()?;
     let (process, address, _) = bench.start()?;
-    // The port is kept for the life after the kill.
-    let mut fixed = settings(asked);
+    // The port is fixed so that the process restarted after the kill uses the same one.
+    let mut fixed = settings(requested);
     fixed.listen = address;
     write_settings(&folder.path().join("coordinator.json"), &fixed)?;
 
@@ -262,13 +268,13 @@
     let mut parts = BTreeMap::new();
     let result = thread::scope(|scope| {
         let begin = bench.clock.now();
-        let first = bench.mark(address, process.id())?;
-        for place in 0..THREADS {
+        let first = bench.sample(address, process.id())?;
+        for place in 0..AGENT_THREADS {
             let (clock, swaps, stop) = (clock.clone(), bench.swaps.clone(), stop.clone());
             let folder = folder.path().to_owned();
-            scope.spawn(move || carry(asked, place, address, &folder, clock, swaps, &stop));
+            scope.spawn(move || run_agents(requested, place, address, &folder, clock, swaps, &stop));
         }
-        let measured = play(&mut bench, process, address, first, begin, &mut parts);
+        let measured = run_parts(&mut bench, process, address, first, begin, &mut parts);
         stop.store(true, Ordering::SeqCst);
         measured
     });
@@ -276,9 +282,9 @@
     Ok(parts)
 }
 
-/// Carries a part of the agents until told to stop.
-fn carry(
-    asked: Asked,
+/// Runs a share of the agents until `stop` is set.
+fn run_agents(
+    requested: MeasureSettings,
     place: usize,
     address: SocketAddr,
     folder: &Path,
@@ -286,7 +292,7 @@
     swaps: Arc<Mutex<Swaps>>,
     stop: &AtomicBool,
 ) {
-    let mine = (0..asked.agents as usize).filter(|agent| agent % THREADS == place);
+    let mine = (0..requested.agents as usize).filter(|agent| agent % AGENT_THREADS == place);
     let node = |agent: usize| NodeSettings {
         id: format!("proxy-{agent}"),
         zone: if agent % 4 < 2 { "north" } else { "south" }.to_owned(),
@@ -301,7 +307,7 @@
         redial_least: Span::millis(200),
         redial_most: Span::millis(1_000),
         silent_after: Span::millis(5_000),
-        sync: asked.sync,
+        sync: requested.sync,
         seed: Some(place as u64),
     };
     let Ok(mut shell) = craneknot_agent::shell::Shell::new(settings, folder, clock.clone()) else { return };
@@ -310,7 +316,7 @@
         swaps.count += 1;
         if kind == Kind::Clusters {
             let source = version.rsplit_once('/').map_or("", |(source, _)| source).to_owned();
-            swaps.bound.insert(name.to_owned(), (clock.now(), source));
+            swaps.binding_swaps.insert(name.to_owned(), (clock.now(), source));
         }
     }));
     while !stop.load(Ordering::SeqCst) {
@@ -320,15 +326,15 @@
     }
 }
 
-fn play(
+fn run_parts(
     bench: &mut Bench,
     process: Process,
     address: SocketAddr,
-    first: Mark,
+    first: Sample,
     begin: Nanos,
     parts: &mut BTreeMap<String, Part>,
 ) -> io::Result<()> {
-    let span = Duration::from_secs(bench.asked.seconds);
+    let span = Duration::from_secs(bench.requested.seconds);
     let followed = |mut part: Part, all: Option<(f64, Histogram<u64>)>| {
         if let Some((after, spans)) = all {
             part.all_followed_after = Some(after);
@@ -338,34 +344,34 @@
         part
     };
     let all = bench.await_all(begin, "");
-    let dealt = bench.mark(address, process.id())?;
-    parts.insert("1 first deal".to_owned(), followed(bench.part(&first, &dealt), all));
-    // The design's steps after the joins move bindings for some ten seconds more.
+    let assigned = bench.sample(address, process.id())?;
+    parts.insert("1 first deal".to_owned(), followed(bench.difference(&first, &assigned), all));
+    // By design, bindings still move for about ten seconds after the joins.
     thread::sleep(Duration::from_secs(12));
-    let settled = bench.mark(address, process.id())?;
+    let settled = bench.sample(address, process.id())?;
     thread::sleep(span);
-    let rested = bench.mark(address, process.id())?;
-    parts.insert("2 at rest".to_owned(), bench.part(&settled, &rested));
+    let idle = bench.sample(address, process.id())?;
+    parts.insert("2 at rest".to_owned(), bench.difference(&settled, &idle));
     let until = Instant::now() + span;
     while Instant::now() < until {
-        // A rolling deploy: a server leaves, another one comes, twice a second.
+        // A rolling deploy: one server is replaced by another twice a second.
         bench.servers.remove(0);
         bench.servers.push(bench.next_server);
         bench.next_server += 1;
         bench.write_roster()?;
         thread::sleep(Duration::from_millis(500));
     }
-    let deployed = bench.mark(address, process.id())?;
-    parts.insert("3 rolling deploy".to_owned(), bench.part(&rested, &deployed));
+    let deployed = bench.sample(address, process.id())?;
+    parts.insert("3 rolling deploy".to_owned(), bench.difference(&idle, &deployed));
     let source = deployed.status.get("source").and_then(|source| source.as_str()).unwrap_or("").to_owned();
     process.kill();
     let killed = bench.clock.now();
     let (process, address, _) = bench.start()?;
     let begun =
-        Mark { at: Instant::now(), cpu: 0.0, swaps: bench.swapped(), status: serde_json::Value::Null };
+        Sample { at: Instant::now(), cpu: 0.0, swaps: bench.swap_count(), status: serde_json::Value::Null };
     let all = bench.await_all(killed, &source);
-    let recovered = bench.mark(address, process.id())?;
-    parts.insert("4 recovery after a kill".to_owned(), followed(bench.part(&begun, &recovered), all));
+    let recovered = bench.sample(address, process.id())?;
+    parts.insert("4 recovery after a kill".to_owned(), followed(bench.difference(&begun, &recovered), all));
     process.terminate();
     Ok(())
 }
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::machine::Make;
+use crate::machine::ServerSpec;
 use crate::record::Listed;
 use crate::script::{Script, ServerGroup, Trouble, TroubleKind, Weights};
 
@@ -211,9 +211,9 @@
     }
 
     /// The capabilities of a server of the plan.
-    pub fn make(&self, script: &Script, server: usize) -> Make {
+    pub fn server_spec(&self, script: &Script, server: usize) -> ServerSpec {
         let group = &self.servers[server].group;
-        Make {
+        ServerSpec {
             cores: group.cores,
             speed: group.speed,
             queue: group.queue,
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The stand-in proxies and the clients on sockets: one loop for all.
+//! The simulated proxies and clients on sockets: one event loop for all.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs;
@@ -23,35 +23,36 @@
 use rand_pcg::Pcg32;
 use socket2::Socket;
 
-use crate::caller::{Answer, Caller, Next, Operation};
+use crate::caller::{Answer, Caller, NextStep, Operation};
 use crate::load_totals::LoadTotals;
 use crate::plan::{Plan, ProxyAct, ServerAct};
 use crate::proxy_policy::{ProxyPolicy, Rejection, Tried};
 use crate::record::{EndedAs, Log, OpId, What};
 use crate::script::{Plant, Script};
-use crate::servers::{header, number};
+use crate::servers::{header, parse_header};
 
-const FOLDERS: usize = 1; // the number under which the proxies' folders are watched
+const FOLDER_WATCH_ID: usize = 1; // identifies the watch of the proxies' folders in the reactor
 const LIMITS: HttpLimits = HttpLimits { head: 8 * 1024, body: 64 * 1024 };
 
-enum Due {
+enum TimerEvent {
     Act(usize),
     Rate(usize),
     NextOperation,
-    /// A client's attempt has waited long enough.
-    ClientOver(u64),
-    ClientAgain(Box<Operation>),
-    /// A proxy's try has waited long enough.
-    TryOver(u64),
-    ConnectOver(ConnId),
+    /// The timeout of a client's attempt.
+    ClientTimeout(u64),
+    ClientRetry(Box<Operation>),
+    /// The timeout of a proxy's try.
+    TryTimeout(u64),
+    ConnectTimeout(ConnId),
     Report(usize),
     Resume(usize),
     Plant,
     End,
 }
 
-enum Use {
-    /// A client's connection, as the proxy sees it.
+/// What a connection is used for.
+enum ConnectionRole {
+    /// The proxy's end of a client's connection.
     FromClient {
         proxy: usize,
         reader: RequestReader,
@@ -62,14 +63,14 @@
         proxy: usize,
         server: usize,
         reader: ResponseReader,
-        trying: Option<u64>,
+        pending_try: Option<u64>,
         connected: bool,
     },
-    /// A client's connection, as the client sees it.
+    /// The client's end of its connection to a proxy.
     ToProxy {
         proxy: usize,
         reader: ResponseReader,
-        asking: Option<u64>,
+        client_attempt: Option<u64>,
     },
     ToAgent {
         proxy: usize,
@@ -77,8 +78,8 @@
     },
 }
 
-/// An operation within a proxy.
-struct Serving {
+/// An operation in progress at a proxy.
+struct ProxiedOperation {
     proxy: usize,
     client: ConnId,
     class: usize,
@@ -90,13 +91,13 @@
     tried: Vec<usize>,
     conn: Option<ConnId>,
     sent: Nanos,
-    over: Option<TimerId>,
+    timeout: Option<TimerId>,
 }
 
-struct Asking {
+struct ClientAttempt {
     operation: Operation,
     conn: ConnId,
-    over: TimerId,
+    timeout: TimerId,
 }
 
 struct Proxy {
@@ -104,25 +105,26 @@
     zone: usize,
     folder: PathBuf,
     address: SocketAddr,
-    /// Keeps the address while the proxy is dead.
+    /// Reserves the address while the proxy is dead.
     _reserve: Socket,
     listener: Option<ListenerId>,
-    chooser: ProxyPolicy,
+    policy: ProxyPolicy,
     up: bool,
     down_since: Option<Nanos>,
     stalled_until: Option<Nanos>,
-    deferred: Vec<ReactorEvent<Due>>,
+    deferred: Vec<ReactorEvent<TimerEvent>>,
     unread: BTreeSet<Kind>,
     idle: BTreeMap<usize, Vec<ConnId>>,
     conns: BTreeSet<ConnId>,
-    sums: LoadTotals,
-    sums_since: Nanos,
+    totals: LoadTotals,
+    totals_since: Nanos,
     agent: Option<ConnId>,
-    paths: BTreeMap<usize, f64>,
+    path_loss: BTreeMap<usize, f64>,
 }
 
+/// The event loop of all simulated proxies and clients.
 pub struct Host {
-    reactor: Reactor<Due>,
+    reactor: Reactor<TimerEvent>,
     watch: FolderWatch,
     script: Script,
     proxies: Vec<Proxy>,
@@ -131,9 +133,9 @@
     servers: Vec<SocketAddr>,
     server_zones: Vec<String>,
     numbers: HashMap<String, usize>,
-    uses: HashMap<ConnId, Use>,
-    serving: HashMap<u64, Serving>,
-    asking: HashMap<u64, Asking>,
+    roles: HashMap<ConnId, ConnectionRole>,
+    serving: HashMap<u64, ProxiedOperation>,
+    client_attempts: HashMap<u64, ClientAttempt>,
     client_idle: BTreeMap<usize, Vec<ConnId>>,
     next: u64,
     caller: Caller,
@@ -143,12 +145,12 @@
     rates: Vec<(Nanos, f64)>,
     starts: Vec<(Nanos, usize)>,
     rng: Pcg32,
-    stop_asking: Nanos,
+    stop_at: Nanos,
     planted: bool,
     log: Log,
 }
 
-/// Where a proxy's agent says that it listens.
+/// The ready file of a proxy's agent, with its listening address.
 pub fn agent_ready(folder: &Path, proxy: usize) -> PathBuf {
     folder.join(format!("agent-{proxy}.ready.json"))
 }
@@ -157,12 +159,12 @@
     format!("proxy-{proxy}")
 }
 
-/// The folder of the files that a proxy follows.
+/// The folder of a proxy's discovery files.
 pub fn proxy_folder(folder: &Path, proxy: usize) -> PathBuf {
     folder.join(proxy_name(proxy))
 }
 
-/// The address in a file that tells that a process listens.
+/// The listening address in a process's ready file.
 pub fn ready_address(path: &Path) -> Option<SocketAddr> {
     let value: serde_json::Value = serde_json::from_slice(&fs::read(path).ok()?).ok()?;
     value.get("address")?.as_str()?.parse().ok()
@@ -197,7 +199,7 @@
                 address,
                 _reserve: reserve,
                 listener: Some(listener),
-                chooser: ProxyPolicy::new(
+                policy: ProxyPolicy::new(
                     classes.clone(),
                     script.habits.ejects,
                     script.habits.keep_away.0,
@@ -210,13 +212,13 @@
                 unread: BTreeSet::new(),
                 idle: BTreeMap::new(),
                 conns: BTreeSet::new(),
-                sums: LoadTotals::default(),
-                sums_since: reactor.now(),
+                totals: LoadTotals::default(),
+                totals_since: reactor.now(),
                 agent: None,
-                paths: BTreeMap::new(),
+                path_loss: BTreeMap::new(),
             });
         }
-        reactor.watch(&watch, FOLDERS)?;
+        reactor.watch(&watch, FOLDER_WATCH_ID)?;
         let caller = Caller::new(script, script.seed ^ 0xca11).ok_or(io::ErrorKind::InvalidInput)?;
         let started = |(at, server, act): &(Nanos, usize, ServerAct)| {
             (*act == ServerAct::Start).then_some((*at, *server))
@@ -231,9 +233,9 @@
             numbers: servers.iter().enumerate().map(|(place, at)| (at.to_string(), place)).collect(),
             servers,
             server_zones: plan.servers.iter().map(|server| server.group.zone.clone()).collect(),
-            uses: HashMap::new(),
+            roles: HashMap::new(),
             serving: HashMap::new(),
-            asking: HashMap::new(),
+            client_attempts: HashMap::new(),
             client_idle: BTreeMap::new(),
             next: 0,
             caller,
@@ -243,71 +245,73 @@
             rates: plan.rates.clone(),
             starts: plan.server_acts.iter().filter_map(started).collect(),
             rng: Pcg32::seed_from_u64(script.seed ^ 0x9107),
-            stop_asking: Nanos(u64::MAX),
+            stop_at: Nanos(u64::MAX),
             planted: false,
             log: Log::default(),
         })
     }
 
-    /// Follows the files from now on, lets clients come from `begin` to `stop`, and gives the record at `end`.
+    /// Follows the files from now on, runs clients from `begin` to `stop`, and returns the record at `end`.
     pub fn run(mut self, folder: &Path, begin: Nanos, stop: Nanos, end: Nanos) -> io::Result<Log> {
         let now = self.reactor.now();
         self.starts.iter_mut().for_each(|(at, _)| *at = begin + *at);
         for place in 0..self.acts.len() {
-            self.reactor.set_timer(begin + self.acts[place].0, Due::Act(place));
+            self.reactor.set_timer(begin + self.acts[place].0, TimerEvent::Act(place));
         }
         for place in 0..self.rates.len() {
-            self.reactor.set_timer(begin + self.rates[place].0, Due::Rate(place));
+            self.reactor.set_timer(begin + self.rates[place].0, TimerEvent::Rate(place));
         }
         for proxy in 0..self.proxies.len() {
             self.log.add(now, What::Proxy { proxy, up: true });
-            Kind::ALL.into_iter().for_each(|kind| self.take_up(proxy, kind));
+            Kind::ALL.into_iter().for_each(|kind| self.load_files(proxy, kind));
             let spread = Nanos(self.rng.random_range(0..self.script.report_period.0 .0.max(1)));
-            self.reactor.set_timer(now + spread, Due::Report(proxy));
+            self.reactor.set_timer(now + spread, TimerEvent::Report(proxy));
         }
         if !self.script.plants.is_empty() {
-            self.reactor.set_timer(begin + Nanos(self.script.length.0 .0 / 3), Due::Plant);
+            self.reactor.set_timer(begin + Nanos(self.script.length.0 .0 / 3), TimerEvent::Plant);
         }
-        self.stop_asking = stop;
-        self.plan_next(begin);
-        self.reactor.set_timer(end, Due::End);
+        self.stop_at = stop;
+        self.schedule_next_operation(begin);
+        self.reactor.set_timer(end, TimerEvent::End);
         loop {
             self.reactor.poll(None)?;
-            while let Some(happened) = self.reactor.next_event() {
-                if let ReactorEvent::Timer(Due::End) = happened {
+            while let Some(event) = self.reactor.next_event() {
+                if let ReactorEvent::Timer(TimerEvent::End) = event {
                     return Ok(self.log);
                 }
-                if let Some(happened) = self.defer(happened) {
-                    self.happen(folder, happened)?;
+                if let Some(event) = self.defer(event) {
+                    self.handle_event(folder, event)?;
                 }
             }
         }
     }
 
-    /// Keeps what happens to a proxy that stands still for later.
-    fn defer(&mut self, happened: ReactorEvent<Due>) -> Option<ReactorEvent<Due>> {
-        let conn = match &happened {
+    /// Defers the events of a stalled proxy.
+    fn defer(&mut self, event: ReactorEvent<TimerEvent>) -> Option<ReactorEvent<TimerEvent>> {
+        let conn = match &event {
             ReactorEvent::Received { conn } | ReactorEvent::Connected { conn } => *conn,
             ReactorEvent::Accepted { .. }
             | ReactorEvent::Flushed { .. }
             | ReactorEvent::Closed { .. }
             | ReactorEvent::Timer(_)
             | ReactorEvent::Ready(_)
-            | ReactorEvent::Signal(_) => return Some(happened),
+            | ReactorEvent::Signal(_) => return Some(event),
         };
-        let proxy = match self.uses.get(&conn) {
-            Some(Use::FromClient { proxy, .. } | Use::ToServer { proxy, .. }) => *proxy,
-            Some(Use::ToProxy { .. } | Use::ToAgent { .. }) | None => return Some(happened),
+        let proxy = match self.roles.get(&conn) {
+            Some(ConnectionRole::FromClient { proxy, .. } | ConnectionRole::ToServer { proxy, .. }) => *proxy,
+            Some(ConnectionRole::ToProxy { .. } | ConnectionRole::ToAgent { .. }) | None => {
+                return Some(event)
+            }
         };
         if self.proxies[proxy].stalled_until.is_some() {
-            self.proxies[proxy].deferred.push(happened);
+            self.proxies[proxy].deferred.push(event);
             return None;
         }
-        Some(happened)
+        Some(event)
     }
 
-    fn happen(&mut self, folder: &Path, happened: ReactorEvent<Due>) -> io::Result<()> {
-        match happened {
+    fn handle_event(&mut self, folder: &Path, event: ReactorEvent<TimerEvent>) -> io::Result<()> {
+        match event {
             ReactorEvent::Accepted { listener, conn, .. } => {
                 let Some(proxy) = self.by_listener.get(&listener).copied() else {
                     self.reactor.close(conn);
@@ -315,148 +319,149 @@
                 };
                 self.proxies[proxy].conns.insert(conn);
                 let reader = RequestReader::new(LIMITS);
-                self.uses.insert(conn, Use::FromClient { proxy, reader, serving: None });
+                self.roles.insert(conn, ConnectionRole::FromClient { proxy, reader, serving: None });
             }
             ReactorEvent::Connected { conn } => {
-                if let Some(Use::ToServer { connected, .. }) = self.uses.get_mut(&conn) {
+                if let Some(ConnectionRole::ToServer { connected, .. }) = self.roles.get_mut(&conn) {
                     *connected = true;
                 }
             }
-            ReactorEvent::Received { conn } => self.came(conn),
-            ReactorEvent::Closed { conn, .. } => self.closed(conn),
+            ReactorEvent::Received { conn } => self.handle_input(conn),
+            ReactorEvent::Closed { conn, .. } => self.handle_close(conn),
             ReactorEvent::Flushed { .. } | ReactorEvent::Signal(_) => {}
             ReactorEvent::Ready(_) => {
                 for (home, name) in self.watch.changes()? {
                     let Some(proxy) = self.by_folder.get(&home).copied() else { continue };
                     let named = |kind: &Kind| name.as_ref().is_none_or(|name| name == kind.file());
-                    Kind::ALL.into_iter().filter(named).for_each(|kind| self.take_up(proxy, kind));
+                    Kind::ALL.into_iter().filter(named).for_each(|kind| self.load_files(proxy, kind));
                 }
             }
-            ReactorEvent::Timer(due) => self.due(folder, due),
+            ReactorEvent::Timer(due) => self.handle_timer(folder, due),
         }
         Ok(())
     }
 
-    fn due(&mut self, folder: &Path, due: Due) {
+    fn handle_timer(&mut self, folder: &Path, due: TimerEvent) {
         let now = self.reactor.now();
         match due {
-            Due::Act(place) => self.act(place),
-            Due::Rate(place) => self.factor = self.rates[place].1,
-            Due::NextOperation => {
-                // From the moment it was due, not from now: a late loop must not thin out the traffic.
+            TimerEvent::Act(place) => self.act(place),
+            TimerEvent::Rate(place) => self.factor = self.rates[place].1,
+            TimerEvent::NextOperation => {
+                // From the due time, not from now: a late event loop must not reduce the traffic.
                 let mut due = now;
                 if let Some(operation) = self.upcoming.take() {
                     due = operation.asked;
                     let (op, class, zone) = (operation.id, operation.class, operation.zone);
                     self.log.add(now, What::Asked { op, class, zone });
-                    self.ask(operation);
+                    self.start_client_attempt(operation);
                 }
-                self.plan_next(due);
+                self.schedule_next_operation(due);
             }
-            Due::ClientOver(number) => self.client_done(number, Answer::Silent, true),
-            Due::ClientAgain(operation) => self.ask(*operation),
-            Due::TryOver(number) => self.try_done(number, Tried::Failed, true),
-            Due::ConnectOver(conn) => {
-                if let Some(Use::ToServer { connected: false, .. }) = self.uses.get(&conn) {
-                    self.closed(conn);
+            TimerEvent::ClientTimeout(number) => self.end_client_attempt(number, Answer::Silent, true),
+            TimerEvent::ClientRetry(operation) => self.start_client_attempt(*operation),
+            TimerEvent::TryTimeout(number) => self.end_try(number, Tried::Failed, true),
+            TimerEvent::ConnectTimeout(conn) => {
+                if let Some(ConnectionRole::ToServer { connected: false, .. }) = self.roles.get(&conn) {
+                    self.handle_close(conn);
                     self.reactor.close(conn);
                 }
             }
-            Due::Report(proxy) => self.report(folder, proxy),
-            Due::Resume(proxy) => {
+            TimerEvent::Report(proxy) => self.report(folder, proxy),
+            TimerEvent::Resume(proxy) => {
                 if self.proxies[proxy].stalled_until.is_some_and(|until| until <= now) {
                     self.proxies[proxy].stalled_until = None;
-                    // What stands on the disk by now comes before what waited in the sockets.
+                    // The files on disk are loaded before the deferred socket events are handled.
                     let unread = std::mem::take(&mut self.proxies[proxy].unread);
-                    unread.into_iter().for_each(|kind| self.take_up(proxy, kind));
-                    for happened in std::mem::take(&mut self.proxies[proxy].deferred) {
-                        let _ = self.happen(folder, happened);
+                    unread.into_iter().for_each(|kind| self.load_files(proxy, kind));
+                    for event in std::mem::take(&mut self.proxies[proxy].deferred) {
+                        let _ = self.handle_event(folder, event);
                     }
                 }
             }
-            Due::Plant => self.plant(),
-            Due::End => {}
+            TimerEvent::Plant => self.activate_plants(),
+            TimerEvent::End => {}
         }
     }
 
-    // The files.
+    // Discovery files.
 
-    fn take_up(&mut self, proxy: usize, kind: Kind) {
+    fn load_files(&mut self, proxy: usize, kind: Kind) {
         let now = self.reactor.now();
-        let held = &mut self.proxies[proxy];
-        if !held.up {
+        let state = &mut self.proxies[proxy];
+        if !state.up {
             return;
         }
-        if held.stalled_until.is_some() {
-            held.unread.insert(kind);
+        if state.stalled_until.is_some() {
+            state.unread.insert(kind);
             return;
         }
         if self.planted && self.script.plants.contains(&Plant::KeepDrained) {
             return;
         }
-        // A binding that changed begins a new subscription to its table, which is read anew, after the binding: the
-        // one that was read before may be older than what the binding was meant for.
+        // A changed binding starts a new subscription to its table, which is read again after the binding: the table
+        // read before may be older than the one that the binding was made for.
         let kinds: &[Kind] = match kind {
             Kind::Clusters => &[Kind::Clusters, Kind::Routes, Kind::Endpoints],
             Kind::Endpoints | Kind::Routes => &[kind],
         };
-        let read = |kind: &Kind| Some((*kind, fs::read(held.folder.join(kind.file())).ok()?));
+        let read = |kind: &Kind| Some((*kind, fs::read(state.folder.join(kind.file())).ok()?));
         let texts: Vec<(Kind, Vec<u8>)> = kinds.iter().filter_map(read).collect();
         let numbers = &self.numbers;
         let number = |server: &str| numbers.get(server).copied();
-        let torn = texts
+        let error = texts
             .into_iter()
             .rev()
-            .find_map(|(kind, text)| held.chooser.load_file(kind, &text, &number).err());
-        match torn {
+            .find_map(|(kind, text)| state.policy.load_file(kind, &text, &number).err());
+        match error {
             None => self
                 .log
-                .add(now, What::Swapped { proxy, lines: held.chooser.lines(), epoch: held.chooser.epoch() }),
-            Some(fault) => self.log.add(now, What::Torn { proxy, cause: fault.to_string() }),
+                .add(now, What::Swapped { proxy, lines: state.policy.lines(), epoch: state.policy.epoch() }),
+            Some(cause) => self.log.add(now, What::Torn { proxy, cause: cause.to_string() }),
         }
     }
 
-    // The clients.
+    // Clients.
 
-    fn plan_next(&mut self, now: Nanos) {
+    fn schedule_next_operation(&mut self, now: Nanos) {
         let (at, operation) = self.caller.next(now, self.factor);
-        if at < self.stop_asking {
+        if at < self.stop_at {
             self.upcoming = Some(operation);
-            self.reactor.set_timer(at, Due::NextOperation);
+            self.reactor.set_timer(at, TimerEvent::NextOperation);
         }
     }
 
-    /// A proxy of the zone that the front layer does not know to be dead.
-    fn front(&mut self, zone: usize) -> Option<usize> {
+    /// Picks a proxy of the zone, or of any zone if there is none, that the front layer does not know to be dead.
+    fn pick_proxy(&mut self, zone: usize) -> Option<usize> {
         let (now, lag) = (self.reactor.now(), self.script.clients.front_lag.0);
         let alive = |proxy: &Proxy| proxy.down_since.is_none_or(|since| now - since < lag);
-        let near = |proxy: &Proxy| proxy.zone == zone;
+        let in_zone = |proxy: &Proxy| proxy.zone == zone;
         let all = || self.proxies.iter().enumerate().filter(|(_, proxy)| alive(proxy));
-        let mut open: Vec<usize> = all().filter(|(_, proxy)| near(proxy)).map(|(place, _)| place).collect();
+        let mut open: Vec<usize> =
+            all().filter(|(_, proxy)| in_zone(proxy)).map(|(place, _)| place).collect();
         if open.is_empty() {
             open = all().map(|(place, _)| place).collect();
         }
         open.choose(&mut self.rng).copied()
     }
 
-    fn ask(&mut self, operation: Operation) {
+    fn start_client_attempt(&mut self, operation: Operation) {
         let now = self.reactor.now();
         self.next += 1;
         let asked = self.next;
         let class = self.script.classes[operation.class].clone();
         let within = Nanos((class.hard_stop.0 .0 as f64 * self.script.clients.try_part) as u64);
         let until = (now + within).min(operation.asked + class.hard_stop.0);
-        let proxy = self.front(operation.zone);
+        let proxy = self.pick_proxy(operation.zone);
         let idle = proxy.and_then(|proxy| self.client_idle.get_mut(&proxy)?.pop());
         let conn = idle.or_else(|| {
             let proxy = proxy?;
             let conn = self.reactor.connect(self.proxies[proxy].address).ok()?;
             let reader = ResponseReader::new(LIMITS);
-            self.uses.insert(conn, Use::ToProxy { proxy, reader, asking: None });
+            self.roles.insert(conn, ConnectionRole::ToProxy { proxy, reader, client_attempt: None });
             Some(conn)
         });
         let Some(conn) = conn else {
-            return self.after(operation, Answer::Failed);
+            return self.finish_client_attempt(operation, Answer::Failed);
         };
         let path = format!("/{}", class.name);
         let (id, attempt) = (operation.id.0.to_string(), operation.attempt.to_string());
@@ -469,35 +474,38 @@
             (HeaderName::from_static(header::KEY), key.as_str()),
             (HeaderName::from_static(header::TIMEOUT), wait.as_str()),
         ];
-        let over = self.reactor.set_timer(until, Due::ClientOver(asked));
-        self.asking.insert(asked, Asking { operation, conn, over });
-        if let Some(Use::ToProxy { asking, .. }) = self.uses.get_mut(&conn) {
-            *asking = Some(asked);
+        let timeout = self.reactor.set_timer(until, TimerEvent::ClientTimeout(asked));
+        self.client_attempts.insert(asked, ClientAttempt { operation, conn, timeout });
+        if let Some(ConnectionRole::ToProxy { client_attempt, .. }) = self.roles.get_mut(&conn) {
+            *client_attempt = Some(asked);
         }
         if self.reactor.send(conn, [request(&Method::POST, &path, "front", &headers, b"")]).is_err() {
-            self.client_done(asked, Answer::Failed, true);
+            self.end_client_attempt(asked, Answer::Failed, true);
         }
     }
 
-    /// A client's attempt has ended; `drop` closes its connection, on which an answer may still be due.
-    fn client_done(&mut self, number: u64, answer: Answer, drop: bool) {
-        let Some(Asking { operation, conn, over }) = self.asking.remove(&number) else { return };
-        self.reactor.cancel_timer(over);
+    /// Ends a client's attempt; `drop` closes its connection, on which an answer may still be outstanding.
+    fn end_client_attempt(&mut self, number: u64, answer: Answer, drop: bool) {
+        let Some(ClientAttempt { operation, conn, timeout }) = self.client_attempts.remove(&number) else {
+            return;
+        };
+        self.reactor.cancel_timer(timeout);
         if drop {
-            self.uses.remove(&conn);
+            self.roles.remove(&conn);
             self.reactor.close(conn);
-        } else if let Some(Use::ToProxy { proxy, asking, .. }) = self.uses.get_mut(&conn) {
-            *asking = None;
+        } else if let Some(ConnectionRole::ToProxy { proxy, client_attempt, .. }) = self.roles.get_mut(&conn)
+        {
+            *client_attempt = None;
             self.client_idle.entry(*proxy).or_default().push(conn);
         }
-        self.after(operation, answer);
+        self.finish_client_attempt(operation, answer);
     }
 
-    fn after(&mut self, mut operation: Operation, answer: Answer) {
+    fn finish_client_attempt(&mut self, mut operation: Operation, answer: Answer) {
         let now = self.reactor.now();
-        if let Next::Again { at } = self.caller.after(now, &operation, answer) {
+        if let NextStep::Retry { at } = self.caller.next_step(now, &operation, answer) {
             operation.attempt += 1;
-            self.reactor.set_timer(at, Due::ClientAgain(Box::new(operation)));
+            self.reactor.set_timer(at, TimerEvent::ClientRetry(Box::new(operation)));
             return;
         }
         let took = now - operation.asked;
@@ -512,189 +520,193 @@
         self.log.add(now, What::Ended { op: operation.id, class: operation.class, how, took });
     }
 
-    // What comes in on any connection.
+    // Input on any connection.
 
-    fn came(&mut self, conn: ConnId) {
+    fn handle_input(&mut self, conn: ConnId) {
         loop {
             let now = self.reactor.now();
             let Some(input) = self.reactor.input(conn) else { return };
-            let Some(used) = self.uses.get_mut(&conn) else { return };
+            let Some(used) = self.roles.get_mut(&conn) else { return };
             match used {
-                Use::FromClient { proxy, reader, serving } => {
+                ConnectionRole::FromClient { proxy, reader, serving } => {
                     let proxy = *proxy;
-                    // One at a time: what comes ahead of an answer waits in the buffer.
+                    // One request at a time: pipelined input stays in the buffer until the answer.
                     if serving.is_some() {
                         return;
                     }
                     match reader.next(input, now) {
                         Ok(Some(asked)) => self.serve(proxy, conn, &asked),
                         Ok(None) => break,
-                        Err(_) => return self.drop_conn(conn),
+                        Err(_) => return self.drop_connection(conn),
                     }
                 }
-                Use::ToServer { reader, trying, .. } => match (reader.next(input, false, now), *trying) {
-                    (Ok(Some(answer)), Some(number)) => self.server_answered(number, &answer),
-                    (Ok(None), _) => break,
-                    (Ok(Some(_)), None) | (Err(_), _) => return self.drop_conn(conn),
-                },
-                Use::ToProxy { reader, asking, .. } => match (reader.next(input, false, now), *asking) {
-                    (Ok(Some(answer)), Some(number)) => {
-                        let again =
-                            answer.headers().get(http_header::RETRY_AFTER).and_then(|v| v.to_str().ok());
-                        let again = again.and_then(|text| text.parse::<f64>().ok()).map(Nanos::from_secs);
-                        let unrun = answer.headers().contains_key(header::OVERLOADED);
-                        let came = match answer.status() {
-                            StatusCode::OK => Answer::Good,
-                            StatusCode::SERVICE_UNAVAILABLE if unrun => {
-                                Answer::Refused { again: again.unwrap_or(Nanos(0)) }
-                            }
-                            _ => Answer::Failed,
-                        };
-                        self.client_done(number, came, false);
+                ConnectionRole::ToServer { reader, pending_try, .. } => {
+                    match (reader.next(input, false, now), *pending_try) {
+                        (Ok(Some(answer)), Some(number)) => self.server_answered(number, &answer),
+                        (Ok(None), _) => break,
+                        (Ok(Some(_)), None) | (Err(_), _) => return self.drop_connection(conn),
                     }
-                    (Ok(None), _) => break,
-                    (Ok(Some(_)), None) | (Err(_), _) => return self.drop_conn(conn),
-                },
-                Use::ToAgent { reader, .. } => match reader.next(input, false, now) {
+                }
+                ConnectionRole::ToProxy { reader, client_attempt, .. } => {
+                    match (reader.next(input, false, now), *client_attempt) {
+                        (Ok(Some(answer)), Some(number)) => {
+                            let retry =
+                                answer.headers().get(http_header::RETRY_AFTER).and_then(|v| v.to_str().ok());
+                            let retry = retry.and_then(|text| text.parse::<f64>().ok()).map(Nanos::from_secs);
+                            let not_executed = answer.headers().contains_key(header::OVERLOADED);
+                            let outcome = match answer.status() {
+                                StatusCode::OK => Answer::Good,
+                                StatusCode::SERVICE_UNAVAILABLE if not_executed => {
+                                    Answer::Refused { retry_after: retry.unwrap_or(Nanos(0)) }
+                                }
+                                _ => Answer::Failed,
+                            };
+                            self.end_client_attempt(number, outcome, false);
+                        }
+                        (Ok(None), _) => break,
+                        (Ok(Some(_)), None) | (Err(_), _) => return self.drop_connection(conn),
+                    }
+                }
+                ConnectionRole::ToAgent { reader, .. } => match reader.next(input, false, now) {
                     Ok(Some(_)) => {}
                     Ok(None) => break,
-                    Err(_) => return self.drop_conn(conn),
+                    Err(_) => return self.drop_connection(conn),
                 },
             }
         }
         self.reactor.input_consumed(conn);
     }
 
-    fn drop_conn(&mut self, conn: ConnId) {
-        self.closed(conn);
+    fn drop_connection(&mut self, conn: ConnId) {
+        self.handle_close(conn);
         self.reactor.close(conn);
     }
 
-    fn closed(&mut self, conn: ConnId) {
-        match self.uses.remove(&conn) {
-            Some(Use::FromClient { proxy, serving, .. }) => {
+    fn handle_close(&mut self, conn: ConnId) {
+        match self.roles.remove(&conn) {
+            Some(ConnectionRole::FromClient { proxy, serving, .. }) => {
                 self.proxies[proxy].conns.remove(&conn);
-                // The client is gone; its try goes on to be counted, unanswered.
+                // The client has closed; its try continues and is counted, without an answer.
                 let _ = serving;
             }
-            Some(Use::ToServer { proxy, server, trying, connected, .. }) => {
+            Some(ConnectionRole::ToServer { proxy, server, pending_try, connected, .. }) => {
                 self.proxies[proxy].conns.remove(&conn);
                 if let Some(idle) = self.proxies[proxy].idle.get_mut(&server) {
                     idle.retain(|other| *other != conn);
                 }
-                if let Some(number) = trying {
-                    // A connection that never stood carried nothing.
-                    self.try_done(number, if connected { Tried::Failed } else { Tried::Unrun }, false);
+                if let Some(number) = pending_try {
+                    // A connection that was never established carried nothing.
+                    self.end_try(number, if connected { Tried::Failed } else { Tried::Unrun }, false);
                 }
             }
-            Some(Use::ToProxy { proxy, asking, .. }) => {
+            Some(ConnectionRole::ToProxy { proxy, client_attempt, .. }) => {
                 if let Some(idle) = self.client_idle.get_mut(&proxy) {
                     idle.retain(|other| *other != conn);
                 }
-                if let Some(number) = asking {
-                    self.client_done(number, Answer::Failed, true);
+                if let Some(number) = client_attempt {
+                    self.end_client_attempt(number, Answer::Failed, true);
                 }
             }
-            Some(Use::ToAgent { proxy, .. }) => self.proxies[proxy].agent = None,
+            Some(ConnectionRole::ToAgent { proxy, .. }) => self.proxies[proxy].agent = None,
             None => {}
         }
     }
 
-    // The proxies.
+    // Proxies.
 
     fn serve(&mut self, proxy: usize, client: ConnId, asked: &Request<Bytes>) {
         let now = self.reactor.now();
         let path = asked.uri().path().trim_start_matches('/');
         let headers = asked.headers();
         let class = self.script.classes.iter().position(|class| class.name == path);
-        let op = number(headers, header::OPERATION).map(OpId);
+        let op = parse_header(headers, header::OPERATION).map(OpId);
         let Some((class, op)) = class.zip(op) else {
             let _ = self.reactor.send(client, [response(StatusCode::NOT_FOUND, &[], b"")]);
             return;
         };
         self.next += 1;
-        let number_of = self.next;
-        let wait: u64 = number(headers, header::TIMEOUT).unwrap_or(1_000);
-        let serving = Serving {
+        let serving_number = self.next;
+        let wait: u64 = parse_header(headers, header::TIMEOUT).unwrap_or(1_000);
+        let serving = ProxiedOperation {
             proxy,
             client,
             class,
             op,
-            attempt: number(headers, header::ATTEMPT).unwrap_or(0),
-            work_us: number(headers, header::WORK).unwrap_or(0),
-            key: number(headers, header::KEY).unwrap_or(0),
+            attempt: parse_header(headers, header::ATTEMPT).unwrap_or(0),
+            work_us: parse_header(headers, header::WORK).unwrap_or(0),
+            key: parse_header(headers, header::KEY).unwrap_or(0),
             until: now + Nanos(wait.saturating_mul(1_000_000)),
             tried: Vec::new(),
             conn: None,
             sent: now,
-            over: None,
+            timeout: None,
         };
-        if let Some(Use::FromClient { serving, .. }) = self.uses.get_mut(&client) {
-            *serving = Some(number_of);
+        if let Some(ConnectionRole::FromClient { serving, .. }) = self.roles.get_mut(&client) {
+            *serving = Some(serving_number);
         }
-        let held = &mut self.proxies[proxy];
-        let admitted = held.chooser.admit(now, class);
-        held.sums.count_operation(class, admitted.is_ok());
+        let state = &mut self.proxies[proxy];
+        let admitted = state.policy.admit(now, class);
+        state.totals.count_operation(class, admitted.is_ok());
         match admitted {
             Ok(()) => {
-                self.serving.insert(number_of, serving);
-                self.attempt(number_of, None);
+                self.serving.insert(serving_number, serving);
+                self.start_try(serving_number, None);
             }
-            Err(refusal) => {
-                self.refuse(client, refusal);
+            Err(rejection) => {
+                self.reject(client, rejection);
             }
         }
     }
 
-    /// Answers at once, with when to come back.
-    fn refuse(&mut self, client: ConnId, refusal: Rejection) {
-        let again = match refusal {
+    /// Rejects an operation immediately, with the time after which to retry.
+    fn reject(&mut self, client: ConnId, rejection: Rejection) {
+        let retry = match rejection {
             Rejection::Level { retry_after } => retry_after,
             Rejection::NoLine => Nanos::from_millis(1_000),
         };
-        // Whole seconds by the published header; never at once.
-        let again = again.secs().ceil().max(1.0).to_string();
+        // The published header is in whole seconds; at least one.
+        let retry = retry.secs().ceil().max(1.0).to_string();
         let headers = [
-            (http_header::RETRY_AFTER, again.as_str()),
+            (http_header::RETRY_AFTER, retry.as_str()),
             (HeaderName::from_static(header::OVERLOADED), "true"),
         ];
         self.reply(client, response(StatusCode::SERVICE_UNAVAILABLE, &headers, b""));
     }
 
     fn reply(&mut self, client: ConnId, answer: Bytes) {
-        if let Some(Use::FromClient { serving, .. }) = self.uses.get_mut(&client) {
+        if let Some(ConnectionRole::FromClient { serving, .. }) = self.roles.get_mut(&client) {
             *serving = None;
             if self.reactor.send(client, [answer]).is_err() {
-                self.drop_conn(client);
+                self.drop_connection(client);
             }
         }
     }
 
-    fn choose(&mut self, serving: &Serving, now: Nanos) -> Result<usize, Rejection> {
+    fn pick_server(&mut self, serving: &ProxiedOperation, now: Nanos) -> Result<usize, Rejection> {
         let planted = |plant: Plant| self.planted && self.script.plants.contains(&plant);
         if planted(Plant::Misplace) {
             return Ok(self.rng.random_range(0..self.servers.len()));
         }
-        // Late enough that the list has told of the start: before, nobody could know better.
-        let known = self.script.roster_lag.0 + self.script.rules.drain_grace.0;
-        let is_young = |at: Nanos| now >= at + known && now < at + self.script.rules.warm_after.0;
-        let fresh = self.starts.iter().rev().find(|(at, _)| is_young(*at));
-        match fresh.filter(|_| planted(Plant::FloodCold)) {
+        // Late enough that the list has shown the start: before that, nobody could have known of it.
+        let notice = self.script.roster_lag.0 + self.script.rules.drain_grace.0;
+        let is_young = |at: Nanos| now >= at + notice && now < at + self.script.rules.warm_after.0;
+        let started = self.starts.iter().rev().find(|(at, _)| is_young(*at));
+        match started.filter(|_| planted(Plant::FloodCold)) {
             Some((_, server)) => Ok(*server),
-            None => self.proxies[serving.proxy].chooser.pick(now, serving.class, &serving.tried),
+            None => self.proxies[serving.proxy].policy.pick(now, serving.class, &serving.tried),
         }
     }
 
-    /// Makes a try, the first or a further one after a failure.
-    fn attempt(&mut self, number: u64, last: Option<Tried>) {
+    /// Starts a try: the first, or a retry after a failure.
+    fn start_try(&mut self, number: u64, last: Option<Tried>) {
         let now = self.reactor.now();
         let Some(mut serving) = self.serving.remove(&number) else { return };
-        let server = match self.choose(&serving, now) {
+        let server = match self.pick_server(&serving, now) {
             Ok(server) => server,
-            Err(refusal) => {
+            Err(rejection) => {
                 return match last {
-                    // It was let in and could not be sent: it never ran.
-                    None | Some(Tried::Unrun) => self.refuse(serving.client, refusal),
+                    // The operation was admitted but could not be sent: it never ran.
+                    None | Some(Tried::Unrun) => self.reject(serving.client, rejection),
                     Some(Tried::Failed | Tried::Good) => {
                         self.reply(serving.client, response(StatusCode::BAD_GATEWAY, &[], b""));
                     }
@@ -706,12 +718,12 @@
         let (proxy, class) = (serving.proxy, serving.class);
         let (op, attempt) = (serving.op, serving.attempt);
         self.log.add(now, What::Sent { proxy, server, op, attempt, class });
-        self.proxies[proxy].sums.count_try(class, server);
-        let over = self.reactor.set_timer(serving.until, Due::TryOver(number));
-        serving.over = Some(over);
-        let cut = self.proxies[proxy].paths.get(&server).copied().unwrap_or(0.0);
-        if cut > 0.0 && self.rng.random::<f64>() < cut {
-            // Lost on the way: nothing comes back, and nobody ran it.
+        self.proxies[proxy].totals.count_try(class, server);
+        let timeout = self.reactor.set_timer(serving.until, TimerEvent::TryTimeout(number));
+        serving.timeout = Some(timeout);
+        let loss = self.proxies[proxy].path_loss.get(&server).copied().unwrap_or(0.0);
+        if loss > 0.0 && self.rng.random::<f64>() < loss {
+            // Lost in transit: it is never executed or answered.
             self.serving.insert(number, serving);
             return;
         }
@@ -720,9 +732,12 @@
             let conn = self.reactor.connect(self.servers[server]).ok()?;
             self.proxies[proxy].conns.insert(conn);
             let within = now + self.script.habits.connect_within.0;
-            self.reactor.set_timer(within, Due::ConnectOver(conn));
+            self.reactor.set_timer(within, TimerEvent::ConnectTimeout(conn));
             let reader = ResponseReader::new(LIMITS);
-            self.uses.insert(conn, Use::ToServer { proxy, server, reader, trying: None, connected: false });
+            self.roles.insert(
+                conn,
+                ConnectionRole::ToServer { proxy, server, reader, pending_try: None, connected: false },
+            );
             Some(conn)
         });
         serving.conn = conn;
@@ -738,12 +753,12 @@
             (HeaderName::from_static(header::KEY), key.as_str()),
         ];
         self.serving.insert(number, serving);
-        let Some(conn) = conn else { return self.try_done(number, Tried::Unrun, false) };
-        if let Some(Use::ToServer { trying, .. }) = self.uses.get_mut(&conn) {
-            *trying = Some(number);
+        let Some(conn) = conn else { return self.end_try(number, Tried::Unrun, false) };
+        if let Some(ConnectionRole::ToServer { pending_try, .. }) = self.roles.get_mut(&conn) {
+            *pending_try = Some(number);
         }
         if self.reactor.send(conn, [request(&Method::POST, &path, "server", &headers, b"")]).is_err() {
-            self.try_done(number, Tried::Failed, true);
+            self.end_try(number, Tried::Failed, true);
         }
     }
 
@@ -753,60 +768,60 @@
         let Some(server) = serving.tried.last().copied() else { return };
         let text = answer.headers().get(orca::HEADER).and_then(|value| value.to_str().ok());
         if let Some(report) = text.and_then(orca::LoadReport::parse) {
-            self.proxies[proxy].sums.add_server_load(class, server, &report);
+            self.proxies[proxy].totals.add_server_load(class, server, &report);
         }
         if let Some(conn) = conn {
-            if let Some(Use::ToServer { trying, .. }) = self.uses.get_mut(&conn) {
-                *trying = None;
+            if let Some(ConnectionRole::ToServer { pending_try, .. }) = self.roles.get_mut(&conn) {
+                *pending_try = None;
             }
             self.proxies[proxy].idle.entry(server).or_default().push(conn);
         }
-        let unrun = answer.headers().contains_key(header::OVERLOADED);
+        let not_executed = answer.headers().contains_key(header::OVERLOADED);
         let tried = match answer.status() {
             StatusCode::OK => Tried::Good,
-            StatusCode::SERVICE_UNAVAILABLE if unrun => Tried::Unrun,
+            StatusCode::SERVICE_UNAVAILABLE if not_executed => Tried::Unrun,
             _ => Tried::Failed,
         };
-        self.try_done(number, tried, false);
+        self.end_try(number, tried, false);
     }
 
-    /// A try has ended; `drop` closes its connection, on which an answer may still be due.
-    fn try_done(&mut self, number: u64, tried: Tried, drop: bool) {
+    /// Ends a try; `drop` closes its connection, on which an answer may still be outstanding.
+    fn end_try(&mut self, number: u64, tried: Tried, drop: bool) {
         let now = self.reactor.now();
         let Some(serving) = self.serving.get_mut(&number) else { return };
         let (proxy, class, client, until) = (serving.proxy, serving.class, serving.client, serving.until);
         let conn = serving.conn.take();
-        if let Some(over) = serving.over.take() {
-            self.reactor.cancel_timer(over);
+        if let Some(timeout) = serving.timeout.take() {
+            self.reactor.cancel_timer(timeout);
         }
         let took = now - serving.sent;
         let (tries, op_never) = (serving.tried.len(), self.script.classes[class].repeats == Repeats::Never);
         let Some(server) = serving.tried.last().copied() else { return };
         if let (true, Some(conn)) = (drop, conn) {
-            self.uses.remove(&conn);
+            self.roles.remove(&conn);
             self.proxies[proxy].conns.remove(&conn);
             self.reactor.close(conn);
         }
         self.log.add(now, What::Tried { proxy, server, class, how: tried, took });
-        self.proxies[proxy].sums.count_outcome(class, server, tried == Tried::Good, took);
-        self.proxies[proxy].chooser.record_outcome(now, server, tried);
+        self.proxies[proxy].totals.count_outcome(class, server, tried == Tried::Good, took);
+        self.proxies[proxy].policy.record_outcome(now, server, tried);
         let planted = self.planted && op_never && self.script.plants.contains(&Plant::RunTwice);
-        let again = match tried {
-            // Planted: what was done is done again.
+        let retry = match tried {
+            // Planted fault: an executed operation is sent again.
             _ if planted && tries < 2 => true,
-            tried => now < until && self.proxies[proxy].chooser.may_retry(class, tried, tries),
+            tried => now < until && self.proxies[proxy].policy.may_retry(class, tried, tries),
         };
-        if again && self.proxies[proxy].up {
-            return self.attempt(number, Some(tried));
+        if retry && self.proxies[proxy].up {
+            return self.start_try(number, Some(tried));
         }
         self.serving.remove(&number);
         match tried {
             Tried::Good => self.reply(client, response(StatusCode::OK, &[], b"")),
-            Tried::Unrun => self.refuse(client, Rejection::NoLine),
+            Tried::Unrun => self.reject(client, Rejection::NoLine),
             Tried::Failed => self.reply(client, response(StatusCode::BAD_GATEWAY, &[], b"")),
         }
-        // The client's next operation may wait in the buffer already.
-        self.came(client);
+        // The client's next operation may already be in the buffer.
+        self.handle_input(client);
     }
 
     fn act(&mut self, place: usize) {
@@ -814,19 +829,19 @@
         let now = self.reactor.now();
         match act {
             ProxyAct::Die => {
-                let held = &mut self.proxies[proxy];
-                if let Some(listener) = held.listener.take() {
+                let state = &mut self.proxies[proxy];
+                if let Some(listener) = state.listener.take() {
                     self.by_listener.remove(&listener);
                     self.reactor.close_listener(listener);
                 }
-                held.up = false;
-                held.down_since = Some(now);
-                held.stalled_until = None;
-                held.deferred.clear();
-                held.idle.clear();
-                held.sums = LoadTotals::default();
-                for conn in std::mem::take(&mut held.conns) {
-                    self.uses.remove(&conn);
+                state.up = false;
+                state.down_since = Some(now);
+                state.stalled_until = None;
+                state.deferred.clear();
+                state.idle.clear();
+                state.totals = LoadTotals::default();
+                for conn in std::mem::take(&mut state.conns) {
+                    self.roles.remove(&conn);
                     self.reactor.reset(conn);
                 }
                 self.serving.retain(|_, serving| serving.proxy != proxy);
@@ -840,71 +855,71 @@
                 }
                 self.proxies[proxy].up = true;
                 self.proxies[proxy].down_since = None;
-                self.proxies[proxy].sums_since = now;
+                self.proxies[proxy].totals_since = now;
                 self.log.add(now, What::Proxy { proxy, up: true });
-                Kind::ALL.into_iter().for_each(|kind| self.take_up(proxy, kind));
+                Kind::ALL.into_iter().for_each(|kind| self.load_files(proxy, kind));
             }
             ProxyAct::Stall(span) => {
                 self.proxies[proxy].stalled_until = Some(now + span);
-                self.reactor.set_timer(now + span, Due::Resume(proxy));
+                self.reactor.set_timer(now + span, TimerEvent::Resume(proxy));
             }
             ProxyAct::Path { servers, share } => {
                 for server in servers {
-                    self.proxies[proxy].paths.insert(server, share);
+                    self.proxies[proxy].path_loss.insert(server, share);
                 }
             }
         }
     }
 
-    /// Sends the sums to the proxy's agent.
+    /// Sends a load report to the proxy's agent.
     fn report(&mut self, folder: &Path, proxy: usize) {
         let now = self.reactor.now();
-        self.reactor.set_timer(now + self.script.report_period.0, Due::Report(proxy));
-        let held = &mut self.proxies[proxy];
-        if !held.up || held.stalled_until.is_some() {
+        self.reactor.set_timer(now + self.script.report_period.0, TimerEvent::Report(proxy));
+        let state = &mut self.proxies[proxy];
+        if !state.up || state.stalled_until.is_some() {
             return;
         }
-        let conn = match held.agent {
+        let conn = match state.agent {
             Some(conn) => conn,
             None => {
                 let address = ready_address(&agent_ready(folder, proxy));
                 let Some(Ok(conn)) = address.map(|address| self.reactor.connect(address)) else { return };
                 let reader = ResponseReader::new(LIMITS);
-                self.uses.insert(conn, Use::ToAgent { proxy, reader });
+                self.roles.insert(conn, ConnectionRole::ToAgent { proxy, reader });
                 self.proxies[proxy].agent = Some(conn);
                 conn
             }
         };
-        let held = &mut self.proxies[proxy];
-        let interval = Seconds((now - held.sums_since).secs());
-        held.sums_since = now;
-        let sums = std::mem::take(&mut held.sums);
-        let node = Node { id: held.name.clone(), ..Node::default() };
+        let state = &mut self.proxies[proxy];
+        let interval = Seconds((now - state.totals_since).secs());
+        state.totals_since = now;
+        let totals = std::mem::take(&mut state.totals);
+        let node = Node { id: state.name.clone(), ..Node::default() };
         let place = |server: usize| (self.servers[server], self.server_zones[server].as_str());
-        let cluster_stats = sums.report(interval, &self.script.classes, &place);
+        let cluster_stats = totals.report(interval, &self.script.classes, &place);
         let body =
             serde_json::to_vec(&LoadStatsRequest { node: Some(node), cluster_stats }).unwrap_or_default();
         let json = [(http_header::CONTENT_TYPE, "application/json")];
         if self.reactor.send(conn, [request(&Method::POST, load::PATH, "agent", &json, &body)]).is_err() {
-            self.drop_conn(conn);
+            self.drop_connection(conn);
         }
     }
 
-    /// From here on the planted breaks act.
-    fn plant(&mut self) {
+    /// Activates the planted faults.
+    fn activate_plants(&mut self) {
         let now = self.reactor.now();
         self.planted = true;
         if self.script.plants.contains(&Plant::Bare) {
             let classes = self.script.classes.iter().map(|class| class.name.clone()).collect();
-            self.proxies[0].chooser = ProxyPolicy::new(classes, 0, Nanos(0), 1);
+            self.proxies[0].policy = ProxyPolicy::new(classes, 0, Nanos(0), 1);
             self.log.add(now, What::Swapped { proxy: 0, lines: BTreeMap::new(), epoch: u64::MAX });
         }
         if self.script.plants.contains(&Plant::Torn) {
             let path = self.proxies[0].folder.join(Kind::Endpoints.file());
             if let Ok(text) = fs::read(&path) {
-                // In place, as no agent would.
+                // Written in place, which no agent would do.
                 let _ = fs::write(&path, &text[..text.len() / 2]);
-                self.take_up(0, Kind::Endpoints);
+                self.load_files(0, Kind::Endpoints);
                 let _ = fs::write(&path, &text);
             }
         }
--- a/crates/craneknot-rehearsal/src/record.rs
+++ b/crates/craneknot-rehearsal/src/record.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins keep of all that crossed their sockets. The auditor judges from it alone.
+//! The record of everything that passed through the sockets of the simulated parties. The auditor uses nothing else.
 
 use std::collections::BTreeMap;
 
@@ -15,42 +15,43 @@
 pub struct Listed {
     pub server: usize,
     pub draining: bool,
-    /// When it last started; nothing: long ago.
+    /// When it last started; `None`: long ago.
     pub started: Option<Nanos>,
 }
 
+/// The outcome of an operation for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndedAs {
     /// Answered within the latency goal.
     InGoal,
-    /// Answered later.
+    /// Answered after the latency goal.
     Late,
-    /// Refused at the last, and told when to come back.
+    /// Rejected on the last attempt, with a time after which to retry.
     Refused,
     Failed,
     /// No answer by the hard stop.
     GivenUp,
 }
 
-/// One thing that happened, and where it was seen.
+/// An event, with the party that observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// The list was written whole.
+    /// The complete list was written.
     Rostered {
         servers: Vec<Listed>,
     },
-    /// The list cannot be read any more.
+    /// The list is no longer readable.
     RosterGone,
     Coordinator {
         coordinator: usize,
         up: bool,
     },
-    /// The coordinator's process stands still, or goes on.
+    /// The coordinator's process is stopped, or continues.
     Stalled {
         coordinator: usize,
         on: bool,
     },
-    /// A discovery request of the proxy's agent crossed to the coordinator on a new connection.
+    /// A discovery request of the proxy's agent reached the coordinator on a new connection.
     Joined {
         proxy: usize,
         coordinator: usize,
@@ -60,19 +61,19 @@
         proxy: usize,
         coordinator: usize,
     },
-    /// What the coordinator says of its channel.
+    /// The coordinator's status of its channel.
     Queue {
         coordinator: usize,
         lines: f64,
         most: f64,
     },
-    /// The proxy took up a file: the servers it may pick from, by class.
+    /// The proxy loaded a file: the servers it may pick from, by class.
     Swapped {
         proxy: usize,
         lines: BTreeMap<usize, Vec<usize>>,
         epoch: u64,
     },
-    /// A file that the proxy read was not whole.
+    /// The proxy read an incomplete file.
     Torn {
         proxy: usize,
         cause: String,
@@ -81,7 +82,7 @@
         proxy: usize,
         up: bool,
     },
-    /// The proxy sends a try; `attempt` is the client's number of it, and stays in the proxy's further tries.
+    /// The proxy sends a try; `attempt` is the number of the client's attempt, kept over the proxy's retries.
     Sent {
         proxy: usize,
         server: usize,
@@ -89,7 +90,7 @@
         attempt: u32,
         class: usize,
     },
-    /// The try came in at the server, with so much work.
+    /// The try arrived at the server, with this much work.
     Arrived {
         server: usize,
         proxy: usize,
@@ -98,26 +99,26 @@
         class: usize,
         work: Nanos,
     },
-    /// The server began to work on it: from here on it may have taken effect.
+    /// The server started the try: from here on it may have taken effect.
     Ran {
         server: usize,
         op: OpId,
         attempt: u32,
         class: usize,
     },
-    /// The server runs so many times slower from now on; 1: as usual.
+    /// The server is slowed by this factor from now on; 1: normal speed.
     Slowed {
         server: usize,
         factor: f64,
     },
-    /// A server has started; nothing of it is warm yet.
+    /// A server has started, completely cold.
     Started {
         server: usize,
     },
     Stopped {
         server: usize,
     },
-    /// A cold server was sent too much and fell over.
+    /// A cold server failed under overload.
     Fell {
         server: usize,
     },
@@ -126,7 +127,7 @@
         class: usize,
         zone: usize,
     },
-    /// A proxy's try ended, as the proxy saw it.
+    /// A proxy's try ended, with the outcome observed by the proxy.
     Tried {
         proxy: usize,
         server: usize,
@@ -142,13 +143,14 @@
     },
 }
 
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     pub at: Nanos,
     pub what: What,
 }
 
-/// A list of records in the order they were made.
+/// Records in the order in which they were made.
 #[derive(Default)]
 pub struct Log(pub Vec<Record>);
 
@@ -158,7 +160,7 @@
     }
 }
 
-/// One record of all, in the order of time.
+/// Merges logs into one record, ordered by time.
 pub fn merge(logs: Vec<Log>) -> Vec<Record> {
     let mut all: Vec<Record> = logs.into_iter().flat_map(|log| log.0).collect();
     all.sort_by_key(|record| record.at);
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -1,6 +1,6 @@
-//! A recorded run: JSON lines, gzipped (RFC 8259, RFC 1952). The first line is the head, each other one thing that was
-//! seen, with its moment in microseconds since the first operation could come. What no one could see from outside (an
-//! operation's work, what a server holds) is not in it.
+//! A recorded run: JSON lines, gzipped (RFC 8259, RFC 1952). The first line is the head; each other line is one observed
+//! event, with its time in microseconds since the earliest possible first operation. What can't be observed from
+//! outside (an operation's work, the operations held by a server) is not included.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -19,25 +19,25 @@
 use crate::script::Script;
 
 pub const FORMAT: &str = "craneknot-recording-1";
-const LINE_MOST: usize = 1024 * 1024; // bytes of one line; a head with a long script is some tens of thousands
-const LINES_MOST: usize = 50_000_000; // of one recording: hours at 2,000 operations a second
+const MAX_LINE_BYTES: usize = 1024 * 1024; // a head with a long script takes some tens of thousands of bytes
+const MAX_LINES: usize = 50_000_000; // per recording: hours at 2,000 operations per second
 
-/// Microseconds since the first operation could come; what came before is below 0.
+/// Microseconds since the earliest possible first operation; negative for earlier events.
 pub type Micros = i64;
 
-/// How a try ended, as the proxy saw it.
+/// The outcome of a try, as observed by the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum How {
     #[serde(rename = "g")]
     Good,
-    /// It surely never ran.
+    /// It was certainly not executed.
     #[serde(rename = "u")]
     Unrun,
     #[serde(rename = "f")]
     Failed,
 }
 
-/// How an operation ended, as its client saw it.
+/// The outcome of an operation, as observed by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
     #[serde(rename = "i")]
@@ -52,60 +52,61 @@
     GivenUp,
 }
 
-/// One thing that was seen.
+/// An observed event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Line {
-    /// Moment, class, zone.
+    /// Time, class, zone.
     #[serde(rename = "a")]
     Asked(Micros, u16, u16),
-    /// Moment of its end, proxy, server, class, how, how long it took in microseconds.
+    /// Time of its end, proxy, server, class, outcome, duration in microseconds.
     #[serde(rename = "t")]
     Tried(Micros, u32, u32, u16, How, u64),
-    /// Moment, class, how, how long it took in microseconds.
+    /// Time, class, outcome, duration in microseconds.
     #[serde(rename = "e")]
     Ended(Micros, u16, End, u64),
-    /// Moment, server, whether it stands from now on.
+    /// Time, server, whether it is running from now on.
     #[serde(rename = "s")]
     Server(Micros, u32, bool),
-    /// Moment, proxy, servers by class that its tables gained or lost, and hold.
+    /// Time, proxy, lines that its tables gained or lost, lines in its tables (over all classes).
     #[serde(rename = "b")]
     Swapped(Micros, u32, u32, u32),
-    /// Moment, coordinator, lines in its channel.
+    /// Time, coordinator, lines in its channel.
     #[serde(rename = "q")]
     Queue(Micros, u32, f64),
-    /// Moment, coordinator, whether it runs from now on.
+    /// Time, coordinator, whether it is running from now on.
     #[serde(rename = "c")]
     Coordinator(Micros, u32, bool),
 }
 
-/// What the run was, and what it came to.
+/// Description and result of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     pub format: String,
-    /// The program that made it.
+    /// Version of the program that recorded it.
     pub version: String,
     /// `sockets`, `model` or `ledgers`.
     pub source: String,
     pub script: Script,
-    /// Nothing: whoever recorded it cannot tell which answers came within the goal.
+    /// `None` if the recorder can't tell which answers came within the goal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<f64>,
     pub passed: bool,
 }
 
+/// A recording in memory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recording {
     pub head: Head,
     pub lines: Vec<Line>,
 }
 
-/// Why a recording cannot be read.
+/// An error when reading a recording.
 #[derive(Debug)]
 pub enum Fault {
     System(io::Error),
-    /// In that line, counted from 1.
+    /// An error in this line, counted from 1.
     Line(usize, String),
-    /// Nothing, or another format.
+    /// The file is empty or has another format.
     Format(String),
 }
 
@@ -125,9 +126,15 @@
 }
 
 impl Recording {
-    /// What of a record can be seen from outside.
-    pub fn of(source: &str, script: &Script, begin: Nanos, records: &[Record], report: &Report) -> Self {
-        let mut held: BTreeMap<usize, BTreeMap<usize, Vec<usize>>> = BTreeMap::new();
+    /// Converts the externally observable part of a record.
+    pub fn from_records(
+        source: &str,
+        script: &Script,
+        begin: Nanos,
+        records: &[Record],
+        report: &Report,
+    ) -> Self {
+        let mut tables: BTreeMap<usize, BTreeMap<usize, Vec<usize>>> = BTreeMap::new();
         let mut lines = Vec::new();
         for record in records {
             let at = (record.at.0 as i64 - begin.0 as i64) / 1_000;
@@ -155,9 +162,9 @@
                 What::Started { server } => Some(Line::Server(at, *server as u32, true)),
                 What::Stopped { server } => Some(Line::Server(at, *server as u32, false)),
                 What::Swapped { proxy, lines, .. } => {
-                    let before = held.insert(*proxy, lines.clone()).unwrap_or_default();
-                    let (moved, holds) = moved(&before, lines);
-                    Some(Line::Swapped(at, *proxy as u32, moved, holds))
+                    let before = tables.insert(*proxy, lines.clone()).unwrap_or_default();
+                    let (changed, total) = count_changes(&before, lines);
+                    Some(Line::Swapped(at, *proxy as u32, changed, total))
                 }
                 What::Queue { coordinator, lines, .. } => Some(Line::Queue(at, *coordinator as u32, *lines)),
                 What::Coordinator { coordinator, up } => {
@@ -208,8 +215,8 @@
         loop {
             text.clear();
             number += 1;
-            let mut most = io::Read::take(&mut input, LINE_MOST as u64);
-            let count = match most.read_until(b'\n', &mut text) {
+            let mut limited = io::Read::take(&mut input, MAX_LINE_BYTES as u64);
+            let count = match limited.read_until(b'\n', &mut text) {
                 Ok(count) => count,
                 Err(cause) if number == 1 => return Err(Fault::Format(format!("not gzip: {cause}"))),
                 Err(cause) => return Err(Fault::Line(number, format!("cut short or damaged: {cause}"))),
@@ -218,7 +225,7 @@
                 break;
             }
             if text.last() != Some(&b'\n') {
-                return Err(Fault::Line(number, format!("has no end within {LINE_MOST} bytes")));
+                return Err(Fault::Line(number, format!("has no end within {MAX_LINE_BYTES} bytes")));
             }
             match &mut head {
                 None => {
@@ -229,13 +236,13 @@
                     }
                     head = Some(read);
                 }
-                Some(_) if lines.len() >= LINES_MOST => {
-                    return Err(Fault::Line(number, format!("more than {LINES_MOST} lines")));
+                Some(_) if lines.len() >= MAX_LINES => {
+                    return Err(Fault::Line(number, format!("more than {MAX_LINES} lines")));
                 }
                 Some(head) => {
                     let line: Line = serde_json::from_slice(&text)
                         .map_err(|cause| Fault::Line(number, cause.to_string()))?;
-                    head.fits(&line).map_err(|what| Fault::Line(number, what))?;
+                    head.check_line(&line).map_err(|what| Fault::Line(number, what))?;
                     lines.push(line);
                 }
             }
@@ -244,7 +251,7 @@
         Ok(Recording { head, lines })
     }
 
-    /// Moments, classes and zones of what was asked for.
+    /// Times, classes and zones of the requested operations.
     pub fn arrivals(&self) -> Vec<(Nanos, usize, usize)> {
         let one = |line: &Line| match line {
             Line::Asked(at, class, zone) => {
@@ -257,8 +264,8 @@
 }
 
 impl Head {
-    /// A line speaks only of classes and zones that the script has.
-    fn fits(&self, line: &Line) -> Result<(), String> {
+    /// Checks that a line refers only to classes and zones of the script.
+    fn check_line(&self, line: &Line) -> Result<(), String> {
         let class = match line {
             Line::Asked(_, class, _) | Line::Tried(_, _, _, class, _, _) | Line::Ended(_, class, _, _) => {
                 *class
@@ -277,8 +284,8 @@
     }
 }
 
-/// Servers by class that came or went, and those held.
-fn moved(before: &BTreeMap<usize, Vec<usize>>, after: &BTreeMap<usize, Vec<usize>>) -> (u32, u32) {
+/// Number of lines added or removed, over all classes, and number of lines now.
+fn count_changes(before: &BTreeMap<usize, Vec<usize>>, after: &BTreeMap<usize, Vec<usize>>) -> (u32, u32) {
     let pairs = |lines: &BTreeMap<usize, Vec<usize>>| {
         let of = |(class, servers): (&usize, &Vec<usize>)| {
             let class = *class;
@@ -316,7 +323,7 @@
     }
 
     #[test]
-    fn what_was_written_is_read() {
+    fn a_written_recording_is_read_back() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("r.jsonl.gz");
         recording().write(&path).unwrap();
@@ -326,9 +333,9 @@
         assert_eq!(read.arrivals()[1], (Nanos(997_000), 0, 1));
     }
 
-    /// A recording copied while it was written, or damaged, must be named as such and never half taken.
+    /// A recording that was copied while being written, or damaged, must be rejected and never read in part.
     #[test]
-    fn a_damaged_one_is_refused_wherever_it_is_cut_or_flipped() {
+    fn a_truncated_or_corrupted_recording_is_rejected() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("r.jsonl.gz");
         recording().write(&path).unwrap();
@@ -337,7 +344,7 @@
             fs::write(&path, &whole[..cut]).unwrap();
             assert!(Recording::read(&path).is_err(), "cut at {cut}");
         }
-        // The head of gzip itself has bytes without meaning (time, system).
+        // The gzip header has bytes that don't affect the content (time, system).
         for place in (10..whole.len()).step_by(11) {
             let mut flipped = whole.clone();
             flipped[place] ^= 0x10;
@@ -347,7 +354,7 @@
     }
 
     #[test]
-    fn other_formats_and_strange_lines_are_named() {
+    fn other_formats_and_invalid_lines_are_reported() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("r.jsonl.gz");
         let mut other = recording();
--- a/crates/craneknot-rehearsal/src/relay.rs
+++ b/crates/craneknot-rehearsal/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays between agents and coordinators: they see every byte, and can break, cut or hold what crosses.
+//! Relays between agents and coordinators: they observe every byte, and can reset, drop or delay the traffic.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -14,29 +14,31 @@
 use crate::record::{Log, What};
 use crate::script::Delays;
 
+/// One end of a relayed connection.
 struct Pipe {
     other: Option<ConnId>,
     proxy: usize,
     coordinator: usize,
-    /// The agent's end.
-    near: bool,
+    /// Whether this is the agent's end.
+    agent_side: bool,
     joined: bool,
-    /// What came before the other end stood.
-    waiting: Vec<Bytes>,
+    /// Bytes received before the other end existed.
+    pending: Vec<Bytes>,
 }
 
+/// All relays, one listener for each agent and coordinator.
 pub struct Relays {
     listeners: BTreeMap<ListenerId, (usize, usize)>,
     pipes: HashMap<ConnId, Pipe>,
-    /// Where coordinators listen, as far as they run.
+    /// The addresses of the running coordinators.
     coordinators: BTreeMap<usize, SocketAddr>,
     cut: BTreeSet<(usize, usize)>,
     delays: Option<Delays>,
     rng: Pcg32,
-    /// What is on its way to an agent, by when it arrives and in order.
-    under_way: BTreeMap<(Nanos, u64), (ConnId, Bytes)>,
-    /// When the last of it arrives, by the coordinator's end.
-    last: HashMap<ConnId, Nanos>,
+    /// Bytes in flight to agents, by arrival time and order.
+    in_flight: BTreeMap<(Nanos, u64), (ConnId, Bytes)>,
+    /// Arrival time of the last bytes in flight, by the coordinator's end.
+    last_arrival: HashMap<ConnId, Nanos>,
     sent: u64,
 }
 
@@ -49,14 +51,14 @@
             cut: BTreeSet::new(),
             delays,
             rng: Pcg32::seed_from_u64(seed),
-            under_way: BTreeMap::new(),
-            last: HashMap::new(),
+            in_flight: BTreeMap::new(),
+            last_arrival: HashMap::new(),
             sent: 0,
         }
     }
 
-    /// Listens for one proxy's agent, in one coordinator's place.
-    pub fn add<T>(
+    /// Listens for one proxy's agent on behalf of one coordinator.
+    pub fn listen_for<T>(
         &mut self,
         reactor: &mut Reactor<T>,
         proxy: usize,
@@ -67,14 +69,14 @@
         Ok(address)
     }
 
-    pub fn set(&mut self, coordinator: usize, address: Option<SocketAddr>) {
+    pub fn set_coordinator(&mut self, coordinator: usize, address: Option<SocketAddr>) {
         match address {
             Some(address) => self.coordinators.insert(coordinator, address),
             None => self.coordinators.remove(&coordinator),
         };
     }
 
-    pub fn has(&self, conn: ConnId) -> bool {
+    pub fn owns(&self, conn: ConnId) -> bool {
         self.pipes.contains_key(&conn)
     }
 
@@ -83,59 +85,65 @@
             return reactor.close(near);
         };
         let mut pipe =
-            Pipe { other: None, proxy, coordinator, near: true, joined: false, waiting: Vec::new() };
+            Pipe { other: None, proxy, coordinator, agent_side: true, joined: false, pending: Vec::new() };
         if !self.cut.contains(&(proxy, coordinator)) {
-            let dialled = self.coordinators.get(&coordinator).map(|address| reactor.connect(*address));
-            let Some(Ok(far)) = dialled else { return reactor.reset(near) };
-            let back = Pipe { other: Some(near), near: false, waiting: Vec::new(), ..pipe };
+            let connected = self.coordinators.get(&coordinator).map(|address| reactor.connect(*address));
+            let Some(Ok(far)) = connected else { return reactor.reset(near) };
+            let back = Pipe { other: Some(near), agent_side: false, pending: Vec::new(), ..pipe };
             self.pipes.insert(far, back);
-            pipe =
-                Pipe { other: Some(far), proxy, coordinator, near: true, joined: false, waiting: Vec::new() };
+            pipe = Pipe {
+                other: Some(far),
+                proxy,
+                coordinator,
+                agent_side: true,
+                joined: false,
+                pending: Vec::new(),
+            };
         }
         self.pipes.insert(near, pipe);
     }
 
-    /// Bytes came in on one end; where they take their time, when they arrive at the other.
-    pub fn came<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log, conn: ConnId) -> Option<Nanos> {
+    /// Handles bytes received on one end; returns their arrival time at the other end if they are delayed.
+    pub fn receive<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log, conn: ConnId) -> Option<Nanos> {
         let pipe = self.pipes.get_mut(&conn)?;
         let input = reactor.input(conn)?;
         let bytes = input.split().freeze();
         reactor.input_consumed(conn);
         if self.cut.contains(&(pipe.proxy, pipe.coordinator)) {
-            // Lost on the way: neither end learns of it.
+            // Dropped without notice to either end.
             return None;
         }
         let asks = |bytes: &[u8]| bytes.windows(14).any(|part| part == b"/v3/discovery:");
-        if pipe.near && !pipe.joined && asks(&bytes) {
+        if pipe.agent_side && !pipe.joined && asks(&bytes) {
             pipe.joined = true;
             log.add(reactor.now(), What::Joined { proxy: pipe.proxy, coordinator: pipe.coordinator });
         }
-        match (pipe.other, self.delays.filter(|_| !pipe.near)) {
+        match (pipe.other, self.delays.filter(|_| !pipe.agent_side)) {
             (Some(_), Some(delays)) => {
-                let drawn = reactor.now() + delays.draw(&mut self.rng);
-                let last = self.last.entry(conn).or_default();
-                *last = drawn.max(*last);
+                let arrival = reactor.now() + delays.draw(&mut self.rng);
+                let last = self.last_arrival.entry(conn).or_default();
+                *last = arrival.max(*last);
                 self.sent += 1;
-                self.under_way.insert((*last, self.sent), (conn, bytes));
+                self.in_flight.insert((*last, self.sent), (conn, bytes));
                 return Some(*last);
             }
-            (Some(_), None) => self.pass(reactor, log, conn, bytes),
-            (None, _) => pipe.waiting.push(bytes),
+            (Some(_), None) => self.forward(reactor, log, conn, bytes),
+            (None, _) => pipe.pending.push(bytes),
         }
         None
     }
 
-    /// Passes on what has arrived by now.
+    /// Forwards the delayed bytes that are due.
     pub fn deliver<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log) {
         let now = reactor.now();
-        while let Some(first) = self.under_way.first_entry().filter(|first| first.key().0 <= now) {
+        while let Some(first) = self.in_flight.first_entry().filter(|first| first.key().0 <= now) {
             let (conn, bytes) = first.remove();
-            self.pass(reactor, log, conn, bytes);
+            self.forward(reactor, log, conn, bytes);
         }
     }
 
-    fn pass<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log, conn: ConnId, bytes: Bytes) {
-        // One that has ended since takes what was under way with it.
+    fn forward<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log, conn: ConnId, bytes: Bytes) {
+        // Bytes in flight are dropped if the connection has been closed since.
         let Some(other) = self.pipes.get(&conn).and_then(|pipe| pipe.other) else { return };
         if reactor.send(other, [bytes]).is_err() {
             self.closed(reactor, log, conn);
@@ -143,14 +151,14 @@
         }
     }
 
-    /// One end is gone: so is the other.
+    /// One end was closed: closes the other as well.
     pub fn closed<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log, conn: ConnId) {
         let Some(pipe) = self.pipes.remove(&conn) else { return };
-        self.last.remove(&conn);
+        self.last_arrival.remove(&conn);
         let other = pipe.other.and_then(|other| Some((other, self.pipes.remove(&other)?)));
         let joined = pipe.joined || other.as_ref().is_some_and(|(_, pipe)| pipe.joined);
         if let Some((other, _)) = other {
-            self.last.remove(&other);
+            self.last_arrival.remove(&other);
             reactor.reset(other);
         }
         if joined && !self.cut.contains(&(pipe.proxy, pipe.coordinator)) {
@@ -158,20 +166,24 @@
         }
     }
 
-    fn ends(&self, concerned: impl Fn(&Pipe) -> bool) -> Vec<ConnId> {
-        self.pipes.iter().filter(|(_, pipe)| pipe.near && concerned(pipe)).map(|(conn, _)| *conn).collect()
+    fn agent_connections(&self, matches_pair: impl Fn(&Pipe) -> bool) -> Vec<ConnId> {
+        self.pipes
+            .iter()
+            .filter(|(_, pipe)| pipe.agent_side && matches_pair(pipe))
+            .map(|(conn, _)| *conn)
+            .collect()
     }
 
-    /// Breaks all streams of some proxies; they may dial again at once.
+    /// Resets all streams of some proxies; they may reconnect immediately.
     pub fn break_streams<T>(&mut self, reactor: &mut Reactor<T>, log: &mut Log, proxies: &BTreeSet<usize>) {
-        for conn in self.ends(|pipe| proxies.contains(&pipe.proxy)) {
+        for conn in self.agent_connections(|pipe| proxies.contains(&pipe.proxy)) {
             self.closed(reactor, log, conn);
             reactor.reset(conn);
         }
     }
 
-    /// Loses all between some proxies and some coordinators, or ends that.
-    pub fn unreach<T>(
+    /// Drops all traffic between some proxies and some coordinators, or ends that.
+    pub fn set_unreachable<T>(
         &mut self,
         reactor: &mut Reactor<T>,
         log: &mut Log,
@@ -180,10 +192,10 @@
         on: bool,
     ) {
         let pairs = || proxies.iter().flat_map(|proxy| coordinators.iter().map(move |c| (*proxy, *c)));
-        let concerned =
+        let matches_pair =
             |pipe: &Pipe| proxies.contains(&pipe.proxy) && coordinators.contains(&pipe.coordinator);
         if on {
-            for conn in self.ends(concerned) {
+            for conn in self.agent_connections(matches_pair) {
                 if let Some(pipe) = self.pipes.get_mut(&conn).filter(|pipe| pipe.joined) {
                     pipe.joined = false;
                     let (proxy, coordinator) = (pipe.proxy, pipe.coordinator);
@@ -192,8 +204,8 @@
             }
             self.cut.extend(pairs());
         } else {
-            // What stood before has a gap in its bytes: it cannot go on.
-            for conn in self.ends(concerned) {
+            // Connections from before have a gap in their byte streams and cannot continue.
+            for conn in self.agent_connections(matches_pair) {
                 self.closed(reactor, log, conn);
                 reactor.reset(conn);
             }
--- a/crates/craneknot-rehearsal/src/report.rs
+++ b/crates/craneknot-rehearsal/src/report.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal came to.
+//! The result of a rehearsal.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -16,7 +16,7 @@
     pub servers: usize,
     pub proxies: usize,
     pub coordinators: u32,
-    /// Operations asked for a second.
+    /// Operations requested per second.
     pub rate: f64,
     pub rules: BTreeMap<Rule, Verdict>,
     pub service: Service,
@@ -50,17 +50,18 @@
         self.rules.values().all(|verdict| verdict.breaks == 0)
     }
 
-    /// A line a rule, and what the service was.
+    /// The report as text: a line per rule, then the service figures.
     pub fn lines(&self) -> String {
         let mut text = String::new();
         for rule in Rule::ALL {
             let Some(verdict) = self.rules.get(&rule) else { continue };
             let word = if verdict.breaks == 0 { "pass" } else { "FAIL" };
-            let near =
-                verdict.nearest.map_or(String::new(), |near| format!(", nearest {near:.2} of the limit"));
+            let nearest = verdict
+                .nearest
+                .map_or(String::new(), |nearest| format!(", nearest {nearest:.2} of the limit"));
             let _ = write!(
                 text,
-                "{word}  {:<30} {} checks, {} breaks{near}",
+                "{word}  {:<30} {} checks, {} breaks{nearest}",
                 rule.title(),
                 verdict.checks,
                 verdict.breaks
--- a/crates/craneknot-rehearsal/src/runner.rs
+++ b/crates/craneknot-rehearsal/src/runner.rs
@@ -354,7 +354,7 @@
     let judgement = auditor::judge(&audit_settings, &records);
     let report = Report::new(script, script.length.0.secs(), judgement, status);
     if let Some(path) = recording {
-        Recording::of("sockets", script, begin, &records, &report).write(path)?;
+        Recording::from_records("sockets", script, begin, &records, &report).write(path)?;
     }
     Ok(report)
 }
@@ -445,7 +445,7 @@
 
     fn coordinator_ready(&mut self, coordinator: usize, address: SocketAddr) {
         self.addresses.insert(coordinator, address);
-        self.relays.set(coordinator, Some(address));
+        self.relays.set_coordinator(coordinator, Some(address));
         let ready = fs::read(self.coordinator_settings_path(coordinator).with_extension("ready.json"))
             .unwrap_or_default();
         let ready: serde_json::Value = serde_json::from_slice(&ready).unwrap_or_default();
@@ -484,7 +484,7 @@
     fn kill_coordinator(&mut self, coordinator: usize) {
         if let Some(process) = self.coordinators.remove(&coordinator) {
             process.kill();
-            self.relays.set(coordinator, None);
+            self.relays.set_coordinator(coordinator, None);
             self.addresses.remove(&coordinator);
             self.datagram_relay.addresses.remove(&coordinator);
             self.log.add(self.reactor.now(), What::Coordinator { coordinator, up: false });
@@ -513,7 +513,7 @@
         let mut order: Vec<usize> = (0..count).map(|k| (k + proxy) % count).collect();
         order.sort_by_key(|coordinator| self.plan.coordinator_zones[*coordinator] != zone);
         let relays = order.into_iter().map(|c| {
-            let address = self.relays.add(&mut self.reactor, proxy, c)?;
+            let address = self.relays.listen_for(&mut self.reactor, proxy, c)?;
             Ok(CoordinatorAddress::Named { name: coordinator_name(c), address })
         });
         let settings = AgentSettings {
@@ -568,8 +568,8 @@
                     ReactorEvent::Accepted { listener, conn, .. } => {
                         self.relays.accept(&mut self.reactor, listener, conn);
                     }
-                    ReactorEvent::Received { conn } if self.relays.has(conn) => {
-                        if let Some(at) = self.relays.came(&mut self.reactor, &mut self.log, conn) {
+                    ReactorEvent::Received { conn } if self.relays.owns(conn) => {
+                        if let Some(at) = self.relays.receive(&mut self.reactor, &mut self.log, conn) {
                             self.reactor.set_timer(at, TimerEvent::Deliver);
                         }
                     }
@@ -628,7 +628,7 @@
                 self.relays.break_streams(&mut self.reactor, &mut self.log, &proxies);
             }
             FleetAct::Unreach { proxies, coordinators, on } => {
-                self.relays.unreach(&mut self.reactor, &mut self.log, &proxies, &coordinators, on);
+                self.relays.set_unreachable(&mut self.reactor, &mut self.log, &proxies, &coordinators, on);
             }
             FleetAct::KillCoordinator(coordinator) => self.kill_coordinator(coordinator),
             FleetAct::StartCoordinator(coordinator) => self.ensure_coordinator(coordinator)?,
--- a/crates/craneknot-rehearsal/src/servers.rs
+++ b/crates/craneknot-rehearsal/src/servers.rs
@@ -1,4 +1,4 @@
-//! The stand-in servers on sockets: one loop for all of them, each with a listener of its own.
+//! The simulated servers on sockets: one event loop for all of them, with a listener for each.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
@@ -15,35 +15,36 @@
 use rand_pcg::Pcg32;
 use socket2::Socket;
 
-use crate::machine::{Arrival, Job, Machine, Make};
+use crate::machine::{Arrival, Job, Machine, ServerSpec};
 use crate::plan::{Plan, ServerAct};
 use crate::record::{Log, OpId, What};
 use crate::script::Script;
 
-/// Headers that the stand-ins share, beside the published ones.
+/// Headers between the simulated parties, including those of the published protocol.
 pub mod header {
     pub const OPERATION: &str = "x-request-id";
     pub const ATTEMPT: &str = "x-attempt";
     pub const PROXY: &str = "x-proxy";
     pub const WORK: &str = "x-work-us";
     pub const KEY: &str = "x-key";
-    /// Published: set where an operation was turned away before it ran.
+    /// Published: set if an operation was rejected before it ran.
     pub const OVERLOADED: &str = "x-envoy-overloaded";
-    /// Published: how long the caller waits.
+    /// Published: the timeout of the caller.
     pub const TIMEOUT: &str = "x-envoy-upstream-rq-timeout-ms";
 }
 
-pub fn number<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
+/// Parses the value of a header.
+pub fn parse_header<T: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<T> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-enum Due {
+enum TimerEvent {
     Act(usize),
-    Done { server: usize, life: u64, job: u64 },
+    Done { server: usize, generation: u64, job: u64 },
     End,
 }
 
-struct Held {
+struct AcceptedOperation {
     conn: ConnId,
     op: OpId,
     attempt: u32,
@@ -51,20 +52,20 @@
 }
 
 struct Server {
-    make: Make,
+    spec: ServerSpec,
     connections: u32,
     address: SocketAddr,
-    /// Keeps the address while nothing listens there.
+    /// Reserves the address while nothing listens on it.
     _reserve: Socket,
     listener: Option<ListenerId>,
     machine: Machine,
-    life: u64,
+    generation: u64,
     errors: f64,
-    hangs: bool,
-    loses: f64,
+    hanging: bool,
+    answer_loss: f64,
     silent: bool,
     conns: HashSet<ConnId>,
-    jobs: HashMap<u64, Held>,
+    jobs: HashMap<u64, AcceptedOperation>,
 }
 
 struct Peer {
@@ -72,8 +73,9 @@
     reader: RequestReader,
 }
 
+/// The event loop of all simulated servers.
 pub struct Host {
-    reactor: Reactor<Due>,
+    reactor: Reactor<TimerEvent>,
     servers: Vec<Server>,
     by_listener: BTreeMap<ListenerId, usize>,
     peers: HashMap<ConnId, Peer>,
@@ -85,29 +87,29 @@
 }
 
 impl Host {
-    /// Takes an address for every server of the plan; those that stand from the start listen.
+    /// Reserves an address for every server of the plan, and listens for those that run from the start.
     pub fn new(script: &Script, plan: &Plan, clock: Arc<dyn Clock>) -> io::Result<Self> {
         let mut reactor = Reactor::new(clock, Limits::default())?;
         let mut servers = Vec::new();
         let mut by_listener = BTreeMap::new();
         for (place, planned) in plan.servers.iter().enumerate() {
-            let make = plan.make(script, place);
+            let spec = plan.server_spec(script, place);
             let (reserve, address) = reserve(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
             let listener = planned.from_start.then(|| reactor.listen_reserved(address)).transpose()?;
             listener.into_iter().for_each(|listener| {
                 by_listener.insert(listener, place);
             });
             servers.push(Server {
-                machine: Machine::new(make, None),
-                make,
+                machine: Machine::new(spec, None),
+                spec,
                 connections: planned.group.connections,
                 address,
                 _reserve: reserve,
                 listener,
-                life: 0,
+                generation: 0,
                 errors: 0.0,
-                hangs: false,
-                loses: 0.0,
+                hanging: false,
+                answer_loss: 0.0,
                 silent: false,
                 conns: HashSet::new(),
                 jobs: HashMap::new(),
@@ -130,22 +132,24 @@
         self.servers.iter().map(|server| server.address).collect()
     }
 
-    /// Serves from now on, plays the plan from `begin` on, and gives the record at `end`.
+    /// Serves from now on, executes the plan from `begin` on, and returns the record at `end`.
     pub fn run(mut self, begin: Nanos, end: Nanos) -> io::Result<Log> {
         for place in 0..self.acts.len() {
-            self.reactor.set_timer(begin + self.acts[place].0, Due::Act(place));
+            self.reactor.set_timer(begin + self.acts[place].0, TimerEvent::Act(place));
         }
-        self.reactor.set_timer(end, Due::End);
+        self.reactor.set_timer(end, TimerEvent::End);
         loop {
             self.reactor.poll(None)?;
-            while let Some(happened) = self.reactor.next_event() {
-                match happened {
+            while let Some(event) = self.reactor.next_event() {
+                match event {
                     ReactorEvent::Accepted { listener, conn, .. } => self.accept(listener, conn),
-                    ReactorEvent::Received { conn } => self.read(conn),
-                    ReactorEvent::Closed { conn, .. } => self.gone(conn),
-                    ReactorEvent::Timer(Due::Act(place)) => self.act(place)?,
-                    ReactorEvent::Timer(Due::Done { server, life, job }) => self.done(server, life, job),
-                    ReactorEvent::Timer(Due::End) => return Ok(self.log),
+                    ReactorEvent::Received { conn } => self.handle_input(conn),
+                    ReactorEvent::Closed { conn, .. } => self.handle_close(conn),
+                    ReactorEvent::Timer(TimerEvent::Act(place)) => self.act(place)?,
+                    ReactorEvent::Timer(TimerEvent::Done { server, generation, job }) => {
+                        self.finish_job(server, generation, job)
+                    }
+                    ReactorEvent::Timer(TimerEvent::End) => return Ok(self.log),
                     ReactorEvent::Connected { .. }
                     | ReactorEvent::Flushed { .. }
                     | ReactorEvent::Ready(_)
@@ -157,26 +161,26 @@
 
     fn accept(&mut self, listener: ListenerId, conn: ConnId) {
         let Some(server) = self.by_listener.get(&listener).copied() else { return self.reactor.close(conn) };
-        let held = &mut self.servers[server];
-        if held.conns.len() >= held.connections as usize {
+        let state = &mut self.servers[server];
+        if state.conns.len() >= state.connections as usize {
             return self.reactor.reset(conn);
         }
-        held.conns.insert(conn);
+        state.conns.insert(conn);
         let reader = RequestReader::new(HttpLimits { body: 64 * 1024, ..HttpLimits::default() });
         self.peers.insert(conn, Peer { server, reader });
     }
 
-    fn gone(&mut self, conn: ConnId) {
+    fn handle_close(&mut self, conn: ConnId) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         let server = &mut self.servers[peer.server];
         server.conns.remove(&conn);
-        // Work that waits is dropped with its connection; what runs goes on.
-        let given_up: Vec<u64> =
-            server.jobs.iter().filter(|(_, held)| held.conn == conn).map(|(job, _)| *job).collect();
-        given_up.into_iter().for_each(|job| server.machine.give_up(job));
+        // Queued operations are dropped with their connection; running ones continue.
+        let cancelled: Vec<u64> =
+            server.jobs.iter().filter(|(_, operation)| operation.conn == conn).map(|(job, _)| *job).collect();
+        cancelled.into_iter().for_each(|job| server.machine.cancel(job));
     }
 
-    fn read(&mut self, conn: ConnId) {
+    fn handle_input(&mut self, conn: ConnId) {
         loop {
             let now = self.reactor.now();
             let Some(peer) = self.peers.get_mut(&conn) else { return };
@@ -188,10 +192,10 @@
             match peer.reader.next(input, now) {
                 Ok(Some(request)) => self.serve(server, conn, &request),
                 Ok(None) => break,
-                Err(wrong) => {
-                    let answer = response(wrong.status(), &[], wrong.to_string().as_bytes());
+                Err(error) => {
+                    let answer = response(error.status(), &[], error.to_string().as_bytes());
                     let _ = self.reactor.send(conn, [answer]);
-                    self.gone(conn);
+                    self.handle_close(conn);
                     return self.reactor.close_gracefully(conn);
                 }
             }
@@ -199,19 +203,19 @@
         self.reactor.input_consumed(conn);
     }
 
-    fn answer(&mut self, server: usize, conn: ConnId, status: StatusCode, refused: bool) {
+    fn answer(&mut self, server: usize, conn: ConnId, status: StatusCode, rejected: bool) {
         let now = self.reactor.now();
-        let held = &self.servers[server];
+        let state = &self.servers[server];
         let report = orca::LoadReport {
-            cpu_utilization: Some(held.machine.busy(now)),
+            cpu_utilization: Some(state.machine.busy(now)),
             named_metrics: BTreeMap::from([
-                ("inflight".to_owned(), held.machine.held() as f64),
-                ("service_ms".to_owned(), held.machine.service() * 1e3),
+                ("inflight".to_owned(), state.machine.in_flight() as f64),
+                ("service_ms".to_owned(), state.machine.service_time() * 1e3),
             ]),
         };
         let report = report.header();
         let mut headers = vec![(HeaderName::from_static(orca::HEADER), report.as_str())];
-        if refused {
+        if rejected {
             headers.push((HeaderName::from_static(header::OVERLOADED), "true"));
         }
         let _ = self.reactor.send(conn, [response(status, &headers, b"")]);
@@ -222,62 +226,62 @@
         let path = request.uri().path().trim_start_matches('/');
         let headers = request.headers();
         let class = self.classes.iter().position(|class| class == path);
-        let operation = number(headers, header::OPERATION).zip(number(headers, header::WORK));
+        let operation = parse_header(headers, header::OPERATION).zip(parse_header(headers, header::WORK));
         let Some((class, (op, work_us))) = class.zip(operation) else {
-            // A probe, or nonsense: it is told beside the queue whether the process answers at all.
-            if !self.servers[server].hangs {
+            // A probe or an invalid request is answered without queueing, which shows whether the process responds at all.
+            if !self.servers[server].hanging {
                 let status = if path == "healthz" { StatusCode::OK } else { StatusCode::NOT_FOUND };
                 self.answer(server, conn, status, false);
             }
             return;
         };
         let (op, work) = (OpId(op), Nanos(u64::saturating_mul(work_us, 1_000)));
-        let attempt = number(headers, header::ATTEMPT).unwrap_or(0);
-        let proxy = number(headers, header::PROXY).unwrap_or(usize::MAX);
+        let attempt = parse_header(headers, header::ATTEMPT).unwrap_or(0);
+        let proxy = parse_header(headers, header::PROXY).unwrap_or(usize::MAX);
         self.log.add(now, What::Arrived { server, proxy, op, attempt, class, work });
-        let held = &mut self.servers[server];
-        if held.hangs {
+        let state = &mut self.servers[server];
+        if state.hanging {
             return;
         }
-        if held.errors > 0.0 && self.rng.random::<f64>() < held.errors {
+        if state.errors > 0.0 && self.rng.random::<f64>() < state.errors {
             return self.answer(server, conn, StatusCode::INTERNAL_SERVER_ERROR, false);
         }
         self.next_job += 1;
         let job = Job { number: self.next_job, work };
-        match held.machine.arrive(now, job) {
-            Arrival::Runs { until } => {
-                held.jobs.insert(job.number, Held { conn, op, attempt, class });
+        match state.machine.arrive(now, job) {
+            Arrival::Running { until } => {
+                state.jobs.insert(job.number, AcceptedOperation { conn, op, attempt, class });
                 self.log.add(now, What::Ran { server, op, attempt, class });
-                let life = held.life;
-                self.reactor.set_timer(until, Due::Done { server, life, job: job.number });
+                let generation = state.generation;
+                self.reactor.set_timer(until, TimerEvent::Done { server, generation, job: job.number });
             }
-            Arrival::Waits => {
-                held.jobs.insert(job.number, Held { conn, op, attempt, class });
+            Arrival::Queued => {
+                state.jobs.insert(job.number, AcceptedOperation { conn, op, attempt, class });
             }
             Arrival::Full => self.answer(server, conn, StatusCode::SERVICE_UNAVAILABLE, true),
-            Arrival::Falls => {
+            Arrival::Overloaded => {
                 self.log.add(now, What::Fell { server });
                 self.stop(server);
             }
         }
     }
 
-    fn done(&mut self, server: usize, life: u64, job: u64) {
+    fn finish_job(&mut self, server: usize, generation: u64, job: u64) {
         let now = self.reactor.now();
-        let held = &mut self.servers[server];
-        if held.life != life {
+        let state = &mut self.servers[server];
+        if state.generation != generation {
             return;
         }
-        let done = held.jobs.remove(&job);
-        if let Some((next, until)) = held.machine.done(now) {
-            if let Some(next) = held.jobs.get(&next.number) {
+        let done = state.jobs.remove(&job);
+        if let Some((next, until)) = state.machine.finish(now) {
+            if let Some(next) = state.jobs.get(&next.number) {
                 let (op, attempt, class) = (next.op, next.attempt, next.class);
                 self.log.add(now, What::Ran { server, op, attempt, class });
             }
-            self.reactor.set_timer(until, Due::Done { server, life, job: next.number });
+            self.reactor.set_timer(until, TimerEvent::Done { server, generation, job: next.number });
         }
-        let held = &self.servers[server];
-        let lost = held.silent || held.loses > 0.0 && self.rng.random::<f64>() < held.loses;
+        let state = &self.servers[server];
+        let lost = state.silent || state.answer_loss > 0.0 && self.rng.random::<f64>() < state.answer_loss;
         match done {
             Some(done) if !lost && self.peers.contains_key(&done.conn) => {
                 self.answer(server, done.conn, StatusCode::OK, false);
@@ -286,16 +290,16 @@
         }
     }
 
-    /// The process ends: its connections are reset, and none is accepted.
+    /// Stops the server: its connections are reset, and no new ones are accepted.
     fn stop(&mut self, server: usize) {
-        let held = &mut self.servers[server];
-        held.life += 1;
-        held.jobs.clear();
-        for conn in std::mem::take(&mut held.conns) {
+        let state = &mut self.servers[server];
+        state.generation += 1;
+        state.jobs.clear();
+        for conn in std::mem::take(&mut state.conns) {
             self.peers.remove(&conn);
             self.reactor.reset(conn);
         }
-        if let Some(listener) = held.listener.take() {
+        if let Some(listener) = state.listener.take() {
             self.reactor.close_listener(listener);
             self.by_listener.remove(&listener);
         }
@@ -308,24 +312,24 @@
         match act {
             ServerAct::Start => {
                 self.stop(server);
-                let held = &mut self.servers[server];
-                held.machine = Machine::new(held.make, Some(now));
-                (held.errors, held.hangs, held.loses, held.silent) = (0.0, false, 0.0, false);
-                let listener = self.reactor.listen_reserved(held.address)?;
-                held.listener = Some(listener);
+                let state = &mut self.servers[server];
+                state.machine = Machine::new(state.spec, Some(now));
+                (state.errors, state.hanging, state.answer_loss, state.silent) = (0.0, false, 0.0, false);
+                let listener = self.reactor.listen_reserved(state.address)?;
+                state.listener = Some(listener);
                 self.by_listener.insert(listener, server);
-                // After the record of its end, which has a moment of its own.
+                // A new timestamp, after that of the record of its stop.
                 self.log.add(self.reactor.now(), What::Started { server });
             }
             ServerAct::Die => self.stop(server),
             ServerAct::Silence => self.servers[server].silent = true,
             ServerAct::Errors(share) => self.servers[server].errors = share,
-            ServerAct::Hang(on) => self.servers[server].hangs = on,
+            ServerAct::Hang(on) => self.servers[server].hanging = on,
             ServerAct::Slow(factor) => {
-                self.servers[server].machine.slow = factor;
+                self.servers[server].machine.slowdown = factor;
                 self.log.add(now, What::Slowed { server, factor });
             }
-            ServerAct::LoseAnswers(share) => self.servers[server].loses = share,
+            ServerAct::LoseAnswers(share) => self.servers[server].answer_loss = share,
         }
         Ok(())
     }
