--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -104,7 +104,7 @@
         self.nearest = Some(self.nearest.map_or(part, |nearest| nearest.max(part)));
     }
 
-    fn record_break(&mut self, evidence: impl FnOnce() -> String) {
+    fn fail(&mut self, evidence: impl FnOnce() -> String) {
         self.breaks += 1;
         if self.first.is_none() {
             self.first = Some(evidence());
@@ -265,7 +265,7 @@
         self.judgement.rules.entry(rule).or_default()
     }
 
-    fn timestamp(&self) -> String {
+    fn time(&self) -> String {
         format!("at {:.3} s", (self.now - self.begin).secs())
     }
 
@@ -317,13 +317,13 @@
                 // These records are periodic, so missing lines are checked regularly, also for servers that became warm.
                 self.check_missing_lines();
                 let limit = self.settings.lines_limit;
-                let (timestamp, worst) = (self.timestamp(), lines.max(*most));
+                let (time, worst) = (self.time(), lines.max(*most));
                 let verdict = self.rule(Rule::ShortQueue);
                 verdict.check();
                 verdict.record_nearness(worst / limit);
                 if worst > limit {
-                    verdict.record_break(|| {
-                        format!("coordinator {coordinator} held {worst} lines of {limit}, seen {timestamp}")
+                    verdict.fail(|| {
+                        format!("coordinator {coordinator} held {worst} lines of {limit}, seen {time}")
                     });
                 }
             }
@@ -340,10 +340,10 @@
             }
             What::Torn { proxy, cause } => {
                 self.judgement.service.torn_reads += 1;
-                let timestamp = self.timestamp();
+                let time = self.time();
                 let verdict = self.rule(Rule::NoTornRead);
                 verdict.check();
-                verdict.record_break(|| format!("proxy {proxy} read a torn file {timestamp}: {cause}"));
+                verdict.fail(|| format!("proxy {proxy} read a torn file {time}: {cause}"));
             }
             What::Proxy { proxy, up } => {
                 self.check_missing_lines_among(*proxy..*proxy + 1);
@@ -353,14 +353,12 @@
             What::Sent { proxy, server, op, class, .. } => self.check_sent(*proxy, *server, *op, *class),
             What::Arrived { server, proxy, op, class, work, .. } => {
                 let allowed = self.settings.classes[*class].allowed.contains(server);
-                let timestamp = self.timestamp();
+                let time = self.time();
                 let name = &self.settings.classes[*class].name;
                 let verdict = self.rule(Rule::Placement);
                 verdict.check();
                 if !allowed {
-                    verdict.record_break(|| {
-                        format!("operation {} of {name} came to server {server} {timestamp}", op.0)
-                    });
+                    verdict.fail(|| format!("operation {} of {name} came to server {server} {time}", op.0));
                 }
                 self.check_cold_server(*server, *proxy, work.secs());
                 self.add_load(*server, work.secs());
@@ -404,21 +402,20 @@
         }
         for state in self.coordinators.values_mut().filter(|state| state.up && !state.stalled) {
             state.known.resize(self.list.len(), KnownState::default());
-            for (known, current) in state.known.iter_mut().zip(&self.list) {
-                let lost = current.lost.map(|_| known.lost.unwrap_or(self.now));
-                let same = |(started, _): &(Nanos, Nanos)| {
-                    current.started.is_some_and(|(current, _)| current == *started)
-                };
+            for (known, entry) in state.known.iter_mut().zip(&self.list) {
+                let lost = entry.lost.map(|_| known.lost.unwrap_or(self.now));
+                let same =
+                    |(started, _): &(Nanos, Nanos)| entry.started.is_some_and(|(entry, _)| entry == *started);
                 let started =
-                    known.started.filter(same).or(current.started.map(|(started, _)| (started, self.now)));
-                *known = KnownState { lost, started, listed: current.listed };
+                    known.started.filter(same).or(entry.started.map(|(started, _)| (started, self.now)));
+                *known = KnownState { lost, started, listed: entry.listed };
             }
         }
     }
 
     /// A proxy that has applied an epoch must not apply an earlier one, not even after a restart.
     fn check_epoch(&mut self, proxy: usize, epoch: u64) {
-        let timestamp = self.timestamp();
+        let time = self.time();
         let state = &mut self.proxies[proxy];
         if let Some(since) = state.disconnected_since.filter(|_| state.joined.is_some()) {
             state.disconnected_since = None;
@@ -429,8 +426,7 @@
         let verdict = self.rule(Rule::NoOlderEpoch);
         verdict.check();
         if epoch < before {
-            verdict
-                .record_break(|| format!("proxy {proxy} followed epoch {epoch} after {before} {timestamp}"));
+            verdict.fail(|| format!("proxy {proxy} followed epoch {epoch} after {before} {time}"));
         }
     }
 
@@ -442,7 +438,7 @@
 
     fn check_sent(&mut self, proxy: usize, server: usize, op: OpId, class: usize) {
         let grace = self.settings.drain_grace;
-        let timestamp = self.timestamp();
+        let time = self.time();
         let known = self.known_state(proxy, server);
         let now = self.now;
         let crosses = self.settings.proxies[proxy] != self.settings.servers[server].zone;
@@ -455,9 +451,9 @@
         let late = now - lost.max(joined);
         verdict.record_nearness(late.secs() / grace.secs());
         if late > grace {
-            verdict.record_break(|| {
+            verdict.fail(|| {
                 let late = late.secs();
-                format!("operation {} of {name} sent by proxy {proxy} to server {server} {timestamp}, {late:.3} s after", op.0)
+                format!("operation {} of {name} sent by proxy {proxy} to server {server} {time}, {late:.3} s after", op.0)
             });
         }
     }
@@ -465,7 +461,7 @@
     fn check_run(&mut self, server: usize, op: OpId, attempt: u32, class: usize) {
         use craneknot::interface::Repeats;
         let (cell, repeats) = (self.settings.servers[server].cell, self.settings.classes[class].repeats);
-        let timestamp = self.timestamp();
+        let time = self.time();
         let name = &self.settings.classes[class].name;
         let first = self.ran.entry((op, attempt)).or_insert((server, 0));
         first.1 += 1;
@@ -485,9 +481,9 @@
             self.judgement.service.never_twice_run_twice += 1;
         }
         if broken {
-            verdict.record_break(|| {
+            verdict.fail(|| {
                 format!(
-                    "operation {} of {name} ran at server {first_server} and again at {server} {timestamp}",
+                    "operation {} of {name} ran at server {first_server} and again at {server} {time}",
                     op.0
                 )
             });
@@ -513,7 +509,7 @@
             + (1.0 - self.settings.cold_share) * (age.secs() / self.settings.warm_after.secs()).min(1.0);
         let budget =
             self.settings.fall_multiple * self.settings.servers[server].capacity * warmth * window.secs();
-        let (now, timestamp) = (self.now, self.timestamp());
+        let (now, time) = (self.now, self.time());
         let cold = &mut self.cold[server];
         cold.recent.push_back((now, work, informed));
         while cold.recent.front().is_some_and(|(at, ..)| now - *at > window) {
@@ -528,9 +524,9 @@
         verdict.check();
         verdict.record_nearness(known / budget);
         if first {
-            verdict.record_break(|| {
+            verdict.fail(|| {
                 format!(
-                    "server {server}, cold for {:.1} s, was sent {all:.2} s of work for {budget:.2} {timestamp}",
+                    "server {server}, cold for {:.1} s, was sent {all:.2} s of work for {budget:.2} {time}",
                     age.secs()
                 )
             });
@@ -580,7 +576,7 @@
         verdict.record_nearness(load.work / capacity.max(1e-9));
         if load.work > capacity {
             let cold = if cold { ", cold," } else { "" };
-            verdict.record_break(|| {
+            verdict.fail(|| {
                 format!("server {server}{cold} was sent {:.2} s of work for {capacity:.2} in the second from {at:.0} s", load.work)
             });
         }
@@ -631,7 +627,7 @@
                 if since.is_some_and(|since| now - since > limit) {
                     let name = &self.settings.classes[class].name;
                     let since = since.unwrap_or(now);
-                    verdict.record_break(|| {
+                    verdict.fail(|| {
                         let (from, to) = ((since - begin).secs(), (now - begin).secs());
                         format!("proxy {place} had no server for {name} from {from:.3} s to {to:.3} s")
                     });
@@ -644,7 +640,7 @@
 
     /// After a swap, checks the proxy's new lines against the rules on placement and drains.
     fn check_lines(&mut self, proxy: usize) {
-        let timestamp = self.timestamp();
+        let time = self.time();
         let lines = self.proxies[proxy].lines.clone();
         for (class, servers) in lines {
             for server in servers {
@@ -653,9 +649,7 @@
                 let verdict = self.rule(Rule::Placement);
                 verdict.check();
                 if !allowed {
-                    verdict.record_break(|| {
-                        format!("proxy {proxy} was given server {server} for {name} {timestamp}")
-                    });
+                    verdict.fail(|| format!("proxy {proxy} was given server {server} for {name} {time}"));
                 }
                 let known = self.known_state(proxy, server);
                 let (now, grace) = (self.now, self.settings.drain_grace);
@@ -663,8 +657,8 @@
                 verdict.check();
                 if let Some((KnownState { lost: Some(lost), .. }, joined)) = known {
                     if now - lost.max(joined) > grace {
-                        verdict.record_break(|| {
-                            format!("proxy {proxy} was given server {server} {timestamp}, lost long before")
+                        verdict.fail(|| {
+                            format!("proxy {proxy} was given server {server} {time}, lost long before")
                         });
                     }
                 }
--- a/crates/craneknot-rehearsal/src/caller.rs
+++ b/crates/craneknot-rehearsal/src/caller.rs
@@ -129,17 +129,17 @@
 
     /// What a client does after an attempt. An operation that must never run twice is retried only after a rejection.
     pub fn next_step(&mut self, now: Nanos, operation: &Operation, answer: Answer) -> NextStep {
-        let allowed_after = match answer {
+        let allowed = match answer {
             Answer::Good => return NextStep::End,
             Answer::Refused { retry_after } => Some(retry_after),
             Answer::Failed | Answer::Silent => self.repeatable[operation.class].then_some(Nanos(0)),
         };
-        let Some(server_delay) = allowed_after.filter(|_| operation.attempt < self.retries) else {
+        let Some(delay) = allowed.filter(|_| operation.attempt < self.retries) else {
             return NextStep::End;
         };
         let wait = Nanos(self.retry_wait.0 << operation.attempt.min(10));
         let jitter = 0.5 + self.retry_rng.random::<f64>();
-        let at = now + server_delay.max(Nanos((wait.0 as f64 * jitter) as u64));
+        let at = now + delay.max(Nanos((wait.0 as f64 * jitter) as u64));
         match at - operation.asked < self.hard_stops[operation.class] {
             true => NextStep::Retry { at },
             false => NextStep::End,
--- a/crates/craneknot-rehearsal/src/script.rs
+++ b/crates/craneknot-rehearsal/src/script.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal is asked to play.
+//! The script of a rehearsal: its fleet, its clients and its faults.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Servers of one make.
+/// A group of identical servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServerGroup {
@@ -22,18 +22,18 @@
     pub kind: String,
     #[schemars(range(min = 1, max = 256))]
     pub cores: u16,
-    /// Work that a core does in a second, in seconds of work.
+    /// Work that a core does per second, in seconds of work.
     #[schemars(range(min = 0.01, max = 100.0))]
     pub speed: f64,
-    /// Operations that may wait; one more is turned away unseen.
+    /// Operations that may be queued; further ones are rejected without being looked at.
     #[schemars(range(min = 1))]
     pub queue: u32,
-    /// Connections that it accepts.
+    /// Connections that a server accepts.
     #[schemars(range(min = 1))]
     pub connections: u32,
 }
 
-/// Proxies of one zone.
+/// A group of proxies of one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyGroup {
@@ -42,12 +42,12 @@
     pub zone: String,
 }
 
-/// How a class is asked for.
+/// The demand for a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Demand {
     pub class: String,
-    /// Part of all operations; parts are weighed against each other.
+    /// Share of all operations, relative to the shares of the other classes.
     #[schemars(range(min = 0.0))]
     pub share: f64,
     /// Mean work of an operation on a core of speed 1.
@@ -70,117 +70,117 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// First tries a second, of all classes.
+    /// First attempts per second, over all classes.
     #[schemars(range(min = 0.1, max = 20_000.0))]
     pub rate: f64,
     pub demand: Vec<Demand>,
-    /// Times a client comes again by itself.
+    /// Number of times that a client retries.
     #[schemars(range(max = 10))]
     pub retries: u32,
-    /// It waits so long before, and twice as long each time after.
+    /// Delay before the first retry; doubled for each further one.
     pub retry_wait: Span,
-    /// A try is given up after this part of the class's hard stop.
+    /// An attempt times out after this share of the class's hard stop.
     #[schemars(range(min = 0.05, max = 1.0))]
     pub try_part: f64,
-    /// How long the front layer goes on sending to a dead proxy.
+    /// How long the front layer keeps sending to a dead proxy.
     pub front_lag: Span,
 }
 
-/// How proxies behave on their own.
+/// The proxies' own failure handling.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ProxyHabits {
-    /// Failures of its own in a row after which a proxy keeps away from a server; 0: never.
+    /// Number of a proxy's own failures in a row after which it ejects a server; 0: never.
     pub ejects: u32,
-    /// For so long.
+    /// How long a server stays ejected.
     pub keep_away: Span,
-    /// A connection that does not open by then has failed.
+    /// Timeout for opening a connection.
     pub connect_within: Span,
 }
 
-/// The kinds of trouble.
+/// The kinds of faults and load changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TroubleKind {
-    /// Traffic at `strength` times the usual.
+    /// Traffic at `strength` times the usual rate.
     Burst,
     /// Servers replaced by cold ones, a part of `wave` at a time.
     Deploy,
-    /// Servers quickly fail `strength` of their operations.
+    /// Servers fail the share `strength` of their operations quickly.
     FastErrors,
-    /// Servers take operations and answer none.
+    /// Servers accept operations and answer none.
     Hang,
     /// Servers run `strength` times slower.
     Slow,
-    /// Servers do the work, but `strength` of the answers never arrive.
+    /// Servers do the work, but the share `strength` of the answers never arrives.
     AnswersLost,
-    /// Servers die at once, and come back cold at the end.
+    /// Servers die immediately, and restart cold at the end.
     Crash,
-    /// Servers go silent: no reset, no answer; they come back cold at the end.
+    /// Servers go silent, with neither resets nor answers; they restart cold at the end.
     Silent,
-    /// Servers fail and recover by turns, and come back cold each time.
+    /// Servers fail and recover alternately, restarting cold each time.
     Flapping,
     /// The list of servers cannot be read.
     RosterDown,
-    /// Streams between proxies and coordinators break at once; agents may dial again.
+    /// All streams between proxies and coordinators are reset at the same time; agents may reconnect.
     StreamBreak,
-    /// Proxies reach no coordinator, and go on forwarding.
+    /// Proxies reach no coordinator, and continue forwarding.
     Unreachable,
-    /// Proxies die with their agents, and come back at the end.
+    /// Proxies die with their agents, and restart at the end.
     ProxyKilled,
-    /// Coordinators are killed, and come back at the end.
+    /// Coordinators are killed, and restart at the end.
     CoordinatorKilled,
     /// All coordinators and then all agents are ended, one after another, and started from the next version of the program.
     RollingUpgrade,
-    /// The coordinator that leads is killed, and comes back at the end.
+    /// The leader is killed, and restarts at the end.
     LeaderKilled,
-    /// The coordinator that leads stands still for the whole length, and then goes on.
+    /// The leader is suspended for the whole length, and then continues.
     LeaderStalled,
-    /// One coordinator neither hears the others nor is heard; proxies reach it as ever.
+    /// One coordinator neither receives from nor reaches the others; proxies still reach it.
     CoordinatorCut,
-    /// One coordinator hears the others, and is not heard.
+    /// One coordinator receives from the others, but doesn't reach them.
     CoordinatorMute,
-    /// Agents are killed, and come back at the end; their proxies go on.
+    /// Agents are killed, and restart at the end; their proxies continue.
     AgentKilled,
-    /// Proxies stand still again and again, for `strength` seconds each time.
+    /// Proxies are suspended repeatedly, for `strength` seconds each time.
     ProxyStall,
-    /// Coordinators stand still again and again, for `strength` seconds each time.
+    /// Coordinators are suspended repeatedly, for `strength` seconds each time.
     CoordinatorStall,
-    /// All servers of a zone are lost, and come back cold at the end.
+    /// All servers of a zone are lost, and restart cold at the end.
     ZoneLost,
-    /// A zone is cut off from the others: operations and streams alike.
+    /// A zone is partitioned from the others, for operations and for streams.
     ZoneCut,
-    /// Servers of a kind or a zone restart within a second, and come back cold.
+    /// Servers of a kind or a zone restart within a second, and are cold afterwards.
     MassRestart,
-    /// Servers are taken away in waves, listed as draining, dead soon after; replacements start cold at the end.
+    /// Servers are removed in waves: listed as draining, dead soon after; replacements start cold at the end.
     Preempt,
-    /// Servers that are bad for the proxies of some: `strength` of the tries get no answer.
+    /// Servers that fail for some proxies only: the share `strength` of their tries gets no answer.
     OneSided,
-    /// New servers join, cold, and traffic follows to `strength` times the usual.
+    /// New servers join, cold, and traffic then rises to `strength` times the usual rate.
     Growth,
 }
 
-/// One trouble.
+/// A fault or load change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
     pub kind: TroubleKind,
     pub at: Span,
     pub length: Span,
-    /// Part of the servers, proxies or coordinators that it strikes; at least one.
+    /// Share of the servers, proxies or coordinators that are affected; at least one.
     #[schemars(range(min = 0.0, max = 1.0))]
     #[serde(default = "some")]
     pub part: f64,
     /// See the kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub strength: Option<f64>,
-    /// Strikes there alone.
+    /// Affects only this zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Strikes these alone.
+    /// Affects only servers of this kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub server_kind: Option<String>,
-    /// The list of servers shows nothing of it.
+    /// The list of servers doesn't show the fault.
     #[serde(default)]
     pub unlisted: bool,
 }
@@ -189,23 +189,23 @@
     0.2
 }
 
-/// A break of a rule, planted to try the auditor: a proxy that does what no proxy should.
+/// A deliberate break of a rule, which tests the auditor: a party that does what none should.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Plant {
-    /// Forgets its tables for a while.
+    /// Loses its tables for a while.
     Bare,
-    /// Sends operations again that must never run twice.
+    /// Retries operations that must never run twice.
     RunTwice,
-    /// Goes on sending to servers that drain.
+    /// Keeps sending to draining servers.
     KeepDrained,
-    /// Sends all it has to servers that have just started.
+    /// Sends all operations to servers that have just started.
     FloodCold,
-    /// Coordinators are told a far longer queue than the auditor allows.
+    /// Coordinators are configured with a far longer queue than the auditor allows.
     LongQueue,
     /// Picks servers where a class may not go.
     Misplace,
-    /// Files are written in place, half at a time.
+    /// A file is written in place, half at a time.
     Torn,
 }
 
@@ -215,7 +215,7 @@
 pub struct Script {
     pub name: String,
     pub seed: u64,
-    /// How long clients come.
+    /// How long clients send operations.
     pub length: Span,
     pub zones: Vec<String>,
     #[schemars(length(min = 1, max = 32))]
@@ -233,39 +233,39 @@
     pub proxies: Vec<ProxyGroup>,
     pub habits: ProxyHabits,
     pub clients: Clients,
-    /// How late the list of servers is.
+    /// Delay with which the list of servers shows changes.
     pub roster_lag: Span,
     #[serde(default)]
     pub troubles: Vec<Trouble>,
     #[serde(default)]
     pub plants: Vec<Plant>,
-    /// The coordinators share one fleet and take over from one another; left out: each keeps to its own proxies.
+    /// The coordinators share one fleet and take over from one another; if left out, each serves its own proxies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared: Option<SharedFleet>,
-    /// Coordinators find servers' weights by themselves; left out: they go by the list.
+    /// Coordinators determine servers' weights themselves; if left out, they use those of the list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub solver: Option<SolverSettings>,
-    /// What the list says of servers' weights.
+    /// How the list states servers' weights.
     #[serde(default, skip_serializing_if = "Weights::are_true")]
     pub weights: Weights,
-    /// The auditor judges whether servers stay within their capacities; left out: it does not.
+    /// The auditor checks that servers stay within their capacities; if left out, it doesn't.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub capacity: Option<CapacityRule>,
-    /// How long what leaves a coordinator's channel is on its way; left out: as long as this machine takes.
+    /// Delay of messages from a coordinator's channel; if left out, only that of this machine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delays: Option<Delays>,
 }
 
-/// What the list says of servers' weights.
+/// How the list states servers' weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Weights {
-    /// What each can do, exactly: the best that could be written by hand.
+    /// The exact capacity of each: the best that could be written by hand.
     #[default]
     True,
     /// The same for all.
     Equal,
-    /// What each can do, off by up to half or twice, by chance: as hand-set weights are after a year.
+    /// The capacity of each with a random error between half and twice: as hand-set weights are after a year.
     Rough,
 }
 
@@ -275,31 +275,31 @@
     }
 }
 
-/// No server is sent more work in any second than it can do then.
+/// No server is sent more work in any second than its capacity in that second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityRule {
-    /// After the start, and after any server starts, ends or changes its speed, coordinators may take so long; a cold server
-    /// is never sent more.
+    /// How long coordinators may take to adapt after the start and after any server starts, ends or changes its
+    /// speed; a cold server is never sent more than its capacity.
     pub settle: Span,
 }
 
-/// Ways between coordinators and proxies that take their time; what is sent to one proxy arrives in order.
+/// Delays between coordinators and proxies; messages to one proxy arrive in order.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Delays {
-    /// Mean of what a message takes beside the shortest.
+    /// Mean of the delay beyond the shortest.
     pub mean: Span,
-    /// The shortest.
+    /// The shortest delay.
     #[serde(default)]
     pub least: Span,
 }
 
 impl Delays {
-    /// How long one message takes.
+    /// Draws the delay of one message.
     pub fn draw(&self, rng: &mut impl Rng) -> Nanos {
-        let spread: f64 = Exp1.sample(rng);
-        self.least.0 + Nanos::from_secs(self.mean.0.secs() * spread)
+        let factor: f64 = Exp1.sample(rng);
+        self.least.0 + Nanos::from_secs(self.mean.0.secs() * factor)
     }
 }
 
@@ -313,7 +313,7 @@
 const BUILT_IN: &str = include_str!("built_in.json");
 
 impl Script {
-    /// The short one that needs no file.
+    /// The short built-in script, which needs no file.
     pub fn built_in() -> Result<Self, Problems> {
         parse(Path::new("built-in script"), BUILT_IN.as_bytes())
     }
@@ -326,7 +326,7 @@
         self.proxies.iter().map(|group| usize::from(group.count)).sum()
     }
 
-    /// The fleet as its coordinators are told of it.
+    /// The fleet settings of the coordinators.
     pub fn fleet(&self) -> FleetSettings {
         let mut kinds: Vec<String> = self.servers.iter().map(|group| group.kind.clone()).collect();
         kinds.sort();
@@ -345,55 +345,69 @@
 
 impl Check for Script {
     fn check(&self) -> Vec<Problem> {
-        // The fleet's own checks, under the names that stand in a script.
-        let mut found = self.fleet().check();
-        found.iter_mut().for_each(|problem| problem.location = problem.location.replacen("/fleet", "", 1));
-        let zone = |place: String, zone: &String| {
+        // The checks of the fleet settings, with the locations of the script.
+        let mut problems = self.fleet().check();
+        problems.iter_mut().for_each(|problem| problem.location = problem.location.replacen("/fleet", "", 1));
+        let check_zone = |location: String, zone: &String| {
             (!self.zones.contains(zone)).then(|| {
                 Problem::new(
-                    place,
+                    location,
                     format!("zone {zone:?} is not among /zones"),
                     "name one of those, or add it there",
                 )
             })
         };
-        found.extend(
+        problems.extend(
             self.servers
                 .iter()
                 .enumerate()
-                .filter_map(|(k, group)| zone(format!("/servers/{k}/zone"), &group.zone)),
+                .filter_map(|(k, group)| check_zone(format!("/servers/{k}/zone"), &group.zone)),
         );
-        found.extend(
+        problems.extend(
             self.proxies
                 .iter()
                 .enumerate()
-                .filter_map(|(k, group)| zone(format!("/proxies/{k}/zone"), &group.zone)),
+                .filter_map(|(k, group)| check_zone(format!("/proxies/{k}/zone"), &group.zone)),
         );
-        found.extend(self.solver.iter().flat_map(|solver| solver.check("/solver", &self.zones)));
+        problems.extend(self.solver.iter().flat_map(|solver| solver.check("/solver", &self.zones)));
         for (k, demand) in self.clients.demand.iter().enumerate() {
             if !self.classes.iter().any(|class| class.name == demand.class) {
-                let what = format!("class {:?} is not among /classes", demand.class);
-                found.push(Problem::new(format!("/clients/demand/{k}/class"), what, "name one of those"));
+                let message = format!("class {:?} is not among /classes", demand.class);
+                problems.push(Problem::new(
+                    format!("/clients/demand/{k}/class"),
+                    message,
+                    "name one of those",
+                ));
             }
         }
         if self.clients.demand.iter().map(|demand| demand.share).sum::<f64>() <= 0.0 {
-            found.push(Problem::new("/clients/demand", "asks for nothing", "give a class a share above 0"));
+            problems.push(Problem::new(
+                "/clients/demand",
+                "no class has any demand",
+                "give a class a share above 0",
+            ));
         }
         for (k, trouble) in self.troubles.iter().enumerate() {
-            found.extend(trouble.zone.as_ref().and_then(|name| zone(format!("/troubles/{k}/zone"), name)));
+            problems.extend(
+                trouble.zone.as_ref().and_then(|name| check_zone(format!("/troubles/{k}/zone"), name)),
+            );
             if trouble.at.0 + trouble.length.0 > self.length.0 {
-                let what = format!("ends after the script's length of {}", self.length);
-                found.push(Problem::new(format!("/troubles/{k}"), what, "begin earlier or make it shorter"));
+                let message = format!("ends after the script's length of {}", self.length);
+                problems.push(Problem::new(
+                    format!("/troubles/{k}"),
+                    message,
+                    "begin earlier or make it shorter",
+                ));
             }
-            let zoned = matches!(trouble.kind, TroubleKind::ZoneLost | TroubleKind::ZoneCut);
-            if zoned && trouble.zone.is_none() {
-                found.push(Problem::new(
+            let needs_zone = matches!(trouble.kind, TroubleKind::ZoneLost | TroubleKind::ZoneCut);
+            if needs_zone && trouble.zone.is_none() {
+                problems.push(Problem::new(
                     format!("/troubles/{k}"),
-                    "strikes a zone and names none",
+                    "this kind affects a zone, but none is given",
                     "give its zone",
                 ));
             }
         }
-        found
+        problems
     }
 }
