--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -197,8 +197,8 @@
     changed: bool,
 }
 
-const INFORMED_SHARE: f64 = 2.0 / 3.0; // share of the work that informed senders must have sent for an overload to count as a break
-const CAPACITY_INTERVAL: Nanos = Nanos::from_millis(1_000); // ms; the interval in which a server must not be sent more than its capacity
+const INFORMED_SHARE: f64 = 2.0 / 3.0; // of the work must come from informed senders for an overload to count as a break
+const CAPACITY_INTERVAL: Nanos = Nanos::from_millis(1_000); // ms; interval over which work is compared with capacity
 const SERVICE_WINDOW: Nanos = Nanos::from_millis(10_000); // ms; the length of the worst window
 
 struct Audit<'a> {
@@ -314,7 +314,7 @@
                 self.check_missing_lines_among(*proxy..*proxy + 1);
             }
             What::Queue { coordinator, lines, most } => {
-                // These records are periodic, so missing lines are checked regularly, also for servers that became warm.
+                // These records are periodic: a server that has become warm is considered by the next one.
                 self.check_missing_lines();
                 let limit = self.settings.lines_limit;
                 let (time, worst) = (self.time(), lines.max(*most));
--- a/crates/craneknot-rehearsal/src/caller.rs
+++ b/crates/craneknot-rehearsal/src/caller.rs
@@ -134,9 +134,7 @@
             Answer::Refused { retry_after } => Some(retry_after),
             Answer::Failed | Answer::Silent => self.repeatable[operation.class].then_some(Nanos(0)),
         };
-        let Some(delay) = allowed.filter(|_| operation.attempt < self.retries) else {
-            return NextStep::End;
-        };
+        let Some(delay) = allowed.filter(|_| operation.attempt < self.retries) else { return NextStep::End };
         let wait = Nanos(self.retry_wait.0 << operation.attempt.min(10));
         let jitter = 0.5 + self.retry_rng.random::<f64>();
         let at = now + delay.max(Nanos((wait.0 as f64 * jitter) as u64));
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -51,7 +51,7 @@
 }
 
 /// What a connection is used for.
-enum ConnectionRole {
+enum ConnRole {
     /// The proxy's end of a client's connection.
     FromClient {
         proxy: usize,
@@ -133,9 +133,9 @@
     servers: Vec<SocketAddr>,
     server_zones: Vec<String>,
     numbers: HashMap<String, usize>,
-    roles: HashMap<ConnId, ConnectionRole>,
+    roles: HashMap<ConnId, ConnRole>,
     serving: HashMap<u64, ProxiedOperation>,
-    client_attempts: HashMap<u64, ClientAttempt>,
+    attempts: HashMap<u64, ClientAttempt>,
     client_idle: BTreeMap<usize, Vec<ConnId>>,
     next: u64,
     caller: Caller,
@@ -235,7 +235,7 @@
             server_zones: plan.servers.iter().map(|server| server.group.zone.clone()).collect(),
             roles: HashMap::new(),
             serving: HashMap::new(),
-            client_attempts: HashMap::new(),
+            attempts: HashMap::new(),
             client_idle: BTreeMap::new(),
             next: 0,
             caller,
@@ -298,10 +298,8 @@
             | ReactorEvent::Signal(_) => return Some(event),
         };
         let proxy = match self.roles.get(&conn) {
-            Some(ConnectionRole::FromClient { proxy, .. } | ConnectionRole::ToServer { proxy, .. }) => *proxy,
-            Some(ConnectionRole::ToProxy { .. } | ConnectionRole::ToAgent { .. }) | None => {
-                return Some(event)
-            }
+            Some(ConnRole::FromClient { proxy, .. } | ConnRole::ToServer { proxy, .. }) => *proxy,
+            Some(ConnRole::ToProxy { .. } | ConnRole::ToAgent { .. }) | None => return Some(event),
         };
         if self.proxies[proxy].stalled_until.is_some() {
             self.proxies[proxy].deferred.push(event);
@@ -319,10 +317,10 @@
                 };
                 self.proxies[proxy].conns.insert(conn);
                 let reader = RequestReader::new(LIMITS);
-                self.roles.insert(conn, ConnectionRole::FromClient { proxy, reader, serving: None });
+                self.roles.insert(conn, ConnRole::FromClient { proxy, reader, serving: None });
             }
             ReactorEvent::Connected { conn } => {
-                if let Some(ConnectionRole::ToServer { connected, .. }) = self.roles.get_mut(&conn) {
+                if let Some(ConnRole::ToServer { connected, .. }) = self.roles.get_mut(&conn) {
                     *connected = true;
                 }
             }
@@ -361,7 +359,7 @@
             TimerEvent::ClientRetry(operation) => self.start_client_attempt(*operation),
             TimerEvent::TryTimeout(number) => self.end_try(number, Tried::Failed, true),
             TimerEvent::ConnectTimeout(conn) => {
-                if let Some(ConnectionRole::ToServer { connected: false, .. }) = self.roles.get(&conn) {
+                if let Some(ConnRole::ToServer { connected: false, .. }) = self.roles.get(&conn) {
                     self.handle_close(conn);
                     self.reactor.close(conn);
                 }
@@ -457,7 +455,7 @@
             let proxy = proxy?;
             let conn = self.reactor.connect(self.proxies[proxy].address).ok()?;
             let reader = ResponseReader::new(LIMITS);
-            self.roles.insert(conn, ConnectionRole::ToProxy { proxy, reader, client_attempt: None });
+            self.roles.insert(conn, ConnRole::ToProxy { proxy, reader, client_attempt: None });
             Some(conn)
         });
         let Some(conn) = conn else {
@@ -475,8 +473,8 @@
             (HeaderName::from_static(header::TIMEOUT), wait.as_str()),
         ];
         let timeout = self.reactor.set_timer(until, TimerEvent::ClientTimeout(asked));
-        self.client_attempts.insert(asked, ClientAttempt { operation, conn, timeout });
-        if let Some(ConnectionRole::ToProxy { client_attempt, .. }) = self.roles.get_mut(&conn) {
+        self.attempts.insert(asked, ClientAttempt { operation, conn, timeout });
+        if let Some(ConnRole::ToProxy { client_attempt, .. }) = self.roles.get_mut(&conn) {
             *client_attempt = Some(asked);
         }
         if self.reactor.send(conn, [request(&Method::POST, &path, "front", &headers, b"")]).is_err() {
@@ -486,15 +484,12 @@
 
     /// Ends a client's attempt; `drop` closes its connection, on which an answer may still be outstanding.
     fn end_client_attempt(&mut self, number: u64, answer: Answer, drop: bool) {
-        let Some(ClientAttempt { operation, conn, timeout }) = self.client_attempts.remove(&number) else {
-            return;
-        };
+        let Some(ClientAttempt { operation, conn, timeout }) = self.attempts.remove(&number) else { return };
         self.reactor.cancel_timer(timeout);
         if drop {
             self.roles.remove(&conn);
             self.reactor.close(conn);
-        } else if let Some(ConnectionRole::ToProxy { proxy, client_attempt, .. }) = self.roles.get_mut(&conn)
-        {
+        } else if let Some(ConnRole::ToProxy { proxy, client_attempt, .. }) = self.roles.get_mut(&conn) {
             *client_attempt = None;
             self.client_idle.entry(*proxy).or_default().push(conn);
         }
@@ -528,7 +523,7 @@
             let Some(input) = self.reactor.input(conn) else { return };
             let Some(used) = self.roles.get_mut(&conn) else { return };
             match used {
-                ConnectionRole::FromClient { proxy, reader, serving } => {
+                ConnRole::FromClient { proxy, reader, serving } => {
                     let proxy = *proxy;
                     // One request at a time: pipelined input stays in the buffer until the answer.
                     if serving.is_some() {
@@ -540,14 +535,14 @@
                         Err(_) => return self.drop_connection(conn),
                     }
                 }
-                ConnectionRole::ToServer { reader, pending_try, .. } => {
+                ConnRole::ToServer { reader, pending_try, .. } => {
                     match (reader.next(input, false, now), *pending_try) {
                         (Ok(Some(answer)), Some(number)) => self.server_answered(number, &answer),
                         (Ok(None), _) => break,
                         (Ok(Some(_)), None) | (Err(_), _) => return self.drop_connection(conn),
                     }
                 }
-                ConnectionRole::ToProxy { reader, client_attempt, .. } => {
+                ConnRole::ToProxy { reader, client_attempt, .. } => {
                     match (reader.next(input, false, now), *client_attempt) {
                         (Ok(Some(answer)), Some(number)) => {
                             let retry =
@@ -567,7 +562,7 @@
                         (Ok(Some(_)), None) | (Err(_), _) => return self.drop_connection(conn),
                     }
                 }
-                ConnectionRole::ToAgent { reader, .. } => match reader.next(input, false, now) {
+                ConnRole::ToAgent { reader, .. } => match reader.next(input, false, now) {
                     Ok(Some(_)) => {}
                     Ok(None) => break,
                     Err(_) => return self.drop_connection(conn),
@@ -584,12 +579,12 @@
 
     fn handle_close(&mut self, conn: ConnId) {
         match self.roles.remove(&conn) {
-            Some(ConnectionRole::FromClient { proxy, serving, .. }) => {
+            Some(ConnRole::FromClient { proxy, serving, .. }) => {
                 self.proxies[proxy].conns.remove(&conn);
                 // The client has closed; its try continues and is counted, without an answer.
                 let _ = serving;
             }
-            Some(ConnectionRole::ToServer { proxy, server, pending_try, connected, .. }) => {
+            Some(ConnRole::ToServer { proxy, server, pending_try, connected, .. }) => {
                 self.proxies[proxy].conns.remove(&conn);
                 if let Some(idle) = self.proxies[proxy].idle.get_mut(&server) {
                     idle.retain(|other| *other != conn);
@@ -599,7 +594,7 @@
                     self.end_try(number, if connected { Tried::Failed } else { Tried::Unrun }, false);
                 }
             }
-            Some(ConnectionRole::ToProxy { proxy, client_attempt, .. }) => {
+            Some(ConnRole::ToProxy { proxy, client_attempt, .. }) => {
                 if let Some(idle) = self.client_idle.get_mut(&proxy) {
                     idle.retain(|other| *other != conn);
                 }
@@ -607,7 +602,7 @@
                     self.end_client_attempt(number, Answer::Failed, true);
                 }
             }
-            Some(ConnectionRole::ToAgent { proxy, .. }) => self.proxies[proxy].agent = None,
+            Some(ConnRole::ToAgent { proxy, .. }) => self.proxies[proxy].agent = None,
             None => {}
         }
     }
@@ -641,7 +636,7 @@
             sent: now,
             timeout: None,
         };
-        if let Some(ConnectionRole::FromClient { serving, .. }) = self.roles.get_mut(&client) {
+        if let Some(ConnRole::FromClient { serving, .. }) = self.roles.get_mut(&client) {
             *serving = Some(serving_number);
         }
         let state = &mut self.proxies[proxy];
@@ -674,7 +669,7 @@
     }
 
     fn reply(&mut self, client: ConnId, answer: Bytes) {
-        if let Some(ConnectionRole::FromClient { serving, .. }) = self.roles.get_mut(&client) {
+        if let Some(ConnRole::FromClient { serving, .. }) = self.roles.get_mut(&client) {
             *serving = None;
             if self.reactor.send(client, [answer]).is_err() {
                 self.drop_connection(client);
@@ -736,7 +731,7 @@
             let reader = ResponseReader::new(LIMITS);
             self.roles.insert(
                 conn,
-                ConnectionRole::ToServer { proxy, server, reader, pending_try: None, connected: false },
+                ConnRole::ToServer { proxy, server, reader, pending_try: None, connected: false },
             );
             Some(conn)
         });
@@ -754,7 +749,7 @@
         ];
         self.serving.insert(number, serving);
         let Some(conn) = conn else { return self.end_try(number, Tried::Unrun, false) };
-        if let Some(ConnectionRole::ToServer { pending_try, .. }) = self.roles.get_mut(&conn) {
+        if let Some(ConnRole::ToServer { pending_try, .. }) = self.roles.get_mut(&conn) {
             *pending_try = Some(number);
         }
         if self.reactor.send(conn, [request(&Method::POST, &path, "server", &headers, b"")]).is_err() {
@@ -771,7 +766,7 @@
             self.proxies[proxy].totals.add_server_load(class, server, &report);
         }
         if let Some(conn) = conn {
-            if let Some(ConnectionRole::ToServer { pending_try, .. }) = self.roles.get_mut(&conn) {
+            if let Some(ConnRole::ToServer { pending_try, .. }) = self.roles.get_mut(&conn) {
                 *pending_try = None;
             }
             self.proxies[proxy].idle.entry(server).or_default().push(conn);
@@ -885,7 +880,7 @@
                 let address = ready_address(&agent_ready(folder, proxy));
                 let Some(Ok(conn)) = address.map(|address| self.reactor.connect(address)) else { return };
                 let reader = ResponseReader::new(LIMITS);
-                self.roles.insert(conn, ConnectionRole::ToAgent { proxy, reader });
+                self.roles.insert(conn, ConnRole::ToAgent { proxy, reader });
                 self.proxies[proxy].agent = Some(conn);
                 conn
             }
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -1,6 +1,6 @@
-//! A recorded run: JSON lines, gzipped (RFC 8259, RFC 1952). The first line is the head; each other line is one observed
-//! event, with its time in microseconds since the earliest possible first operation. What can't be observed from
-//! outside (an operation's work, the operations held by a server) is not included.
+//! A recorded run: JSON lines, gzipped (RFC 8259, RFC 1952). The first line is the head; each other line is one
+//! observed event, with its time in microseconds since the earliest possible first operation. What can't be observed
+//! from outside (an operation's work, the operations held by a server) is not included.
 
 use std::collections::BTreeMap;
 use std::fs::File;
--- a/crates/craneknot-rehearsal/src/script.rs
+++ b/crates/craneknot-rehearsal/src/script.rs
@@ -130,7 +130,8 @@
     ProxyKilled,
     /// Coordinators are killed, and restart at the end.
     CoordinatorKilled,
-    /// All coordinators and then all agents are ended, one after another, and started from the next version of the program.
+    /// All coordinators and then all agents are stopped, one after another, and started from the next version of
+    /// the program.
     RollingUpgrade,
     /// The leader is killed, and restarts at the end.
     LeaderKilled,
--- a/crates/craneknot-rehearsal/src/servers.rs
+++ b/crates/craneknot-rehearsal/src/servers.rs
@@ -228,7 +228,7 @@
         let class = self.classes.iter().position(|class| class == path);
         let operation = parse_header(headers, header::OPERATION).zip(parse_header(headers, header::WORK));
         let Some((class, (op, work_us))) = class.zip(operation) else {
-            // A probe or an invalid request is answered without queueing, which shows whether the process responds at all.
+            // Probes and invalid requests bypass the queue: the answer shows whether the process responds at all.
             if !self.servers[server].hanging {
                 let status = if path == "healthz" { StatusCode::OK } else { StatusCode::NOT_FOUND };
                 self.answer(server, conn, status, false);
