--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -26,6 +26,7 @@
     pub settle: Option<Nanos>,
 }
 
+/// What the auditor must know of a class.
 #[derive(Clone, Debug)]
 pub struct AuditedClass {
     pub name: String,
@@ -35,6 +36,7 @@
     pub allowed: BTreeSet<usize>,
 }
 
+/// What the auditor must know of a server.
 #[derive(Clone, Debug)]
 pub struct AuditedServer {
     /// Work per second when warm, s.
@@ -43,6 +45,7 @@
     pub zone: usize,
 }
 
+/// The rules that a rehearsal is checked against; see [`Rule::title`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -23,6 +23,7 @@
     pub from_start: bool,
 }
 
+/// An action on a simulated server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerAct {
     Start,
@@ -37,6 +38,7 @@
     LoseAnswers(f64),
 }
 
+/// An action on a simulated proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProxyAct {
     Die,
@@ -50,6 +52,7 @@
     },
 }
 
+/// An action on the list of servers, the coordinators, the agents or the connections between them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetAct {
     /// Changes the state in which the list shows a server.
@@ -57,7 +60,9 @@
         server: usize,
         state: ListedState,
     },
+    /// Makes the list of servers unreadable (`true`), or readable again.
     RosterOut(bool),
+    /// Resets all streams of these proxies' agents.
     BreakStreams(BTreeSet<usize>),
     /// Makes these coordinators unreachable for these proxies' agents, or reachable again.
     Unreach {
@@ -67,6 +72,7 @@
     },
     KillCoordinator(usize),
     StartCoordinator(usize),
+    /// Suspends a coordinator's process (`true`), or continues it.
     StallCoordinator(usize, bool),
     /// Ends the process and starts it from the next version of the program.
     UpgradeCoordinator(usize),
@@ -183,6 +189,7 @@
 }
 
 impl Plan {
+    /// Draws the plan of a script; it depends only on the script and its seed.
     pub fn draw(script: &Script) -> Plan {
         let mut plan = Plan { weights: script.weights, seed: script.seed, ..Plan::default() };
         let mut cells = 0;
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -18,6 +18,7 @@
 use crate::report::Report;
 use crate::script::Script;
 
+/// Name of the format, in the head of each recording.
 pub const FORMAT: &str = "craneknot-recording-1";
 const MAX_LINE_BYTES: usize = 1024 * 1024; // a head with a long script takes some tens of thousands of bytes
 const MAX_LINES: usize = 50_000_000; // per recording: hours at 2,000 operations per second
@@ -195,6 +196,7 @@
         Recording { head, lines }
     }
 
+    /// Writes the recording to a file.
     pub fn write(&self, path: &Path) -> io::Result<()> {
         let mut out = GzEncoder::new(BufWriter::new(File::create(path)?), Compression::default());
         let mut line = |value: serde_json::Result<Vec<u8>>| {
@@ -206,6 +208,7 @@
         out.finish()?.flush()
     }
 
+    /// Reads a recording from a file, checking its format and its lines.
     pub fn read(path: &Path) -> Result<Self, Fault> {
         let mut input = BufReader::new(MultiGzDecoder::new(File::open(path).map_err(Fault::System)?));
         let mut text = Vec::new();
--- a/crates/craneknot-rehearsal/src/relay.rs
+++ b/crates/craneknot-rehearsal/src/relay.rs
@@ -69,6 +69,7 @@
         Ok(address)
     }
 
+    /// Sets the address of a coordinator; `None` while it isn't running.
     pub fn set_coordinator(&mut self, coordinator: usize, address: Option<SocketAddr>) {
         match address {
             Some(address) => self.coordinators.insert(coordinator, address),
@@ -76,6 +77,7 @@
         };
     }
 
+    /// Whether the connection belongs to a relay.
     pub fn owns(&self, conn: ConnId) -> bool {
         self.pipes.contains_key(&conn)
     }
--- a/crates/craneknot-rehearsal/src/report.rs
+++ b/crates/craneknot-rehearsal/src/report.rs
@@ -7,6 +7,7 @@
 
 use crate::auditor::{Judgement, Rule, Service, Verdict};
 
+/// The report of a rehearsal.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub script: String,
@@ -46,6 +47,7 @@
         }
     }
 
+    /// Whether no rule was broken.
     pub fn passed(&self) -> bool {
         self.rules.values().all(|verdict| verdict.breaks == 0)
     }
