--- a/crates/craneknot-model/src/bound.rs
+++ b/crates/craneknot-model/src/bound.rs
@@ -32,7 +32,7 @@
         started: Option<f64>,
     }
     let server_capacity = |server: usize| {
-        let model = plan.make(script, server);
+        let model = plan.server_spec(script, server);
         let mut acts = plan.server_acts.iter().filter(|(_, of, _)| *of == server).peekable();
         let up = plan.servers[server].from_start;
         let mut condition =
--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use craneknot::interface::Nanos;
-use craneknot_rehearsal::machine::Make;
+use craneknot_rehearsal::machine::ServerSpec;
 use craneknot_rehearsal::plan::Plan;
 use craneknot_rehearsal::recording::{How, Line, Recording};
 use craneknot_rehearsal::Script;
@@ -194,7 +194,7 @@
     }
     let warm_median = median(&mut warm);
     let squared_error = |share: f64, after: f64| {
-        let make = Make { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_MAKE };
+        let make = ServerSpec { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_MAKE };
         let bin = |tries: &Vec<(f64, f64)>| {
             // Each try is corrected by its own age: within a bin most ages are high, since a start is
             // reported late.
@@ -219,7 +219,7 @@
 }
 
 /// A server model in which only the warm-up matters, as the base for the evaluated ones.
-const BASE_MAKE: Make = Make {
+const BASE_MAKE: ServerSpec = ServerSpec {
     cores: 1,
     speed: 1.0,
     queue: 0,
@@ -252,7 +252,8 @@
         };
         script.troubles = (0..12).map(|k| deploy(2_000 + 12_000 * k)).collect();
         let played = play_with_options(&script, RunOptions::default());
-        let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
+        let mut recording =
+            Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         let true_work = script.clients.demand.clone();
         // Overwrites the true values in the recording's script, so that the fit can't read them there.
         recording.head.script.clients.demand.iter_mut().for_each(|demand| demand.work = Span::millis(777));
@@ -278,7 +279,8 @@
     fn an_empty_recording_is_rejected_with_a_cause() {
         let script = Script::built_in().unwrap();
         let played = play_with_options(&script, RunOptions::default());
-        let mut recording = Recording::of("model", &script, played.begin, &played.records, &played.report);
+        let mut recording =
+            Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         recording.lines.clear();
         assert!(fit(&recording, ROUND_TRIP).unwrap_err().contains("nothing can be fitted"));
     }
