--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(pub u64);
 
-/// Makes the decisions: those of this program, or others that are tested in their place.
+/// Makes the decisions: those of this program, or others that are tested instead.
 pub trait Decider: Send {
     /// Processes the events and returns the orders of this step.
     fn step(&mut self, now: Nanos, events: &[Event]) -> Vec<Order>;
@@ -840,8 +840,8 @@
     let head =
         format!("{{\"version_info\":{version},\"type_url\":\"{url}\",\"nonce\":\"{nonce}\",\"resources\":[");
     let mut chunks = vec![Bytes::from(head)];
-    for (place, resource) in resources.into_iter().enumerate() {
-        if place > 0 {
+    for (index, resource) in resources.into_iter().enumerate() {
+        if index > 0 {
             chunks.push(Bytes::from_static(b","));
         }
         chunks.push(resource);
--- a/crates/craneknot-coordinator/src/ledger.rs
+++ b/crates/craneknot-coordinator/src/ledger.rs
@@ -589,8 +589,8 @@
         assert_eq!(contents.lines.len(), 1 + 18);
         assert_eq!(contents.lines[18], Line::Joined(3_000, vec![3]));
         assert_eq!(contents.lines[17], Line::Demand(3_000, 0, 0, 9, 0, 500_000));
-        let place = Line::Server(0, "127.0.0.1:1".to_owned(), "north".to_owned(), "small".to_owned());
-        assert_eq!((&contents.lines[0], &contents.lines[3]), (&place, &place));
+        let definition = Line::Server(0, "127.0.0.1:1".to_owned(), "north".to_owned(), "small".to_owned());
+        assert_eq!((&contents.lines[0], &contents.lines[3]), (&definition, &definition));
     }
 
     /// A coordinator killed while writing must not lose what was written before.
--- a/crates/craneknot-coordinator/src/roster.rs
+++ b/crates/craneknot-coordinator/src/roster.rs
@@ -323,7 +323,7 @@
         assert_eq!((validator.servers(), validator.version()), (10, 5));
     }
 
-    /// A restarting registry is empty for a moment; a real loss is still reported within the drain grace.
+    /// A restarting registry is briefly empty; a real loss is still reported within the drain grace.
     #[test]
     fn a_suddenly_short_list_is_accepted_only_if_it_is_confirmed() {
         let (mut validator, mut names) = validator();
--- a/crates/craneknot-coordinator/src/session.rs
+++ b/crates/craneknot-coordinator/src/session.rs
@@ -16,9 +16,9 @@
 
 use crate::resource_cache::{Message, ResourceUpdate};
 
-const RETRY_DELAY_MIN: Nanos = Nanos::from_millis(500); // before everything is sent again after a rejection
-const RETRY_DELAY_MAX: Nanos = Nanos::from_millis(2_000); // the maximum, since the delay may hold up a drain
-const SILENCE_TIMEOUT_MIN: Nanos = Nanos::from_millis(3_000); // before an inactive stream is closed
+const MIN_RETRY_DELAY: Nanos = Nanos::from_millis(500); // before everything is sent again after a rejection
+const MAX_RETRY_DELAY: Nanos = Nanos::from_millis(2_000); // the maximum, since the delay may hold up a drain
+const MIN_SILENCE_TIMEOUT: Nanos = Nanos::from_millis(3_000); // before an inactive stream is closed
 const SILENCE_REPORT_PERIODS: u64 = 6; // tolerates two lost and two late reports
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -163,7 +163,7 @@
             Effect::Commit => self.consecutive_rejections = 0,
             Effect::BackOff => {
                 let wait =
-                    Nanos(RETRY_DELAY_MIN.0 << self.consecutive_rejections.min(5)).min(RETRY_DELAY_MAX);
+                    Nanos(MIN_RETRY_DELAY.0 << self.consecutive_rejections.min(5)).min(MAX_RETRY_DELAY);
                 self.consecutive_rejections += 1;
                 self.retry_at = Some(now + wait);
             }
@@ -209,7 +209,7 @@
     /// The time until which the stream cannot count as silent; any activity extends it.
     pub fn silent_after(&self, report_period: Nanos) -> Nanos {
         self.last_activity
-            + SILENCE_TIMEOUT_MIN.max(Nanos(report_period.0.saturating_mul(SILENCE_REPORT_PERIODS)))
+            + MIN_SILENCE_TIMEOUT.max(Nanos(report_period.0.saturating_mul(SILENCE_REPORT_PERIODS)))
     }
 
     /// Handles a request and its acknowledgement.
@@ -230,7 +230,7 @@
         let unacked = self.unacked.remove(index);
         if let Some(cause) = rejected {
             self.transition(now, Trigger::Rejected);
-            let retry_at = *self.retry_at.get_or_insert(now + RETRY_DELAY_MIN);
+            let retry_at = *self.retry_at.get_or_insert(now + MIN_RETRY_DELAY);
             return Some(Outcome::Rejected { kind, cause, retry_at });
         }
         unacked.tables.iter().for_each(|table| {
@@ -373,7 +373,7 @@
         session.enqueue(message(1, Some(3), false));
         session.responses(Nanos(3), ResourceUpdate::default);
         let rejected = request(&mut session, Kind::Endpoints, Some(1), Some("disk full"));
-        let expected_retry = Nanos(2) + RETRY_DELAY_MIN;
+        let expected_retry = Nanos(2) + MIN_RETRY_DELAY;
         assert_eq!(
             rejected,
             Some(Outcome::Rejected {
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -638,8 +638,8 @@
     /// Answers open requests with a redirect to the responsible coordinator, by its name, and closes the
     /// connection.
     fn redirect(&mut self, conn: ConnId, to: &str) {
-        let place = format!("http://{to}{}", Kind::Endpoints.path());
-        let headers = [(header::LOCATION, place.as_str()), (header::CONNECTION, "close")];
+        let location = format!("http://{to}{}", Kind::Endpoints.path());
+        let headers = [(header::LOCATION, location.as_str()), (header::CONNECTION, "close")];
         let _ = self.reactor.send(conn, [response(StatusCode::TEMPORARY_REDIRECT, &headers, b"")]);
         self.drop_peer(conn, "another coordinator is responsible");
         self.reactor.close_gracefully(conn);
--- a/crates/craneknot-node/src/coverage.rs
+++ b/crates/craneknot-node/src/coverage.rs
@@ -1,14 +1,14 @@
 //! Checks at run time whether each joined proxy has a usable line for each class, by the orders that the
 //! relay has acknowledged and independently of the controller's state.
 //!
-//! A proxy is uncovered from its join until the relay has taken a binding to a table with a line to a server
+//! A proxy is uncovered from its join until the relay has accepted a binding to a table with a line to a server
 //! that is listed ready and allowed for the class, and again from the time when that ceases to hold. While no
 //! such server that is warm is listed, no proxy counts as uncovered. Orders in transit from the relay to the
 //! proxy are not visible here.
 //!
 //! A proxy is without a line if it has no such line although a server that it may use is listed ready, cold
 //! or warm. The platform's specification does not count this as a violation while all of these servers are
-//! cold; the users count it as one beyond the same limit.
+//! cold; operators count it as one if it lasts longer than the same limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,13 +23,13 @@
 pub enum WaitingFor {
     /// No binding was ordered.
     Binding,
-    /// The relay has not taken the binding yet.
+    /// The relay has not accepted the binding yet.
     BindingTaken,
     /// The relay refused the binding, and it was not ordered again yet.
     BindingRefused,
     /// The table is empty, and no line of it was ordered.
     Line,
-    /// The table is empty, and the relay has not taken its lines yet.
+    /// The table is empty, and the relay has not accepted its lines yet.
     LineTaken,
     /// All lines are to servers that drain, are removed or are not allowed for the class.
     UsableServer,
@@ -93,7 +93,7 @@
     pub uncovered: usize,
     /// The longest time that any was uncovered, including those uncovered now.
     pub longest: Nanos,
-    /// How often one was uncovered for longer than the settings allow.
+    /// How often a pair was uncovered for longer than the settings allow.
     pub over_limit: u64,
     /// Pairs of a proxy and a class that are without a line now.
     pub without_line: usize,
@@ -189,7 +189,7 @@
         self.proxies.remove(&proxy);
     }
 
-    /// The relay takes no orders from anybody for now: all current gaps start again.
+    /// The relay accepts no orders from any coordinator for now: all current gaps start again.
     pub fn restart_gaps(&mut self, now: Nanos) {
         let state = self.proxies.values_mut().flat_map(|proxy_state| &mut proxy_state.classes);
         state.for_each(|state| {
@@ -385,7 +385,7 @@
     }
 }
 
-/// The longer one of the longest gap so far and a current gap.
+/// The longer of the longest gap so far and a current gap.
 fn longer_gap(now: Nanos, longest_gap: Option<LongestGap>, gap: Option<CoverageGap>) -> Option<LongestGap> {
     let longest = longest_gap.as_ref().map_or(Nanos(0), |longest_gap| longest_gap.gap.lasted);
     let gap = gap.filter(|gap| gap.lasted > longest);
--- a/crates/craneknot-node/src/event_streams.rs
+++ b/crates/craneknot-node/src/event_streams.rs
@@ -25,11 +25,11 @@
 const OVERLAP: Nanos = Nanos::from_millis(500);
 // twice the time that a new stream needs for its snapshot
 const ESTABLISHED_AFTER: Nanos = Nanos::from_millis(1_000);
-// of acknowledgements: the silence of a stream, plus the overlap before it
+// how long the times of acknowledgements are kept: the silence of a stream, plus the overlap before it
 const APPLIED_RETENTION: Nanos = Nanos::from_millis(4_000);
 // wait before the first redial, doubled with each further one
-const BACKOFF_FIRST: Nanos = Nanos::from_millis(50);
-const BACKOFF_MAX: Nanos = Nanos::from_millis(800);
+const INITIAL_BACKOFF: Nanos = Nanos::from_millis(50);
+const MAX_BACKOFF: Nanos = Nanos::from_millis(800);
 
 /// One stream, and what it has reported.
 struct EventStream {
@@ -175,7 +175,7 @@
     }
 
     fn backoff_wait(&self) -> Nanos {
-        backoff(self.failures, BACKOFF_FIRST, BACKOFF_MAX)
+        backoff(self.failures, INITIAL_BACKOFF, MAX_BACKOFF)
     }
 
     /// The decoder of a stream.
@@ -207,7 +207,7 @@
         self.applied_at.retain(|_, at| now - *at < APPLIED_RETENTION);
     }
 
-    /// Applies an event of a stream that is taken out of `streams` for the moment.
+    /// Applies an event of a stream that is temporarily removed from `streams`.
     fn apply(
         &mut self,
         now: Nanos,
--- a/crates/craneknot-node/src/lib.rs
+++ b/crates/craneknot-node/src/lib.rs
@@ -1,10 +1,10 @@
-//! A coordinator for the users' platform. [`coordinator`] contains all of it except I/O: it passes events to
+//! A coordinator for the platform whose protocols `craneknot_platform` implements. [`coordinator`] contains all of it except I/O: it passes events to
 //! the controller (`craneknot::Controller`) and carries out its orders; [`shell`] connects it to sockets.
 //!
 //! The program's own decisions each have a module of their own and take the clock as an argument: who may
 //! connect to the coordinator's address ([`clients`]), which work is pending for whom ([`pending`]), what the
 //! event streams report together ([`event_streams`], [`presence`]), when an uncertain call is retried
-//! ([`order_queue`]), how the list is watched ([`watch`]), how old a server is ([`server_age`]), whether each
+//! ([`order_queue`]), how the list is watched ([`list_watch`]), how old a server is ([`server_age`]), whether each
 //! proxy has a usable line ([`coverage`]), what is logged ([`log_event`], [`status`]), how file descriptors
 //! are divided ([`descriptors`]), and which probes are in flight ([`probes`]).
 
--- a/crates/craneknot-node/src/list_watch.rs
+++ b/crates/craneknot-node/src/list_watch.rs
@@ -18,7 +18,7 @@
 const CALL_TIMEOUT: Nanos = Nanos::from_millis(2_500);
 /// A call this soon after an answer continues its watch.
 const SAME_WATCH_WINDOW: Nanos = Nanos::from_millis(200);
-const OLDER_LISTS_MAX: u32 = 3; // in a row: a list older than the known one then counts as a new numbering
+const MAX_OLDER_LISTS: u32 = 3; // in a row: a list older than the known one then counts as a new numbering
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -131,13 +131,13 @@
         // An answer that was delayed, or comes from a replica that lags behind, must not undo later changes.
         if let Some(known) = self.revision.filter(|known| roster.revision < *known) {
             self.older_in_row += 1;
-            if self.older_in_row < OLDER_LISTS_MAX {
+            if self.older_in_row < MAX_OLDER_LISTS {
                 self.state = State::Idle;
                 return Err(format!("revision {} is older than the known {known}", roster.revision));
             }
         }
         // Changes relative to a list with another numbering are incomplete.
-        let is_renumbered = std::mem::take(&mut self.older_in_row) >= OLDER_LISTS_MAX && !roster.complete;
+        let is_renumbered = std::mem::take(&mut self.older_in_row) >= MAX_OLDER_LISTS && !roster.complete;
         (self.revision, self.is_first) = ((!is_renumbered).then_some(roster.revision), is_renumbered);
         (self.answered_at, self.state) = (now, State::Due);
         Ok(())
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -18,17 +18,17 @@
 const ANSWER_TIMEOUT: Nanos = Nanos::from_millis(200);
 const DIAL_TIMEOUT: Nanos = Nanos::from_millis(300); // to connect and receive the answer
 /// Wait before the first retry, doubled with each further one.
-const BACKOFF_FIRST: Nanos = Nanos::from_millis(20);
-const BACKOFF_MAX: Nanos = Nanos::from_millis(320); // longest wait: proxies are waiting for their lines
+const INITIAL_BACKOFF: Nanos = Nanos::from_millis(20);
+const MAX_BACKOFF: Nanos = Nanos::from_millis(320); // longest wait: proxies are waiting for their lines
 const THROTTLED_WAIT: Nanos = Nanos::from_millis(100); // after the relay has answered that it is throttling
 /// Most events for a proxy that has left arrive within this time.
 const REFUSED_RETRY_DELAY: Nanos = Nanos::from_millis(700);
-// in a row, each for another proxy: one or two leave in normal operation
+// refusals in a row, each for another proxy: one or two proxies leave in normal operation
 const SUSPECT_AFTER_REFUSALS: u32 = 2;
-const SUSPECT_DOUBLINGS_MAX: u32 = 12; // 2 << 12 is more than the number of proxies
-/// About two calls: a relay in reach takes orders before they reach this number.
+const MAX_SUSPECT_DOUBLINGS: u32 = 12; // 2 << 12 is more than the number of proxies
+/// About two calls: while the relay is reachable, the queue stays shorter than this.
 const COMPACT_MIN_ORDERS: usize = 4_096;
-// at most: the growth of an order's special characters when escaped, and its separator
+// upper bound per order: the bytes added by escaping its special characters, and its separator
 const ORDER_OVERHEAD_BYTES: usize = 8;
 
 /// An order in the relay's encoding, and the proxy that it depends on.
@@ -293,7 +293,7 @@
     }
 
     fn fail(&mut self, now: Nanos) {
-        let wait = backoff(self.failures, BACKOFF_FIRST, BACKOFF_MAX);
+        let wait = backoff(self.failures, INITIAL_BACKOFF, MAX_BACKOFF);
         self.failures += 1;
         self.retried += 1;
         self.end_call(now + wait);
@@ -363,7 +363,7 @@
         }
     }
 
-    /// The relay has taken the first `count` orders of the queue. Here, where the relay's actions are known,
+    /// The relay has accepted the first `count` orders of the queue. Here, where the relay's actions are known,
     /// it is checked that no order of one proxy, or of those that concern all, overtook another.
     fn acknowledge(&mut self, count: usize) {
         let taken: Vec<Queued> = self.queue.drain(..count).collect();
@@ -379,12 +379,12 @@
         }
     }
 
-    /// Number of orders taken out of sequence since the last call.
+    /// Number of orders accepted out of sequence since the last call.
     pub fn take_overtaken(&mut self) -> u64 {
         std::mem::take(&mut self.overtaken)
     }
 
-    /// The first order of the queue was not taken. It is sent once more, because the count may have been
+    /// The first order of the queue was not accepted. It is sent once more, because the count may have been
     /// malformed in transit and an order must not be lost; after a second refusal it is dropped and returned.
     /// All orders of its proxy wait for the second attempt: when hundreds of proxies leave at once, the
     /// orders of the others must not be delayed by each of them.
@@ -405,7 +405,7 @@
         self.queue = others;
         self.deferred.insert(proxy, Deferred { retry_at: now + REFUSED_RETRY_DELAY, orders: own_orders });
         self.refusals_in_row += 1;
-        // Its orders stay after all others until the relay takes one of them.
+        // Its orders stay after all others until the relay accepts one of them.
         if self.refusals_in_row > SUSPECT_AFTER_REFUSALS {
             self.suspects.insert(proxy);
         }
@@ -418,11 +418,11 @@
     /// delayed by a few calls only.
     fn extend_suspects(&mut self) {
         let Some(doublings) = self.refusals_in_row.checked_sub(SUSPECT_AFTER_REFUSALS) else { return };
-        let suspects_max = 2usize << doublings.min(SUSPECT_DOUBLINGS_MAX);
+        let max_suspects = 2usize << doublings.min(MAX_SUSPECT_DOUBLINGS);
         let unsuspected = self.queue.iter().filter(|queued| !queued.is_suspect);
         let mut next = BTreeSet::new();
         for proxy in unsuspected.filter_map(|queued| queued.order.proxy) {
-            if next.len() >= suspects_max {
+            if next.len() >= max_suspects {
                 break;
             }
             next.insert(proxy);
--- a/crates/craneknot-node/src/presence.rs
+++ b/crates/craneknot-node/src/presence.rs
@@ -2,10 +2,10 @@
 //! own delay.
 //!
 //! The joins and leaves of a proxy are counted together; an odd count means joined. For each stream it is
-//! known up to which count it has reported a proxy. The stream that is ahead is believed at once; what
+//! known up to which count it has reported a proxy. Reports of the stream that is ahead are applied at once; what
 //! another stream reports later is recognised by its count and not passed on again.
 //!
-//! A stream begins with a snapshot of the joined proxies, which does not tell how often they have joined. A
+//! A stream begins with a snapshot of the joined proxies, which does not state how often they have joined. A
 //! join in it is assumed to be the one that was known when the stream was dialled. If the stream that could
 //! have reported another join ends too early, the proxy is reported as joined again, because its bindings end
 //! with its stream.
@@ -301,7 +301,7 @@
     }
 }
 
-/// The lowest count from this one on that means joined.
+/// The lowest count, not below the given one, that means joined.
 fn next_joined_count(count: ChangeCount) -> ChangeCount {
     count + u64::from(!is_joined(count))
 }
--- a/crates/craneknot-node/src/server_age.rs
+++ b/crates/craneknot-node/src/server_age.rs
@@ -15,8 +15,8 @@
 use craneknot::interface::{Nanos, ServerId};
 
 /// A start is listed well before that: the platform states 6 s.
-const DISCOVERY_LAG_MAX: Nanos = Nanos::from_millis(15_000);
-const CLOCK_ERROR_MAX: Nanos = Nanos::from_millis(3_600_000); // how far a wall clock may be ahead: an hour
+const MAX_DISCOVERY_LAG: Nanos = Nanos::from_millis(15_000);
+const MAX_CLOCK_ERROR: Nanos = Nanos::from_millis(3_600_000); // how far a wall clock may be ahead: an hour
 /// A server that was removed for this long counts as a new one.
 const REMOVED_RETENTION: Nanos = Nanos::from_millis(600_000);
 
@@ -43,7 +43,7 @@
     observed: BTreeMap<ServerId, Observed>,
     /// When the last list arrived from discovery; `None`: none arrived yet.
     last_list_at: Option<Nanos>,
-    /// The least by which the wall clock that this process began with is behind.
+    /// A lower bound of how far the wall clock that this process began with is behind.
     clock_behind: Nanos,
     /// A start looked recent, which shows that the wall clock is not ahead.
     is_clock_not_ahead: bool,
@@ -56,7 +56,7 @@
     /// before any of its servers is observed.
     pub fn learn_clock(&mut self, now: Nanos, claimed: Nanos) {
         self.clock_behind = self.clock_behind.max(claimed - now);
-        self.is_clock_not_ahead |= claimed <= now && now - claimed <= DISCOVERY_LAG_MAX;
+        self.is_clock_not_ahead |= claimed <= now && now - claimed <= MAX_DISCOVERY_LAG;
         self.newest_claimed = self.newest_claimed.max(claimed);
     }
 
@@ -78,7 +78,7 @@
         let claimed = claimed.min(now + self.clock_behind) - self.clock_behind;
         // The previous list did not show this start although it lies long before that list: the wall clock is
         // ahead, or the server was not listed for a while.
-        let before = self.last_list_at.filter(|before| now - claimed > (now - *before) + DISCOVERY_LAG_MAX);
+        let before = self.last_list_at.filter(|before| now - claimed > (now - *before) + MAX_DISCOVERY_LAG);
         match before {
             Some(before) if is_restart || !self.is_clock_not_ahead => {
                 Start { latest: Some(before), is_certain: is_restart }
@@ -97,7 +97,7 @@
         if self.is_clock_not_ahead || self.clock_behind > Nanos(0) {
             return Nanos(0);
         }
-        CLOCK_ERROR_MAX.min(now - self.newest_claimed)
+        MAX_CLOCK_ERROR.min(now - self.newest_claimed)
     }
 
     /// A list from discovery has been applied completely.
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -28,8 +28,8 @@
 use crate::pending::CloseReason;
 use crate::status::{write_end, write_status, ProcessFigures};
 
-const MAX_INPUT: usize = 256 * 1024; // bytes read ahead from a collector or on an outgoing connection
-const MAX_OUTPUT: usize = 512 * 1024; // bytes queued for a peer: far more than a call or the lines of a client
+const MAX_INPUT_BYTES: usize = 256 * 1024; // bytes read ahead from a collector or on an outgoing connection
+const MAX_OUTPUT_BYTES: usize = 512 * 1024; // bytes queued for a peer: far more than a call or the lines of a client
 const SHUTDOWN_TIMEOUT: Nanos = Nanos::from_millis(900); // ms; clients may use their connections until the
                                                          // platform kills the process, 700 ms after SIGTERM
                                                          // at the earliest
@@ -178,7 +178,7 @@
         let config = retry_until(deadline, is_transient, || read_config(file, |file| fs::read(file)))
             .map_err(|cause| StartError::Config(cause.into_text()))?;
         let Descriptors { connections, accepts, .. } = Descriptors::divide(config.socket_limit);
-        let limits = Limits { input: MAX_INPUT, output: MAX_OUTPUT, connections, accepts };
+        let limits = Limits { input: MAX_INPUT_BYTES, output: MAX_OUTPUT_BYTES, connections, accepts };
         let make = || -> io::Result<(Reactor<Timer>, ListenerId, SocketAddr)> {
             let mut reactor = Reactor::new(clock.clone(), limits)?;
             let (listener, address) = reactor.listen(config.listen)?;
--- a/crates/craneknot-node/src/takeover.rs
+++ b/crates/craneknot-node/src/takeover.rs
@@ -5,8 +5,8 @@
 
 use craneknot::interface::{Nanos, Order, ProxyId};
 
-const PROXIES_MIN: usize = 8; // proxies that join within a short time; fewer occur in normal operation
-const JOIN_INTERVAL_MAX: Nanos = Nanos::from_millis(500); // between two joins of the same takeover
+const MIN_PROXIES: usize = 8; // proxies that join within a short time; fewer occur in normal operation
+const MAX_JOIN_INTERVAL: Nanos = Nanos::from_millis(500); // between two joins of the same takeover
 /// By then all proxies are bound and have acknowledged, and reports have arrived.
 const OBSERVATION_SPAN: Nanos = Nanos::from_millis(10_000);
 
@@ -47,7 +47,7 @@
     /// A proxy has joined.
     pub fn proxy_joined(&mut self, now: Nanos, proxy: ProxyId) {
         let is_over = |current: &Current| {
-            current.takeover.proxies < PROXIES_MIN && now - current.last_join_at > JOIN_INTERVAL_MAX
+            current.takeover.proxies < MIN_PROXIES && now - current.last_join_at > MAX_JOIN_INTERVAL
         };
         if self.0.as_ref().is_none_or(is_over) {
             self.0 = Some(Current { started_at: now, ..Current::default() });
@@ -100,6 +100,6 @@
     pub fn finished(&mut self, now: Nanos, joined: usize) -> Option<Takeover> {
         let current = self.0.take_if(|current| now - current.started_at >= OBSERVATION_SPAN)?;
         let unbound = current.unbound.len();
-        (current.takeover.proxies >= PROXIES_MIN).then_some(Takeover { joined, unbound, ..current.takeover })
+        (current.takeover.proxies >= MIN_PROXIES).then_some(Takeover { joined, unbound, ..current.takeover })
     }
 }
--- a/crates/craneknot-reactor/src/reactor/connections.rs
+++ b/crates/craneknot-reactor/src/reactor/connections.rs
@@ -164,7 +164,7 @@
     }
 
     /// When a lingering connection is closed; sooner while the limit of connections is reached, since others wait for
-    /// its place.
+    /// its slot.
     pub(super) fn linger_deadline(&self, conn: &Conn) -> Option<Nanos> {
         let Closing::Lingering { since } = conn.closing else { return None };
         let is_full = self.accepted_count >= self.limits.connections;
--- a/crates/craneknot-reactor/src/system_errors.rs
+++ b/crates/craneknot-reactor/src/system_errors.rs
@@ -32,7 +32,7 @@
     error.raw_os_error().is_some_and(|code| codes.contains(&code))
 }
 
-/// Whether the system lacks a resource for a moment or a signal interrupted the call: the same call may succeed later,
+/// Whether the system temporarily lacks a resource or a signal interrupted the call: the same call may succeed later,
 /// and its object is unchanged.
 pub fn is_transient(error: &io::Error) -> bool {
     is_one_of(error, TRANSIENT_ERRORS) || error.kind() == io::ErrorKind::WouldBlock
@@ -43,7 +43,7 @@
     is_one_of(error, FAILED_CONNECTION_ERRORS)
 }
 
-/// Whether a startup that failed with this error may succeed a moment later.
+/// Whether a startup that failed with this error may succeed shortly afterwards.
 pub fn is_transient_at_start(error: &io::Error) -> bool {
     is_transient(error) || is_one_of(error, ADDRESS_NOT_READY_ERRORS) || is_one_of(error, &[libc::EIO])
 }
--- a/src/cold_placements.rs
+++ b/src/cold_placements.rs
@@ -9,10 +9,10 @@
 use crate::state::ServerState::Cold;
 use crate::state::*;
 
-/// Share of the best observed yield that is relied on, since the maximum of noisy load reports is too high.
-const YIELD_SHARE: f64 = 0.75;
-/// Share of the yield derived from usual traffic that is relied on until the servers' capacity has been observed.
-const UNMEASURED_YIELD_SHARE: f64 = 0.5;
+/// Share of the best observed throughput that is relied on, since the maximum of noisy load reports is too high.
+const THROUGHPUT_SHARE: f64 = 0.75;
+/// Share of the throughput derived from usual traffic that is relied on until capacity has been observed.
+const USUAL_THROUGHPUT_SHARE: f64 = 0.5;
 /// Share of the load multiple at which a cold server fails that all proxies together may reach at their levels.
 const STEADY_LOAD_SHARE: f64 = 0.5;
 /// The same share for what may arrive within one window: each proxy admits one operation at once.
@@ -71,13 +71,16 @@
         group: usize,
         placement_index: usize,
     ) -> BTreeMap<usize, (f64, Retries)> {
-        let best_yield = self.best_throughput_per_weight.read(self.now);
-        let usual_yield =
-            UNMEASURED_YIELD_SHARE * self.usual_rate / DEFAULT_BUSY_SHARE / self.max_listed_weight.max(1.0);
-        let unit_yield =
-            if best_yield > 0.0 { YIELD_SHARE * best_yield * self.own_proxy_share() } else { usual_yield };
+        let best_throughput = self.best_throughput_per_weight.read(self.now);
+        let usual_throughput =
+            USUAL_THROUGHPUT_SHARE * self.usual_rate / DEFAULT_BUSY_SHARE / self.max_listed_weight.max(1.0);
+        let throughput_per_weight = if best_throughput > 0.0 {
+            THROUGHPUT_SHARE * best_throughput * self.own_proxy_share()
+        } else {
+            usual_throughput
+        };
         let weights = self.cold_weights(group, &self.placements[placement_index]);
-        let capacity = unit_yield * weights.iter().map(|(_, weight)| weight).sum::<f64>();
+        let capacity = throughput_per_weight * weights.iter().map(|(_, weight)| weight).sum::<f64>();
         let arrivals = self.table_arrivals(self.table_id(group, placement_index));
         let level = |class: usize, share: f64| match self.settings.level_unit {
             LevelUnit::Share => share.min(1.0),
--- a/src/levels.rs
+++ b/src/levels.rs
@@ -48,7 +48,7 @@
 /// Level that admits everything, in operations per second: more than any proxy carries.
 const UNLIMITED_RATE: f64 = 1e6;
 
-/// Load state of a group, strain, next state, effect on the limit of admitted load.
+/// The state machine of a group's load: state, trigger, next state, change of the limit of admitted load.
 const GROUP_TRANSITIONS: &[(LoadState, LoadTrigger, LoadState, LimitChange)] = &[
     (LoadState::Calm, LoadTrigger::Overloaded, LoadState::Shedding, LimitChange::Cut),
     (LoadState::Shedding, LoadTrigger::Overloaded, LoadState::Shedding, LimitChange::Cut),
@@ -62,10 +62,10 @@
     pub(crate) fn update_group_states(&mut self) {
         for index in 0..self.groups.len() {
             let arrived: f64 = self.groups[index].arrivals.iter().flatten().sum();
-            let best_yield =
+            let best_throughput =
                 self.best_throughput_per_weight.read(self.now) * DEFAULT_BUSY_SHARE * self.own_proxy_share();
             let group = &mut self.groups[index];
-            let proven = PROVEN_CAPACITY_SHARE * best_yield * group.weight_in_use;
+            let proven = PROVEN_CAPACITY_SHARE * best_throughput * group.weight_in_use;
             // If tries fail while the others are answered quickly, the cause is loss rather than overload.
             let (wait, answer) = (
                 group.outcomes.mean_wait() / self.latency_goal_range.0,
@@ -73,7 +73,7 @@
             );
             let since_change = self.now - group.changed_at;
             let (drain_limit, admitted) = (CUT_SHARE * group.outcomes.handled_rate, group.limit.min(arrived));
-            let strain = if wait > OVERLOAD_WAIT
+            let trigger = if wait > OVERLOAD_WAIT
                 && answer > LIGHT_LOAD_WAIT
                 && group.outcomes.tries >= MIN_TRIES
                 && group.busy.is_none()
@@ -87,7 +87,7 @@
             } else {
                 (answer < LIGHT_LOAD_WAIT).then_some(LoadTrigger::Light)
             };
-            let row = GROUP_TRANSITIONS.iter().find(|row| row.0 == group.load && Some(row.1) == strain);
+            let row = GROUP_TRANSITIONS.iter().find(|row| row.0 == group.load && Some(row.1) == trigger);
             let Some((_, _, next, effect)) = row else { continue };
             match effect {
                 LimitChange::Cut if since_change >= CUT_INTERVAL => {
@@ -164,17 +164,18 @@
         // Capacity of the members that is left beside the load of other controllers: a permanent ceiling where busy
         // shares are reported; otherwise a ceiling only while some member is cold or while nothing is known but the
         // usual traffic and the listed weights.
-        let best_yield = self.best_throughput_per_weight.read(self.now);
-        let usual_yield = self.usual_rate / DEFAULT_BUSY_SHARE / self.max_listed_weight.max(1.0);
-        let unit_yield = if best_yield > 0.0 { best_yield * self.own_proxy_share() } else { usual_yield };
+        let best_throughput = self.best_throughput_per_weight.read(self.now);
+        let usual_throughput = self.usual_rate / DEFAULT_BUSY_SHARE / self.max_listed_weight.max(1.0);
+        let throughput_per_weight =
+            if best_throughput > 0.0 { best_throughput * self.own_proxy_share() } else { usual_throughput };
         let cold_weight = (self.total_weight(index, &self.placements[0]) - group.weight_in_use).max(0.0);
-        let capacity = match group.busy.filter(|_| best_yield > 0.0) {
+        let capacity = match group.busy.filter(|_| best_throughput > 0.0) {
             Some(busy) => {
                 group.outcomes.handled_rate
-                    + unit_yield * ((TARGET_BUSY_SHARE - busy) * group.weight_in_use + cold_weight)
+                    + throughput_per_weight * ((TARGET_BUSY_SHARE - busy) * group.weight_in_use + cold_weight)
             }
-            None if group.cold_outcomes.is_some() || best_yield == 0.0 => {
-                unit_yield * (group.weight_in_use + cold_weight)
+            None if group.cold_outcomes.is_some() || best_throughput == 0.0 => {
+                throughput_per_weight * (group.weight_in_use + cold_weight)
             }
             None => f64::INFINITY,
         };
@@ -187,10 +188,10 @@
                 LevelUnit::Rate => UNLIMITED_RATE,
                 LevelUnit::Ignored => 1.0,
             };
-            let calm = group.load == LoadState::Calm && group.cold_outcomes.is_none() && share >= 1.0;
+            let is_calm = group.load == LoadState::Calm && group.cold_outcomes.is_none() && share >= 1.0;
             // Further tries add load, and only tries that have certainly not run are safe to repeat for every class.
-            let tries = if calm { Retries::IfNotExecuted } else { Retries::Never };
-            levels.insert(class, (level, tries));
+            let allowed_retries = if is_calm { Retries::IfNotExecuted } else { Retries::Never };
+            levels.insert(class, (level, allowed_retries));
         }
         levels
     }
@@ -204,9 +205,9 @@
             let classes = self.classes.iter().zip(&totals);
             classes.filter(|(other, _)| fits(&other.importance, &importance)).map(|(_, total)| total).sum()
         };
-        let share = |(class, row): (usize, &ClassRules)| {
-            let left = limit - total_where(f64::gt, row.importance);
-            (class, (left / total_where(f64::eq, row.importance).max(0.1)).max(MIN_SHARE))
+        let share = |(class, rules): (usize, &ClassRules)| {
+            let remaining = limit - total_where(f64::gt, rules.importance);
+            (class, (remaining / total_where(f64::eq, rules.importance).max(0.1)).max(MIN_SHARE))
         };
         // Skip classes that no proxy uses here: a level would only affect the proxies that are bound next.
         let is_used = |(class, _): &(usize, &ClassRules)| !arrivals[*class].is_empty();
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -61,7 +61,7 @@
 pub(crate) const DEFAULT_BUSY_SHARE: f64 = 0.6;
 /// Smallest share of a weight or a level: some traffic must remain to judge a server or class by.
 pub(crate) const MIN_SHARE: f64 = 0.02;
-/// First delay before the list is requested again.
+/// Shortest delay before the list is requested again, doubled with each further failure.
 const MIN_LIST_RETRY_DELAY: Nanos = Nanos::from_millis(500);
 /// Longest delay before the list is requested again; all controllers share one discovery service.
 const MAX_LIST_RETRY_DELAY: Nanos = Nanos::from_millis(4_000);
@@ -143,8 +143,8 @@
                 server.in_flight.add(now, half_life, report.in_flight);
                 // An unanswered try counts as a wait of the longest latency goal.
                 let (tries, failed) = (*tries as f64, *tries.min(unanswered) as f64);
-                let answering = (tries - failed) * latency.secs();
-                let waited = answering + failed * self.latency_goal_range.1;
+                let answer_secs = (tries - failed) * latency.secs();
+                let wait_secs = answer_secs + failed * self.latency_goal_range.1;
                 let outcomes =
                     if *zone == server.listing.zone { &mut server.own_zone } else { &mut server.other_zones };
                 outcomes.add(
@@ -153,8 +153,8 @@
                     Outcomes {
                         tries,
                         failed,
-                        waited_secs: waited,
-                        answered_secs: answering,
+                        waited_secs: wait_secs,
+                        answered_secs: answer_secs,
                         ..Outcomes::default()
                     },
                 );
@@ -186,9 +186,10 @@
             Event::OrderRefused { order } => {
                 self.record_refusal(order);
                 if let Some(subject) = Subject::of(order) {
-                    let times = self.refusals.get(&subject).map_or(0, |refusal| refusal.count);
-                    let wait = Nanos(REFUSED_ORDER_RETRY_DELAY.0 << times.min(MAX_REFUSED_ORDER_DOUBLINGS));
-                    self.refusals.insert(subject, Refusal { count: times + 1, retry_at: now + wait });
+                    let refusal_count = self.refusals.get(&subject).map_or(0, |refusal| refusal.count);
+                    let wait =
+                        Nanos(REFUSED_ORDER_RETRY_DELAY.0 << refusal_count.min(MAX_REFUSED_ORDER_DOUBLINGS));
+                    self.refusals.insert(subject, Refusal { count: refusal_count + 1, retry_at: now + wait });
                 }
             }
             Event::Applied { mark, .. } => self.channel.applied(*mark),
@@ -294,9 +295,9 @@
     pub(crate) fn server_weights(&self, group: usize, placement: &Placement) -> Vec<(&Server, f64)> {
         let fits = |s: &&Server| s.is_ready() && placement.allows(&s.listing);
         let members = || self.groups[group].members.iter().map(|id| &self.servers[id]).filter(fits);
-        let held_back = self.groups[group].min_warm_share();
+        let min_warm_share = self.groups[group].min_warm_share();
         let weight_of = |s: &Server| {
-            s.listed_weight() * s.usable_share(self.now, self.started_at, &self.settings, held_back)
+            s.listed_weight() * s.usable_share(self.now, self.started_at, &self.settings, min_warm_share)
         };
         let mut usable: Vec<_> =
             members().map(|s| (s, weight_of(s))).filter(|(_, weight)| *weight > 0.0).collect();
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a controller: plain types and totals, without any decisions or tuned values.
+//! The state of a controller: plain types and totals. The decisions and their thresholds are in the policy files.
 
 mod binding;
 mod channel;
@@ -60,7 +60,7 @@
     pub(crate) started_at: Nanos,
     pub(crate) now: Nanos,
     pub(crate) classes: Vec<ClassRules>,
-    /// The shortest latency goal and the longest, s.
+    /// The shortest and the longest latency goal, in seconds.
     pub(crate) latency_goal_range: (f64, f64),
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) proxies: BTreeMap<ProxyId, Proxy>,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Records a state change for reporting. Changes beyond `MAX_TRANSITIONS` are dropped: nobody has taken
-    /// any for long.
+    /// Records a state change for reporting. Changes beyond `MAX_TRANSITIONS` are dropped: the host has
+    /// not taken any for a long time.
     pub(crate) fn record_transition(&mut self, transition: Transition) {
         if self.transitions.len() < MAX_TRANSITIONS {
             self.transitions.push(transition);
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -112,8 +112,8 @@
         let mut others = world.lines(0, 2);
         others.remove(&server(10));
         let full = others.into_values().fold(0.0, f64::max);
-        let most = warm_share(&world, start) * 1.12; // a line is sent again from a change of 12% on
-        assert!(weight <= most * full, "{weight} of {full} at {:?}", world.now - start);
+        let max_share = warm_share(&world, start) * 1.12; // a line is sent again from a change of 12% on
+        assert!(weight <= max_share * full, "{weight} of {full} at {:?}", world.now - start);
         first_weight.get_or_insert(weight);
     }
     let (first_weight, later_weight) = (first_weight.expect("never added"), world.lines(0, 2)[&server(10)]);
@@ -348,7 +348,7 @@
 #[test]
 fn replaced_servers_are_forgotten_and_a_recently_removed_one_is_not() {
     let mut world = calm_world(LevelUnit::Share);
-    let mut most = 0;
+    let mut max_known = 0;
     for number in 10..400 {
         // Each server is listed for ten rounds, started long ago, and drained before it is removed.
         let entries = [World::change(number, None, Readiness::Ready)];
@@ -358,10 +358,10 @@
             world.step(1.0, &[World::change(number - 10, None, Readiness::Removed)]);
         }
         pass(&mut world, 1, &[], 9, Some(0.5));
-        most = most.max(world.controller.known_servers());
+        max_known = max_known.max(world.controller.known_servers());
     }
-    assert!(most <= 50, "{most} servers are kept, 20 of them listed and about 15 recently removed");
-    assert!(most >= 30, "{most} servers are kept: one that returns soon must still be known");
+    assert!(max_known <= 50, "{max_known} servers are kept, 20 of them listed and about 15 recently removed");
+    assert!(max_known >= 30, "{max_known} servers are kept: one that returns soon must still be known");
     for proxy in 0..6 {
         assert!(
             world.lines(proxy, 0).len() >= 4,
@@ -415,7 +415,7 @@
     }
 }
 
-/// A permanently refused order is retried less and less often; one refused for a moment is retried soon.
+/// A permanently refused order is retried less and less often; one refused temporarily is retried soon.
 #[test]
 fn a_refused_order_is_retried_with_growing_delays() {
     let mut world = World::new(settings(LevelUnit::Share), 7, 10);
@@ -515,9 +515,9 @@
     let (capacity, window) = (16.0, world.settings.overload_window.secs());
     let level = world.levels[&(world.bound[&(ProxyId(0), 2)], 2)].0;
     let burst = f64::from(proxies) * window.min(1.0 + level * window);
-    let most = world.settings.overload_multiple * capacity * warm_share(&world, start) * window;
+    let max_burst = world.settings.overload_multiple * capacity * warm_share(&world, start) * window;
     assert!(
-        level == 0.0 || burst <= most,
-        "at a level of {level}, {burst} may arrive at once; {most} overload the server"
+        level == 0.0 || burst <= max_burst,
+        "at a level of {level}, {burst} may arrive at once; {max_burst} overload the server"
     );
 }
