--- a/crates/craneknot-coordinator/src/engine.rs
+++ b/crates/craneknot-coordinator/src/engine.rs
@@ -209,7 +209,7 @@
     channel: Channel<(StreamId, Message)>,
     reports: ReportAggregator,
     ledger: Option<Ledger>,
-    steer: Option<WeightTuner>,
+    weight_tuner: Option<WeightTuner>,
     roster: RosterValidator,
     streams: BTreeMap<StreamId, Stream>,
     stream_by_proxy: BTreeMap<ProxyId, StreamId>,
@@ -254,7 +254,7 @@
         decider: impl FnOnce(&Settings) -> Box<dyn Decider>,
     ) -> Self {
         let (names, decisions) = settings.controller_settings();
-        let steer = settings
+        let weight_tuner = settings
             .solver
             .as_ref()
             .map(|_| WeightTuner::new(weights::solver_settings(settings, &decisions), now));
@@ -277,7 +277,7 @@
             reports: ReportAggregator::new(names.classes.clone()),
             ledger: settings.ledger.as_ref().map(|_| Ledger::new(Header::of(settings, now))),
             roster: RosterValidator::new(decisions.drain_grace),
-            steer,
+            weight_tuner,
             names,
             flush_at: now + decisions.report_period,
             settings: decisions,
@@ -374,7 +374,7 @@
     }
 
     /// Who is responsible for a proxy now, and the epoch in which orders may be sent to it.
-    fn charge(&self, now: Nanos, proxy: &str) -> Ownership {
+    fn ownership(&self, now: Nanos, proxy: &str) -> Ownership {
         self.fleet.as_ref().map_or(Ownership::Owned(Epoch(0)), |fleet| fleet.ownership(now, proxy))
     }
 
@@ -391,9 +391,9 @@
         }
         (self.checked_epoch, self.unowned_streams) = (view, 0);
         for id in self.streams.keys().copied().collect::<Vec<StreamId>>() {
-            let charge = self.charge(now, self.proxy_name(id));
+            let ownership = self.ownership(now, self.proxy_name(id));
             let Some(stream) = self.streams.get_mut(&id) else { continue };
-            match charge {
+            match ownership {
                 Ownership::Owned(_) => stream.owner_unknown_since = None,
                 Ownership::OwnedBy(to) => {
                     self.sent_on += 1;
@@ -506,7 +506,7 @@
         if !self.names.has_zone(&node.locality.zone) {
             return Err(RequestError::UnknownZone(node.locality.zone.clone()));
         }
-        match self.charge(now, &node.id) {
+        match self.ownership(now, &node.id) {
             Ownership::Owned(_) => {}
             Ownership::OwnedBy(to) => {
                 self.sent_on += 1;
@@ -555,7 +555,7 @@
         self.proxy_ids.release(stream.proxy);
         self.reports.remove_proxy(stream.proxy);
         self.resources.leave(stream.proxy);
-        self.channel.discard(now, |(of, _)| *of == id);
+        self.channel.discard(now, |(stream, _)| *stream == id);
         self.events.push(Event::ProxyLeft { proxy: stream.proxy });
     }
 
@@ -621,8 +621,8 @@
         if let Some(ledger) = &mut self.ledger {
             ledger.record_events(now, &events, &self.names);
         }
-        if let Some(steer) = &mut self.steer {
-            steer.step(now, &mut events);
+        if let Some(weight_tuner) = &mut self.weight_tuner {
+            weight_tuner.step(now, &mut events);
         }
         let orders = self.decider.step(now, &events);
         if let Some(ledger) = &mut self.ledger {
@@ -683,9 +683,9 @@
             if !self.resources.has_all_bindings(stream.proxy) {
                 continue;
             }
-            let charge =
+            let ownership =
                 self.fleet.as_ref().map(|fleet| fleet.ownership(now, self.proxy_ids.name(stream.proxy)));
-            let epoch = match charge {
+            let epoch = match ownership {
                 None => 0,
                 Some(Ownership::Owned(epoch)) => epoch.0,
                 // The stream waits; every change of view or lease marks all streams as ready.
@@ -737,12 +737,12 @@
 
     /// Weights that have changed since the last call.
     pub fn weight_changes(&mut self) -> Vec<Change> {
-        self.steer.as_mut().map(WeightTuner::take_changes).unwrap_or_default()
+        self.weight_tuner.as_mut().map(WeightTuner::take_changes).unwrap_or_default()
     }
 
     /// Why servers have their weights, where this coordinator computes them.
     pub fn explain(&self, now: Nanos) -> Option<Explanation> {
-        self.steer.as_ref().map(|steer| explain(steer, now, &weights::SolverNames(&self.names)))
+        self.weight_tuner.as_ref().map(|tuner| explain(tuner, now, &weights::SolverNames(&self.names)))
     }
 
     /// How often the decisions have run.
--- a/crates/craneknot-coordinator/src/ledger.rs
+++ b/crates/craneknot-coordinator/src/ledger.rs
@@ -161,13 +161,13 @@
     fn trim(&mut self) {
         let excess = self.lines.len().saturating_sub(MAX_PENDING_LINES);
         // Drops the oldest lines, except definitions of servers, which later lines refer to.
-        let mut to_drop = excess;
+        let mut left_to_drop = excess;
         self.lines.retain(|line| {
-            let is_dropped = to_drop > 0 && !matches!(line, Line::Server(..));
-            to_drop -= usize::from(is_dropped);
+            let is_dropped = left_to_drop > 0 && !matches!(line, Line::Server(..));
+            left_to_drop -= usize::from(is_dropped);
             !is_dropped
         });
-        self.dropped += (excess - to_drop) as u64;
+        self.dropped += (excess - left_to_drop) as u64;
     }
 
     fn server_number(&mut self, server: &ServerId, zone: &str, kind: &str) -> u32 {
@@ -268,7 +268,8 @@
 
     /// Records how many orders were given.
     pub fn record_orders(&mut self, now: Nanos, orders: &[Order]) {
-        let count = |of: fn(&Order) -> bool| orders.iter().filter(|order| of(order)).count() as u32;
+        let count =
+            |is_counted: fn(&Order) -> bool| orders.iter().filter(|order| is_counted(order)).count() as u32;
         let lines = count(|order| matches!(order, Order::Line { .. }));
         let binds = count(|order| matches!(order, Order::Bind { .. }));
         let levels = count(|order| matches!(order, Order::Level { .. }));
@@ -437,8 +438,8 @@
             Err(cause) => {
                 // At the end of the file it is a truncated write; with more data behind it, damage.
                 let mut rest = Vec::new();
-                let more = input.read_to_end(&mut rest).map_err(Fault::System)?;
-                if more > 0 {
+                let rest_bytes = input.read_to_end(&mut rest).map_err(Fault::System)?;
+                if rest_bytes > 0 {
                     return Err(Fault::Line(number + 1, format!("damaged: {cause}")));
                 }
                 torn = true;
@@ -616,9 +617,9 @@
             }
         }
         // Damage in the middle is not taken for the end.
-        let mut flipped = whole.clone();
-        flipped[first / 2] ^= 0x40;
-        fs::write(&path, &flipped).unwrap();
+        let mut damaged_file = whole.clone();
+        damaged_file[first / 2] ^= 0x40;
+        fs::write(&path, &damaged_file).unwrap();
         assert!(read(&path).is_err());
     }
 
@@ -649,8 +650,8 @@
         fs::create_dir(folder.path().join("nowhere")).unwrap();
         file.write(&mut ledger, Nanos(2)).unwrap();
         assert!(read(&folder.path().join("nowhere/l.gz")).unwrap().lines.len() >= 6);
-        let many = vec![Line::ListFailed(1); MAX_PENDING_LINES + 5];
-        ledger.requeue(many);
+        let excess_lines = vec![Line::ListFailed(1); MAX_PENDING_LINES + 5];
+        ledger.requeue(excess_lines);
         assert_eq!(ledger.take().last(), Some(&Line::Dropped(5)));
     }
 
--- a/crates/craneknot-coordinator/src/report_aggregator.rs
+++ b/crates/craneknot-coordinator/src/report_aggregator.rs
@@ -67,7 +67,7 @@
     }
 
     pub fn remove_proxy(&mut self, proxy: ProxyId) {
-        self.demand_totals.retain(|(of, _), _| *of != proxy);
+        self.demand_totals.retain(|(reporter, _), _| *reporter != proxy);
     }
 
     pub fn add_report(
--- a/crates/craneknot-coordinator/src/shell.rs
+++ b/crates/craneknot-coordinator/src/shell.rs
@@ -134,7 +134,7 @@
 
     fn save_followed(&mut self, followed: &[(String, String)]) -> Result<(), StoreError> {
         let record_count = self.store.with_prefix(FOLLOWED_PREFIX).count();
-        let room = MAX_FOLLOWED_RECORDS.saturating_sub(record_count);
+        let free_records = MAX_FOLLOWED_RECORDS.saturating_sub(record_count);
         let named: Vec<(String, &str)> = followed
             .iter()
             .map(|(name, version)| (format!("{FOLLOWED_PREFIX}{name}"), version.as_str()))
@@ -142,7 +142,7 @@
         let retained = named
             .iter()
             .filter(|(name, _)| self.store.get(name).is_some())
-            .chain(named.iter().filter(|(name, _)| self.store.get(name).is_none()).take(room));
+            .chain(named.iter().filter(|(name, _)| self.store.get(name).is_none()).take(free_records));
         let changes: Vec<(&str, Option<&[u8]>)> =
             retained.map(|(name, version)| (name.as_str(), Some(version.as_bytes()))).collect();
         self.store.put(&changes)
--- a/crates/craneknot-node/src/coordinator.rs
+++ b/crates/craneknot-node/src/coordinator.rs
@@ -562,8 +562,8 @@
     /// When the next turn is due if no input arrives.
     pub fn next_at(&self, now: Nanos) -> Option<Nanos> {
         if self.shutting_down {
-            let make_way = self.backlog.then_some(now + STEP_INTERVAL);
-            return [self.order_queue.next_at(), make_way].into_iter().flatten().min();
+            let evict_at = self.backlog.then_some(now + STEP_INTERVAL);
+            return [self.order_queue.next_at(), evict_at].into_iter().flatten().min();
         }
         let step = (!self.events.is_empty()).then_some(self.last_step_at + STEP_INTERVAL);
         let times = [
--- a/crates/craneknot-node/src/event_streams.rs
+++ b/crates/craneknot-node/src/event_streams.rs
@@ -1,5 +1,5 @@
 //! The event streams of the relay. Two streams are kept open, and an event is passed on once, by whichever
-//! stream brings it first. So no event waits for a late or silent stream, and none is lost when a stream
+//! stream delivers it first. So no event waits for a late or silent stream, and none is lost when a stream
 //! breaks.
 
 use std::collections::BTreeMap;
@@ -75,7 +75,7 @@
     address: SocketAddr,
     streams: Vec<EventStream>,
     presence: Presence,
-    /// The acknowledgements passed on recently, with their times: the other streams bring them too.
+    /// The acknowledgements passed on recently, with their times: the other streams deliver them too.
     applied_at: BTreeMap<(ProxyId, u16), Nanos>,
     /// When the remaining streams have had time to report what an ended stream reported last.
     uncertainty_ends_at: Option<Nanos>,
@@ -139,13 +139,13 @@
             .iter()
             .filter(|stream| stream.address == address && stream.is_established(now))
             .count();
-        let late = |stream: &EventStream| match stream.opened_at {
+        let has_timed_out = |stream: &EventStream| match stream.opened_at {
             None => now - stream.dialled_at >= OPEN_TIMEOUT,
             Some(_) if stream.address != address && established >= STREAM_COUNT => true,
             Some(_) => !stream.is_alive(now) && (is_any_alive || Some(stream.link) != last),
         };
-        let late = self.streams.iter().filter(|stream| late(stream)).map(|stream| stream.link);
-        for link in late.collect::<Vec<_>>() {
+        let timed_out = self.streams.iter().filter(|stream| has_timed_out(stream)).map(|stream| stream.link);
+        for link in timed_out.collect::<Vec<_>>() {
             link_actions.push(LinkAction::Close { link });
             self.lost(now, link, out);
         }
@@ -321,9 +321,9 @@
     /// When the next stream that others may wait for becomes quiet.
     fn quiet_at(&self, now: Nanos) -> Option<Nanos> {
         let is_awaited = self.streams.iter().any(|stream| stream.view.assumed_since().is_some());
-        let quiet =
+        let quiet_times =
             self.streams.iter().map(|stream| stream.last_input_at + QUIET_AFTER).filter(|at| *at > now);
-        quiet.min().filter(|_| is_awaited)
+        quiet_times.min().filter(|_| is_awaited)
     }
 
     /// When the next turn is due if no input arrives. A silent stream that is kept sets no time.
--- a/crates/craneknot-node/src/order_queue.rs
+++ b/crates/craneknot-node/src/order_queue.rs
@@ -333,12 +333,13 @@
         let answer = relay::parse_answer(body, orders);
         self.is_throttled = matches!(answer, Ok(Answer::Rejected(Rejection::Throttled)));
         match answer {
-            Ok(Answer::Accepted(taken)) => {
+            Ok(Answer::Accepted(accepted)) => {
                 self.failures = 0;
-                self.acknowledge(taken);
-                self.refusals_in_row = if taken < orders { self.refusals_in_row } else { 0 };
+                self.acknowledge(accepted);
+                self.refusals_in_row = if accepted < orders { self.refusals_in_row } else { 0 };
                 // The relay refuses the next order, unless that was cancelled in the meantime.
-                let is_refused = taken < orders && self.queue.front().is_some_and(|next| !next.is_cancelled);
+                let is_refused =
+                    accepted < orders && self.queue.front().is_some_and(|next| !next.is_cancelled);
                 let given_up = if is_refused { self.order_refused(now) } else { None };
                 self.end_call(now);
                 given_up.map_or(Ok(()), |order| Err(format!("the relay rejected {} twice", order.text)))
@@ -366,8 +367,8 @@
     /// The relay has accepted the first `count` orders of the queue. Here, where the relay's actions are known,
     /// it is checked that no order of one proxy, or of those that concern all, overtook another.
     fn acknowledge(&mut self, count: usize) {
-        let taken: Vec<Queued> = self.queue.drain(..count).collect();
-        for queued in taken {
+        let accepted: Vec<Queued> = self.queue.drain(..count).collect();
+        for queued in accepted {
             if queued.order.proxy.is_some_and(|proxy| self.suspects.remove(&proxy)) {
                 self.clear_suspicion(queued.order.proxy);
             }
--- a/crates/craneknot-node/src/shell.rs
+++ b/crates/craneknot-node/src/shell.rs
@@ -179,13 +179,13 @@
             .map_err(|cause| StartError::Config(cause.into_text()))?;
         let Descriptors { connections, accepts, .. } = Descriptors::divide(config.socket_limit);
         let limits = Limits { input: MAX_INPUT_BYTES, output: MAX_OUTPUT_BYTES, connections, accepts };
-        let make = || -> io::Result<(Reactor<Timer>, ListenerId, SocketAddr)> {
+        let listen = || -> io::Result<(Reactor<Timer>, ListenerId, SocketAddr)> {
             let mut reactor = Reactor::new(clock.clone(), limits)?;
             let (listener, address) = reactor.listen(config.listen)?;
             Ok((reactor, listener, address))
         };
-        let made = retry_until(deadline, is_transient_at_start, make).map_err(StartError::System)?;
-        let (mut reactor, listener, address) = made;
+        let listening = retry_until(deadline, is_transient_at_start, listen).map_err(StartError::System)?;
+        let (mut reactor, listener, address) = listening;
         reactor.watch_signals(flags);
         let now = reactor.now();
         info!(
--- a/crates/craneknot-node/src/status.rs
+++ b/crates/craneknot-node/src/status.rs
@@ -109,10 +109,10 @@
 /// Writes the last lines of a process: the longest time that a proxy had no line, and the work left undone.
 pub fn write_end(status: &Status, violations: Violations) {
     let longest = status.longest_without_line.iter().max_by_key(|longest| longest.longest.gap.lasted);
-    let lapse = longest.map(|longest| &longest.longest.gap);
+    let longest_gap = longest.map(|longest| &longest.longest.gap);
     let (bare_longest_ms, bare_now) =
-        (lapse.map_or(0, |lapse| millis(lapse.lasted)), status.coverage.without_line);
-    let supply = lapse.map(|lapse| format!("{:?}", lapse.supply));
+        (longest_gap.map_or(0, |longest_gap| millis(longest_gap.lasted)), status.coverage.without_line);
+    let supply = longest_gap.map(|longest_gap| format!("{:?}", longest_gap.supply));
     let class = longest.map(|longest| sanitized_prefix(&longest.class, MAX_CLASS_CHARS));
     let over_limit = status.coverage.over_limit;
     info!(over_limit, bare_now, bare_longest_ms, class, supply, "ended");
@@ -130,15 +130,15 @@
 /// Writes the longest time since the start. It is repeated with each status, since readers keep only the
 /// beginning and the end of a log. `now`: the number of proxies and classes without a line now.
 fn write_longest(kind: &str, longest: Option<&NamedLapse>, now: usize) {
-    let lapse = longest.map(|longest| &longest.longest.gap);
+    let longest_gap = longest.map(|longest| &longest.longest.gap);
     info!(
         now,
-        longest_ms = lapse.map_or(0, |lapse| millis(lapse.lasted)),
+        longest_ms = longest_gap.map_or(0, |longest_gap| millis(longest_gap.lasted)),
         after_s = longest.map(|longest| millis(longest.since_start) / 1_000),
-        proxy = lapse.map(|lapse| lapse.proxy.0),
+        proxy = longest_gap.map(|longest_gap| longest_gap.proxy.0),
         class = longest.map(|longest| sanitized_prefix(&longest.class, MAX_CLASS_CHARS)),
-        waiting_for = lapse.map(|lapse| format!("{:?}", lapse.waiting_for)),
-        supply = lapse.map(|lapse| format!("{:?}", lapse.supply)),
+        waiting_for = longest_gap.map(|longest_gap| format!("{:?}", longest_gap.waiting_for)),
+        supply = longest_gap.map(|longest_gap| format!("{:?}", longest_gap.supply)),
         "{kind}"
     );
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -89,7 +89,7 @@
         self.is_warm(now, settings) || !self.listing.is_start_certain
     }
 
-    /// The share of its capacity that it has reached at least in its warm-up.
+    /// A lower bound of the share of its capacity that it has reached in its warm-up.
     pub(crate) fn warm_share(&self, now: Nanos, settings: &Settings) -> f64 {
         let warmth = |started: Nanos| ((now - started).secs() / settings.warm_after.secs()).min(1.0);
         let ramp = |warmth: f64| settings.cold_share + (1.0 - settings.cold_share) * warmth;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -144,9 +144,9 @@
     pub cold_share: f64,
     /// A server is warm at the latest this long after its start.
     pub warm_after: Nanos,
-    /// A cold server that gets more than this multiple of its current capacity ...
+    /// Multiple of its current capacity above which load makes a cold server fail, if it lasts for `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long fails.
+    /// How long a load above `overload_multiple` must last to make a cold server fail.
     pub overload_window: Nanos,
     /// How long a proxy may have no line.
     pub no_line_limit: Nanos,
--- a/src/sender.rs
+++ b/src/sender.rs
@@ -123,16 +123,15 @@
                 (rank, Order::Line { table, server, weight })
             };
             let lines = current.changes(&desired, MIN_RELATIVE_CHANGE).into_iter().map(line);
-            let level = |(class, (level, allowed_retries)): (usize, (f64, Retries))| {
+            let level = |(class, (level, retry)): (usize, (f64, Retries))| {
                 let old = current.levels.get(&class);
-                let differs = |old: &(f64, _)| {
-                    allowed_retries != old.1 || (level - old.0).abs() > MIN_RELATIVE_CHANGE * old.0
-                };
+                let differs =
+                    |old: &(f64, _)| retry != old.1 || (level - old.0).abs() > MIN_RELATIVE_CHANGE * old.0;
                 let is_lower = old.is_none_or(|old| level < old.0);
                 let rank = if is_cold && is_lower { 1 } else { rank(4) };
                 let classes = ClassSet::of(ClassId(class as u8));
                 old.is_none_or(differs)
-                    .then_some((rank, Order::Level { table, classes, level, retries: allowed_retries }))
+                    .then_some((rank, Order::Level { table, classes, level, retries: retry }))
             };
             let levels = levels.into_iter().filter_map(level);
             // Levels that limit the load to what cold servers can handle are sent before the lines to them.
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -8,7 +8,7 @@
 pub enum ServerState {
     /// Not listed as ready: in no table.
     Away,
-    /// Started recently: its weight grows with the capacity it has reached at least.
+    /// Started recently: its weight grows with the lower bound of its capacity.
     Cold,
     Open,
     /// Suspected of a fault: probed, but still in the tables.
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -261,11 +261,11 @@
             .keys()
             .flat_map(|proxy| (0..self.settings.classes.len()).map(move |class| (*proxy, class)))
         {
-            let row = &self.settings.classes[class];
+            let settings = &self.settings.classes[class];
             let allowed = |entry: &Listing| {
-                (row.only_zones.is_empty() || row.only_zones.contains(&entry.zone))
-                    && (row.only_kinds.is_empty() || row.only_kinds.contains(&entry.kind))
-                    && (!row.home_only || entry.zone == ZoneId(proxy.0 % 2))
+                (settings.only_zones.is_empty() || settings.only_zones.contains(&entry.zone))
+                    && (settings.only_kinds.is_empty() || settings.only_kinds.contains(&entry.kind))
+                    && (!settings.home_only || entry.zone == ZoneId(proxy.0 % 2))
             };
             let warm = |entry: &Listing| {
                 entry.started.is_none_or(|started| self.now - started >= self.settings.warm_after)
@@ -312,7 +312,10 @@
             }
             let retries = self.levels.get(&(*table, class)).map_or(Retries::Never, |(_, retries)| *retries);
             let may_run_twice = matches!(retries, Retries::Once | Retries::Twice);
-            assert!(row.repeats == Repeats::Safe || !may_run_twice, "rule 2: class {class} may run twice");
+            assert!(
+                settings.repeats == Repeats::Safe || !may_run_twice,
+                "rule 2: class {class} may run twice"
+            );
         }
         self.no_line_since = no_line_since;
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -107,10 +107,10 @@
     })
 }
 
-fn rules_hold(inputs: Vec<(Input, Input, u8)>, units: u8, seed: u64) -> bool {
-    let unit = [LevelUnit::Share, LevelUnit::Rate, LevelUnit::Ignored][usize::from(units % 3)];
+fn rules_hold(inputs: Vec<(Input, Input, u8)>, variant: u8, seed: u64) -> bool {
+    let unit = [LevelUnit::Share, LevelUnit::Rate, LevelUnit::Ignored][usize::from(variant % 3)];
     let mut settings = settings(unit);
-    if units.is_multiple_of(2) {
+    if variant.is_multiple_of(2) {
         // A channel too small to take all orders at once.
         (settings.channel_lines_per_second, settings.channel_lines_limit) = (500.0, 180.0);
     }
@@ -120,14 +120,14 @@
         2 => settings.classes[0].only_zones = vec![ZoneId(1)],
         _ => {}
     }
-    let mut world = World::new(settings, seed, 6 + usize::from(units % 7));
+    let mut world = World::new(settings, seed, 6 + usize::from(variant % 7));
     world.step(0.1, &(0..6).map(World::join).collect::<Vec<_>>());
     for (first, second, pause) in &inputs {
         let events: Vec<Event> =
             [first, second].into_iter().filter_map(|input| event_of(input, &world)).collect();
         let mut pause = f64::from(*pause) / 128.0;
         // With a small channel the controller needs the wake-ups that it asked for.
-        while units.is_multiple_of(2) && pause > EVALUATION_INTERVAL_S {
+        while variant.is_multiple_of(2) && pause > EVALUATION_INTERVAL_S {
             world.step(EVALUATION_INTERVAL_S, &[Event::Woken]);
             pause -= EVALUATION_INTERVAL_S;
         }
