--- a/crates/craneknot-model/src/experiment.rs
+++ b/crates/craneknot-model/src/experiment.rs
@@ -332,9 +332,9 @@
     mut progress: impl FnMut(&SingleRun),
 ) -> Outcome {
     let run_options = RunOptions { build: Some(build), cost: options.cost, ..RunOptions::default() };
-    let one = |number| play_single(&with_seed_offset(script, number), run_options, options.baselines);
+    let run_one = |number| play_single(&with_seed_offset(script, number), run_options, options.baselines);
     let report_batch = |batch: &[SingleRun]| batch.iter().for_each(&mut progress);
-    let singles = run_until_narrow(options, one, |single| single.service, report_batch);
+    let singles = run_until_narrow(options, run_one, |single| single.service, report_batch);
     let arm = Arm::of(script.name.clone(), BTreeMap::new(), script.clone(), singles);
     Outcome::new(vec![Arm { build: build_name(build), ..arm }])
 }
@@ -414,11 +414,11 @@
     let mut value_tree = serde_json::to_value(script).map_err(|cause| cause.to_string())?;
     for (pointer, value) in values {
         match value_tree.pointer_mut(pointer) {
-            Some(place) => *place = value.clone(),
+            Some(existing) => *existing = value.clone(),
             // A setting that the script leaves out may still be set, as a new key of an existing object.
             None => {
                 let (before, name) = pointer.rsplit_once('/').unwrap_or(("", pointer));
-                let object = value_tree.pointer_mut(before).and_then(|place| place.as_object_mut());
+                let object = value_tree.pointer_mut(before).and_then(|parent| parent.as_object_mut());
                 object.ok_or(format!("no setting at {pointer}"))?.insert(name.to_owned(), value.clone());
             }
         }
@@ -456,16 +456,17 @@
         let name =
             cell.iter().map(|(pointer, value)| format!("{pointer}={value}")).collect::<Vec<_>>().join(" ");
         let run_options = RunOptions { cost: options.cost, ..RunOptions::default() };
-        let one = |number| play_single(&with_seed_offset(&script, number), run_options, options.baselines);
+        let run_one =
+            |number| play_single(&with_seed_offset(&script, number), run_options, options.baselines);
         let report_batch = |batch: &[SingleRun]| batch.iter().for_each(|single| progress(&name, single));
-        let singles = run_until_narrow(options, one, |single| single.service, report_batch);
+        let singles = run_until_narrow(options, run_one, |single| single.service, report_batch);
         arms.push(Arm::of(name, cell, script, singles));
     }
     let mut outcome = Outcome::new(arms);
     if let Some((first, rest)) = outcome.arms.split_first() {
         let difference = |arm: &Arm| {
             let pairs = arm.singles.iter().zip(&first.singles);
-            let values: Vec<f64> = pairs.map(|(one, other)| one.service - other.service).collect();
+            let values: Vec<f64> = pairs.map(|(single, other)| single.service - other.service).collect();
             Difference {
                 arm: arm.name.clone(),
                 reference: first.name.clone(),
@@ -489,7 +490,7 @@
     let arrivals = recording.arrivals();
     let min_runs = options.min_runs.max(FORECAST_RUNS);
     let options = ExperimentOptions { min_runs, max_runs: options.max_runs.max(min_runs), ..options };
-    let one = |number: u64| {
+    let run_one = |number: u64| {
         // Far from the seeds of other runs, so that no replay repeats the random numbers of the recorded run
         // by accident.
         let seed_offset = (number + 1) << 32;
@@ -498,7 +499,7 @@
         SingleRun { seed: seed_offset, ..play_single(script, run_options, options.baselines) }
     };
     let report_batch = |batch: &[SingleRun]| batch.iter().for_each(&mut progress);
-    let singles = run_until_narrow(options, one, |single| single.service, report_batch);
+    let singles = run_until_narrow(options, run_one, |single| single.service, report_batch);
     let predicted = Estimate::of_next_run(&singles.iter().map(|single| single.service).collect::<Vec<f64>>());
     let measured = recording.head.service;
     let inside =
@@ -580,7 +581,10 @@
         let single = &outcome.arms[0].singles[0];
         let bound = single.baselines["bound"];
         assert_eq!(single.baselines.len(), Selector::BASELINES.len() + 1);
-        assert!(single.service <= bound + 1e-9 && single.baselines.values().all(|one| *one <= bound + 1e-9));
+        assert!(
+            single.service <= bound + 1e-9
+                && single.baselines.values().all(|service| *service <= bound + 1e-9)
+        );
         assert!(single.baselines[Selector::Random.title()] > 0.3, "{single:?}");
     }
 }
--- a/crates/craneknot-model/src/feed.rs
+++ b/crates/craneknot-model/src/feed.rs
@@ -153,7 +153,7 @@
             of.iter().for_each(|at| bins[((at / 2_000_000_000) as usize).min(9)] += 1.0);
             bins
         };
-        let expected: Vec<u64> = played.asked.iter().map(|one| one.at.0 - begin).collect();
+        let expected: Vec<u64> = played.asked.iter().map(|operation| operation.at.0 - begin).collect();
         let recorded: Vec<u64> = made.recording.arrivals().iter().map(|(at, _, _)| at.0).collect();
         for (bin, (recorded, expected)) in count(&recorded).iter().zip(count(&expected)).enumerate().take(9) {
             assert!((recorded / expected - 1.0).abs() < 0.35, "bin {bin}: {recorded} for {expected}");
--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -83,7 +83,7 @@
             _ => {}
         }
     }
-    tries.sort_by_key(|one| (one.0, one.1, one.2));
+    tries.sort_by_key(|entry| (entry.0, entry.1, entry.2));
     // From the first fault other than a start or stop, a server's times don't show its own speed.
     let mut distorted_from: BTreeMap<u32, f64> = BTreeMap::new();
     for (at, server, act) in &plan.server_acts {
@@ -132,9 +132,10 @@
     let mut work_ms = BTreeMap::new();
     let mut means: BTreeMap<usize, f64> = BTreeMap::new();
     for (class, settings) in script.classes.iter().enumerate() {
-        let warm =
-            samples.iter().filter(|one| one.class == class && one.age.is_none() && one.work.is_finite());
-        let works: Vec<f64> = warm.map(|one| one.work * 1e3).collect();
+        let warm = samples
+            .iter()
+            .filter(|sample| sample.class == class && sample.age.is_none() && sample.work.is_finite());
+        let works: Vec<f64> = warm.map(|sample| sample.work * 1e3).collect();
         if works.len() < MIN_TRIES {
             continue;
         }
--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -238,14 +238,14 @@
 
 /// Encodes the settings for the JSON lines.
 fn wire_settings(settings: &Settings) -> Value {
-    let profile = |(place, class): (usize, &ClassSettings)| {
+    let profile = |(index, class): (usize, &ClassSettings)| {
         let semantics = match class.repeats {
             Repeats::Safe => "free",
             Repeats::Guarded => "guarded",
             Repeats::Never => "single_shot",
         };
         json!({
-            "name": class_name(place),
+            "name": class_name(index),
             "aim": class.latency_goal.secs(),
             "deadline": class.deadline.secs(),
             "worth": class.importance,
@@ -270,8 +270,8 @@
         rules["ask-within"] = settings.list_known_within.secs().into();
     }
     json!({
-        "localities": (0..MAX_INDICES).map(|place| zone_name(ZoneId(place))).collect::<Vec<String>>(),
-        "kinds": (0..MAX_INDICES).map(|place| kind_name(KindId(place))).collect::<Vec<String>>(),
+        "localities": (0..MAX_INDICES).map(|index| zone_name(ZoneId(index))).collect::<Vec<String>>(),
+        "kinds": (0..MAX_INDICES).map(|index| kind_name(KindId(index))).collect::<Vec<String>>(),
         "reporting": {"names": ["busy", "rif", "lat_ms"]},
         "profiles": settings.classes.iter().enumerate().map(profile).collect::<Vec<Value>>(),
         "balancers": settings.controllers,
@@ -381,12 +381,12 @@
 fn parse_reply(text: &str) -> Result<Reply, String> {
     let malformed = || format!("malformed reply: {}", text.trim_end());
     let values: Vec<&RawValue> = serde_json::from_str(text).map_err(|_| malformed())?;
-    let at = |place: usize| values.get(place).map(|value| value.get()).ok_or_else(malformed);
-    let number = |place: usize| at(place)?.parse::<f64>().map_err(|_| malformed());
-    let whole = |place: usize| at(place)?.parse::<u32>().map_err(|_| malformed());
-    let short = |place: usize| at(place)?.parse::<u16>().map_err(|_| malformed());
-    let string = |place: usize| serde_json::from_str::<String>(at(place)?).map_err(|_| malformed());
-    let server = |place: usize| Ok::<ServerId, String>(ServerId(string(place)?.into()));
+    let at = |index: usize| values.get(index).map(|value| value.get()).ok_or_else(malformed);
+    let number = |index: usize| at(index)?.parse::<f64>().map_err(|_| malformed());
+    let whole = |index: usize| at(index)?.parse::<u32>().map_err(|_| malformed());
+    let short = |index: usize| at(index)?.parse::<u16>().map_err(|_| malformed());
+    let string = |index: usize| serde_json::from_str::<String>(at(index)?).map_err(|_| malformed());
+    let server = |index: usize| Ok::<ServerId, String>(ServerId(string(index)?.into()));
     Ok(Reply::Order(match string(0)?.as_str() {
         "OK" => return Ok(Reply::Done),
         "SAY_LOG" => return Ok(Reply::Log),
--- a/crates/craneknot-model/src/hunt.rs
+++ b/crates/craneknot-model/src/hunt.rs
@@ -50,7 +50,7 @@
     pub runs_played: usize,
 }
 
-/// How bad a run is: first whether a rule was broken, then how far service is below the upper bound.
+/// The severity of a run: first whether a rule was broken, then how far service is below the upper bound.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Severity {
     pub rule_broken: bool,
--- a/crates/craneknot-model/src/plot.rs
+++ b/crates/craneknot-model/src/plot.rs
@@ -46,22 +46,22 @@
 ) -> Result<String, String> {
     let values: Vec<(f64, f64)> =
         line.seconds.iter().enumerate().map(|(k, second)| (k as f64 + 0.5, of(second))).collect();
-    let most = top.unwrap_or(values.iter().map(|value| value.1).fold(0.0, f64::max) * 1.08).max(1e-9);
+    let y_max = top.unwrap_or(values.iter().map(|value| value.1).fold(0.0, f64::max) * 1.08).max(1e-9);
     svg(CHART_SIZE, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.0..line.seconds.len() as f64, 0.0..most)?;
+            .build_cartesian_2d(0.0..line.seconds.len() as f64, 0.0..y_max)?;
         chart.configure_mesh().light_line_style(TRANSPARENT).x_desc("s").y_desc(unit).draw()?;
         for (_, from, to) in &line.troubles {
             let style = FAULT_COLOUR.mix(0.13).filled();
-            chart.draw_series([Rectangle::new([(*from, 0.0), (*to, most)], style)])?;
+            chart.draw_series([Rectangle::new([(*from, 0.0), (*to, y_max)], style)])?;
         }
-        for (place, (name, from, _)) in line.troubles.iter().enumerate() {
+        for (index, (name, from, _)) in line.troubles.iter().enumerate() {
             // Staggers the names of faults, since some start close to each other.
-            let height = most * (0.08 + 0.09 * (place % 4) as f64);
+            let height = y_max * (0.08 + 0.09 * (index % 4) as f64);
             let style = ("sans-serif", 11).into_font().color(&FAULT_COLOUR);
             chart.draw_series([Text::new(name.clone(), (*from, height), style)])?;
         }
@@ -73,11 +73,11 @@
 /// Heat map of good answers per second: one row per server, darker for more.
 fn server_heatmap(line: &Timeline) -> Result<String, String> {
     let rows = line.servers.len();
-    let most = line.servers.values().flatten().copied().max().unwrap_or(1).max(1);
+    let peak = line.servers.values().flatten().copied().max().unwrap_or(1).max(1);
     let height = (rows as u32 * 9 + 80).clamp(140, 1_400);
     svg((CHART_SIZE.0, height), |area| {
         let mut chart = ChartBuilder::on(area)
-            .caption(format!("Good answers per second by server (darkest: {most})"), ("sans-serif", 16))
+            .caption(format!("Good answers per second by server (darkest: {peak})"), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(64)
@@ -85,7 +85,7 @@
         chart.configure_mesh().disable_mesh().x_desc("s").y_desc("server").draw()?;
         for (row, counts) in line.servers.values().enumerate() {
             let cells = counts.iter().enumerate().filter(|(_, count)| **count > 0).map(|(second, count)| {
-                let part = f64::from(*count) / f64::from(most);
+                let part = f64::from(*count) / f64::from(peak);
                 let (x, y) = (second as f64, row as f64);
                 Rectangle::new([(x, y), (x + 1.0, y + 0.92)], MAIN_COLOUR.mix(0.08 + 0.92 * part).filled())
             });
@@ -110,8 +110,8 @@
             .y_label_area_size(10)
             .build_cartesian_2d(low - room..high + room, -0.6..all.len() as f64 - 0.2)?;
         chart.configure_mesh().disable_y_mesh().disable_y_axis().light_line_style(TRANSPARENT).draw()?;
-        for (place, (name, estimate, is_main)) in all.iter().enumerate() {
-            let y = (all.len() - 1 - place) as f64;
+        for (index, (name, estimate, is_main)) in all.iter().enumerate() {
+            let y = (all.len() - 1 - index) as f64;
             let (from, to) =
                 (estimate.mean - half_width_or_zero(estimate), estimate.mean + half_width_or_zero(estimate));
             let color = if *is_main { MAIN_COLOUR } else { OTHER_COLOURS[0] };
@@ -138,11 +138,11 @@
     for arm in arms {
         let Some(x) = arm.overrides.values().next().and_then(numeric_value) else { continue };
         for (name, estimate) in pick(arm) {
-            let place = curves.iter().position(|(of, _)| *of == name).unwrap_or_else(|| {
+            let index = curves.iter().position(|(of, _)| *of == name).unwrap_or_else(|| {
                 curves.push((name, Vec::new()));
                 curves.len() - 1
             });
-            curves[place].1.push((x, estimate.mean, estimate.half_width.unwrap_or(0.0)));
+            curves[index].1.push((x, estimate.mean, estimate.half_width.unwrap_or(0.0)));
         }
     }
     let points = || curves.iter().flat_map(|(_, points)| points);
@@ -162,9 +162,9 @@
             .y_label_area_size(64)
             .build_cartesian_2d(left - x_room..right + x_room, low - room..high + room)?;
         chart.configure_mesh().light_line_style(TRANSPARENT).x_desc(pointer).draw()?;
-        for (place, (name, points)) in curves.iter().enumerate() {
+        for (index, (name, points)) in curves.iter().enumerate() {
             let color =
-                if place == 0 { MAIN_COLOUR } else { OTHER_COLOURS[(place - 1) % OTHER_COLOURS.len()] };
+                if index == 0 { MAIN_COLOUR } else { OTHER_COLOURS[(index - 1) % OTHER_COLOURS.len()] };
             let line = points.iter().map(|point| (point.0, point.1));
             chart
                 .draw_series(LineSeries::new(line, color.stroke_width(2)))?
@@ -328,13 +328,13 @@
             Recording::from_records("model", &script, played.begin, &played.records, &played.report);
         let options =
             ExperimentOptions { min_runs: 2, max_runs: 2, max_half_width: 1.0, baselines: true, cost: true };
-        let one = run(&script, &Build::Own, options, |_| {});
+        let outcome = run(&script, &Build::Own, options, |_| {});
         let axes = ["/clients/rate=50,100".parse().unwrap()];
         let swept =
             sweep(&script, &axes, ExperimentOptions { baselines: false, ..options }, |_, _| {}).unwrap();
         let inputs = [
             Input::Recording("a <b>".to_owned(), Box::new(recording)),
-            Input::Outcome("one".to_owned(), Box::new(one)),
+            Input::Outcome("one".to_owned(), Box::new(outcome)),
             Input::Outcome("swept".to_owned(), Box::new(swept)),
         ];
         let page = page(&inputs).unwrap();
--- a/crates/craneknot-model/src/timeline.rs
+++ b/crates/craneknot-model/src/timeline.rs
@@ -52,18 +52,18 @@
         let script = &recording.head.script;
         let count = script.length.0.secs().ceil() as usize;
         let mut stats = Timeline { seconds: vec![Second::default(); count], ..Timeline::default() };
-        let place =
-            |at: i64| usize::try_from(at.div_euclid(MICROS_PER_SECOND)).ok().filter(|place| *place < count);
-        for one in &recording.lines {
-            match one {
+        let bin_of =
+            |at: i64| usize::try_from(at.div_euclid(MICROS_PER_SECOND)).ok().filter(|index| *index < count);
+        for line in &recording.lines {
+            match line {
                 Line::Asked(at, class, _) => {
-                    let Some(second) = place(*at).map(|place| &mut stats.seconds[place]) else { continue };
+                    let Some(second) = bin_of(*at).map(|index| &mut stats.seconds[index]) else { continue };
                     second.asked += 1;
                     second.importance += script.classes[usize::from(*class)].importance;
                 }
                 Line::Ended(at, class, how, took) => {
                     let from = at - *took as i64;
-                    let Some(second) = place(from).map(|place| &mut stats.seconds[place]) else { continue };
+                    let Some(second) = bin_of(from).map(|index| &mut stats.seconds[index]) else { continue };
                     match how {
                         End::InGoal => second.in_goal += script.classes[usize::from(*class)].importance,
                         End::Refused => second.refused += 1,
@@ -72,19 +72,19 @@
                     }
                 }
                 Line::Tried(at, _, server, _, how, _) => {
-                    let Some(place) = place(*at) else { continue };
-                    stats.seconds[place].tries += 1;
+                    let Some(index) = bin_of(*at) else { continue };
+                    stats.seconds[index].tries += 1;
                     if *how == How::Good {
-                        stats.servers.entry(*server).or_insert_with(|| vec![0; count])[place] += 1;
+                        stats.servers.entry(*server).or_insert_with(|| vec![0; count])[index] += 1;
                     }
                 }
                 Line::Swapped(at, _, moved, _) => {
-                    let Some(second) = place(*at).map(|place| &mut stats.seconds[place]) else { continue };
+                    let Some(second) = bin_of(*at).map(|index| &mut stats.seconds[index]) else { continue };
                     second.swaps += 1;
                     second.moved += moved;
                 }
                 Line::Queue(at, _, lines) => {
-                    let Some(second) = place(*at).map(|place| &mut stats.seconds[place]) else { continue };
+                    let Some(second) = bin_of(*at).map(|index| &mut stats.seconds[index]) else { continue };
                     second.queue = second.queue.max(*lines);
                 }
                 Line::Server(..) | Line::Coordinator(..) => {}
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -106,9 +106,9 @@
                     let (kind, text) = (staged.kind, staged.text.clone());
                     next = state.holding.commit(staged);
                     let server = |text: &str| self.addresses.server(text);
-                    match state.chooser.load_file(kind, text.as_bytes(), &server) {
+                    match state.policy.load_file(kind, text.as_bytes(), &server) {
                         Ok(()) => {
-                            let (lines, epoch) = (state.chooser.lines(), state.chooser.epoch());
+                            let (lines, epoch) = (state.policy.lines(), state.policy.epoch());
                             self.log.add(self.now, What::Swapped { proxy, lines, epoch });
                         }
                         Err(fault) => self.log.add(self.now, What::Torn { proxy, cause: fault.to_string() }),
@@ -148,9 +148,9 @@
         self.end_stream(proxy);
         let state = &mut self.proxies[proxy];
         state.unsent_totals.discard_in_flight();
-        let place =
+        let index =
             state.coordinator_order.iter().position(|coordinator| *coordinator == to).unwrap_or(usize::MAX);
-        state.dial.redirect_to(self.now, place);
+        state.dial.redirect_to(self.now, index);
         let at = state.dial.next_dial_at().unwrap_or(self.now);
         self.schedule(at, Event::Dial(proxy));
     }
@@ -178,9 +178,9 @@
         let interval = Seconds((self.now - state.totals_since).secs());
         state.totals_since = self.now;
         let totals = std::mem::take(&mut state.totals);
-        let place =
+        let locate =
             |server: usize| (self.addresses.address(server), self.plan.servers[server].group.zone.as_str());
-        let cluster_stats = totals.report(interval, &self.script.classes, &place);
+        let cluster_stats = totals.report(interval, &self.script.classes, &locate);
         self.proxies[proxy].unsent_totals.add(&LoadStatsRequest { node: None, cluster_stats });
     }
 
--- a/crates/craneknot-model/src/world/coordinators.rs
+++ b/crates/craneknot-model/src/world/coordinators.rs
@@ -40,10 +40,10 @@
     /// The coordinator that claims to lead in the latest term, or the first running one if none does.
     pub(super) fn leader(&self) -> Option<usize> {
         let runs = || {
-            self.coordinators.iter().enumerate().filter_map(|(place, engine)| Some((place, engine.as_ref()?)))
+            self.coordinators.iter().enumerate().filter_map(|(index, engine)| Some((index, engine.as_ref()?)))
         };
-        let leads = |(place, engine): (usize, &Engine)| Some((engine.leader_term()?, place));
-        runs().filter_map(leads).max().map(|(_, place)| place).or(runs().next().map(|(place, _)| place))
+        let leads = |(index, engine): (usize, &Engine)| Some((engine.leader_term()?, index));
+        runs().filter_map(leads).max().map(|(_, index)| index).or(runs().next().map(|(index, _)| index))
     }
 
     pub(super) fn kill_coordinator(&mut self, coordinator: usize) {
@@ -164,7 +164,7 @@
     }
 
     pub(super) fn probe_answered(&mut self, coordinator: usize, server: ServerId, since: Nanos) {
-        let Some(state) = self.addresses.server(&server.0).and_then(|place| self.servers.get(place)) else {
+        let Some(state) = self.addresses.server(&server.0).and_then(|index| self.servers.get(index)) else {
             return;
         };
         let unresponsive = state.silent || state.hangs;
--- a/crates/craneknot-model/src/world/faults.rs
+++ b/crates/craneknot-model/src/world/faults.rs
@@ -5,7 +5,7 @@
 impl World<'_> {
     pub(super) fn stop_server(&mut self, server: usize) {
         let state = &mut self.servers[server];
-        (state.up, state.life) = (false, state.life + 1);
+        (state.up, state.incarnation) = (false, state.incarnation + 1);
         let at = |pending: &Try| !pending.ended && pending.tried.last() == Some(&server);
         let cut: Vec<u64> =
             self.tries.iter().filter(|(_, pending)| at(pending)).map(|(number, _)| *number).collect();
@@ -14,13 +14,13 @@
         self.log.add(self.now, What::Stopped { server });
     }
 
-    pub(super) fn server_act(&mut self, place: usize) {
-        let (_, server, act) = self.plan.server_acts[place];
+    pub(super) fn server_act(&mut self, index: usize) {
+        let (_, server, act) = self.plan.server_acts[index];
         match act {
             ServerAct::Start => {
                 self.stop_server(server);
                 let state = &mut self.servers[server];
-                state.machine = Machine::new(state.make, Some(self.now));
+                state.machine = Machine::new(state.spec, Some(self.now));
                 (state.up, state.error_share, state.hangs, state.answer_loss, state.silent) =
                     (true, 0.0, false, 0.0, false);
                 self.log.add(self.now, What::Started { server });
@@ -37,8 +37,8 @@
         }
     }
 
-    pub(super) fn proxy_act(&mut self, place: usize) {
-        let (_, proxy, act) = self.plan.proxy_acts[place].clone();
+    pub(super) fn proxy_act(&mut self, index: usize) {
+        let (_, proxy, act) = self.plan.proxy_acts[index].clone();
         let state = &mut self.proxies[proxy];
         match act {
             ProxyAct::Die => {
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -103,7 +103,7 @@
     TryArrived(u64),
     JobDone {
         server: usize,
-        life: u64,
+        incarnation: u64,
         job: u64,
     },
     TryEnded {
@@ -129,10 +129,10 @@
 }
 
 struct Server {
-    make: ServerSpec,
+    spec: ServerSpec,
     machine: Machine,
     up: bool,
-    life: u64,
+    incarnation: u64,
     error_share: f64,
     hangs: bool,
     /// Share of answers that are lost.
@@ -144,7 +144,7 @@
     zone: usize,
     up: bool,
     down_since: Option<Nanos>,
-    chooser: ProxyPolicy,
+    policy: ProxyPolicy,
     holding: ProxyResources,
     nonces: BTreeMap<Kind, String>,
     dial: Dialer,
@@ -344,15 +344,15 @@
     fn new(script: &'a Script, plan: Plan, caller: Caller, options: RunOptions<'a>) -> Self {
         let run_seed = script.seed ^ options.seed_xor;
         let classes: Vec<String> = script.classes.iter().map(|class| class.name.clone()).collect();
-        let server = |(place, planned): (usize, &ServerPlan)| {
-            let make = plan.server_spec(script, place);
-            let machine = Machine::new(make, None);
+        let server = |(index, planned): (usize, &ServerPlan)| {
+            let spec = plan.server_spec(script, index);
+            let machine = Machine::new(spec, None);
             let up = planned.from_start;
             Server {
-                make,
+                spec,
                 machine,
                 up,
-                life: 0,
+                incarnation: 0,
                 error_share: 0.0,
                 hangs: false,
                 answer_loss: 0.0,
@@ -360,16 +360,16 @@
             }
         };
         let count = script.coordinators as usize;
-        let proxy = |(place, zone): (usize, &String)| {
-            let seed = run_seed.wrapping_mul(31).wrapping_add(place as u64);
-            let mut coordinator_order: Vec<usize> = (0..count).map(|k| (k + place) % count).collect();
+        let proxy = |(index, zone): (usize, &String)| {
+            let seed = run_seed.wrapping_mul(31).wrapping_add(index as u64);
+            let mut coordinator_order: Vec<usize> = (0..count).map(|k| (k + index) % count).collect();
             coordinator_order.sort_by_key(|coordinator| plan.coordinator_zones[*coordinator] != *zone);
             let (least, most) = RECONNECT_DELAY;
             Proxy {
                 zone: script.zones.iter().position(|other| other == zone).unwrap_or(0),
                 up: true,
                 down_since: None,
-                chooser: ProxyPolicy::new(
+                policy: ProxyPolicy::new(
                     classes.clone(),
                     script.habits.ejects,
                     script.habits.keep_away.0,
@@ -451,17 +451,17 @@
             world.schedule(START + spread, Event::ProxyReport(proxy));
         }
         let begin = world.begin;
-        for place in 0..world.plan.server_acts.len() {
-            world.schedule(begin + world.plan.server_acts[place].0, Event::ServerAct(place));
+        for index in 0..world.plan.server_acts.len() {
+            world.schedule(begin + world.plan.server_acts[index].0, Event::ServerAct(index));
         }
-        for place in 0..world.plan.proxy_acts.len() {
-            world.schedule(begin + world.plan.proxy_acts[place].0, Event::ProxyAct(place));
+        for index in 0..world.plan.proxy_acts.len() {
+            world.schedule(begin + world.plan.proxy_acts[index].0, Event::ProxyAct(index));
         }
-        for place in 0..world.plan.fleet_acts.len() {
-            world.schedule(begin + world.plan.fleet_acts[place].0, Event::FleetAct(place));
+        for index in 0..world.plan.fleet_acts.len() {
+            world.schedule(begin + world.plan.fleet_acts[index].0, Event::FleetAct(index));
         }
-        for place in 0..world.plan.rates.len() {
-            world.schedule(begin + world.plan.rates[place].0, Event::RateChange(place));
+        for index in 0..world.plan.rates.len() {
+            world.schedule(begin + world.plan.rates[index].0, Event::RateChange(index));
         }
         world.schedule(START, Event::LogQueues);
         world
@@ -531,16 +531,16 @@
             }
             Event::ClientAttempt(operation) => self.start_attempt(*operation),
             Event::TryArrived(number) => self.try_arrived(number),
-            Event::JobDone { server, life, job } => self.job_done(server, life, job),
+            Event::JobDone { server, incarnation, job } => self.job_done(server, incarnation, job),
             Event::TryEnded { number, tried } => self.try_ended(number, tried),
             Event::TryTimeout(number) => self.try_ended(number, Tried::Failed),
             Event::ClientTimeout(number) => self.client_answered(number, Answer::Silent),
             Event::ClientAnswered { number, answer } => self.client_answered(number, answer),
             Event::StartCoordinator(coordinator) => self.raise_coordinator(coordinator),
-            Event::ServerAct(place) => self.server_act(place),
-            Event::ProxyAct(place) => self.proxy_act(place),
-            Event::FleetAct(place) => self.fleet_act(self.plan.fleet_acts[place].1.clone()),
-            Event::RateChange(place) => self.rate_factor = self.plan.rates[place].1,
+            Event::ServerAct(index) => self.server_act(index),
+            Event::ProxyAct(index) => self.proxy_act(index),
+            Event::FleetAct(index) => self.fleet_act(self.plan.fleet_acts[index].1.clone()),
+            Event::RateChange(index) => self.rate_factor = self.plan.rates[index].1,
             Event::FrontsChanged => self.fronts = None,
             Event::SampleQueues => {
                 self.queue_samples =
--- a/crates/craneknot-model/src/world/operations.rs
+++ b/crates/craneknot-model/src/world/operations.rs
@@ -26,9 +26,9 @@
         if self.fronts.is_none() {
             let alive = |proxy: &Proxy| proxy.down_since.is_none_or(|since| now - since < lag);
             let mut fronts = vec![Vec::new(); self.script.zones.len() + 1];
-            for (place, proxy) in self.proxies.iter().enumerate().filter(|(_, proxy)| alive(proxy)) {
-                fronts[proxy.zone].push(place);
-                fronts[self.script.zones.len()].push(place);
+            for (index, proxy) in self.proxies.iter().enumerate().filter(|(_, proxy)| alive(proxy)) {
+                fronts[proxy.zone].push(index);
+                fronts[self.script.zones.len()].push(index);
             }
             self.fronts = Some(fronts);
         }
@@ -55,7 +55,7 @@
         self.tries.insert(number, Try { operation, proxy, tried: Vec::new(), until, sent, ended: true });
         let state = &mut self.proxies[proxy];
         let admitted = match self.options.selector {
-            Selector::Coordinators => state.chooser.admit(self.now, class),
+            Selector::Coordinators => state.policy.admit(self.now, class),
             Selector::Random | Selector::LeastLoaded | Selector::TwoChoices => Ok(()),
         };
         state.totals.count_operation(class, admitted.is_ok());
@@ -110,7 +110,7 @@
     /// Selects a server for a try, by the proxy's files or by a baseline method.
     fn choose(&mut self, proxy: usize, class: usize, tried: &[usize]) -> Option<usize> {
         if self.options.selector == Selector::Coordinators {
-            return self.proxies[proxy].chooser.pick(self.now, class, tried).ok();
+            return self.proxies[proxy].policy.pick(self.now, class, tried).ok();
         }
         let rules = &self.script.classes[class];
         let mut seen = Vec::new();
@@ -129,7 +129,7 @@
                 answers: state.up && !state.silent && !state.hangs,
                 queue: self.relative_queue(server),
                 delayed_queue: self.queue_samples.get(server).copied().unwrap_or(0.0),
-                avoided: self.proxies[proxy].chooser.is_ejected(self.now, server),
+                avoided: self.proxies[proxy].policy.is_ejected(self.now, server),
             });
         }
         baseline::select_server(self.options.selector, &seen, &mut self.rng)
@@ -162,9 +162,9 @@
         }
         match state.machine.arrive(self.now, Job { number, work }) {
             Arrival::Running { until } => {
-                let life = state.life;
+                let incarnation = state.incarnation;
                 self.log.add(self.now, What::Ran { server, op, attempt, class });
-                self.schedule(until, Event::JobDone { server, life, job: number });
+                self.schedule(until, Event::JobDone { server, incarnation, job: number });
             }
             Arrival::Queued => {}
             Arrival::Full => self.schedule_after_hop(Event::TryEnded { number, tried: Tried::Unrun }),
@@ -175,9 +175,9 @@
         }
     }
 
-    pub(super) fn job_done(&mut self, server: usize, life: u64, job: u64) {
+    pub(super) fn job_done(&mut self, server: usize, incarnation: u64, job: u64) {
         let state = &mut self.servers[server];
-        if state.life != life {
+        if state.incarnation != incarnation {
             return;
         }
         if let Some((next, until)) = state.machine.finish(self.now) {
@@ -186,7 +186,7 @@
                     (pending.operation.id, pending.operation.attempt, pending.operation.class);
                 self.log.add(self.now, What::Ran { server, op, attempt, class });
             }
-            self.schedule(until, Event::JobDone { server, life, job: next.number });
+            self.schedule(until, Event::JobDone { server, incarnation, job: next.number });
         }
         let state = &self.servers[server];
         let lost = state.silent || state.answer_loss > 0.0 && self.rng.random::<f64>() < state.answer_loss;
@@ -220,8 +220,8 @@
         state.totals.count_outcome(class, server, tried == Tried::Good, took);
         self.log.add(self.now, What::Tried { proxy, server, class, how: tried, took });
         let state = &mut self.proxies[proxy];
-        state.chooser.record_outcome(self.now, server, tried);
-        if self.now < until && state.up && state.chooser.may_retry(class, tried, tries) {
+        state.policy.record_outcome(self.now, server, tried);
+        if self.now < until && state.up && state.policy.may_retry(class, tried, tries) {
             return self.send_try(number, Some(tried));
         }
         match tried {
--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -566,7 +566,7 @@
         if self.settings.settle.is_none() || load.work <= 0.0 || load.changed || settling {
             return;
         }
-        // The least warmth of a cold server, taken at the middle of the second.
+        // The lowest warmth of a cold server, taken at the middle of the second.
         let age = load.started.map(|started| (begun + Nanos(CAPACITY_INTERVAL.0 / 2) - started).secs());
         let part = age.map_or(1.0, |age| (age / self.settings.warm_after.secs().max(1e-9)).min(1.0));
         let warmth = self.settings.cold_share + (1.0 - self.settings.cold_share) * part;
@@ -592,7 +592,7 @@
     }
 
     /// The same for a range of proxies: an event of one proxy changes nothing for the others.
-    fn check_missing_lines_among(&mut self, places: std::ops::Range<usize>) {
+    fn check_missing_lines_among(&mut self, range: std::ops::Range<usize>) {
         let now = self.now;
         let limit = self.settings.bare_limit;
         let is_open = |known: &KnownState| known.listed && known.lost.is_none();
@@ -608,9 +608,9 @@
             classes.map(|class| open.iter().any(|server| class.allowed.contains(server))).collect();
         let begin = self.begin;
         let verdict = self.judgement.rules.entry(Rule::NobodyBare).or_default();
-        let from = places.start;
-        for (place, proxy) in self.proxies[places].iter_mut().enumerate() {
-            let place = from + place;
+        let from = range.start;
+        for (index, proxy) in self.proxies[range].iter_mut().enumerate() {
+            let index = from + index;
             for (class, served) in served.iter().enumerate() {
                 let lines = proxy.lines.get(&class).is_some_and(|lines| !lines.is_empty());
                 let missing = proxy.up && proxy.joined.is_some() && *served && !lines;
@@ -632,7 +632,7 @@
                     let since = since.unwrap_or(now);
                     verdict.fail(|| {
                         let (from, to) = ((since - begin).secs(), (now - begin).secs());
-                        format!("proxy {place} had no server for {name} from {from:.3} s to {to:.3} s")
+                        format!("proxy {index} had no server for {name} from {from:.3} s to {to:.3} s")
                     });
                     // Counted once per interval of the limit.
                     proxy.missing_since.insert(class, now);
@@ -705,16 +705,16 @@
         service.by_class = self.classes.iter().map(|(class, sums)| (name(*class), ratio(*sums))).collect();
         self.latencies.sort_unstable();
         let at = |part: f64| {
-            let place = (self.latencies.len() as f64 * part) as usize;
+            let index = (self.latencies.len() as f64 * part) as usize;
             self.latencies
-                .get(place.min(self.latencies.len().saturating_sub(1)))
+                .get(index.min(self.latencies.len().saturating_sub(1)))
                 .map_or(0.0, |nanos| *nanos as f64 / 1e6)
         };
         (service.latency_p50_ms, service.latency_p99_ms) = (at(0.5), at(0.99));
         self.reconnect_times.sort_unstable();
         let unled = |part: f64| {
-            let place = (self.reconnect_times.len().saturating_sub(1) as f64 * part) as usize;
-            self.reconnect_times.get(place).map_or(0.0, |nanos| *nanos as f64 / 1e6)
+            let index = (self.reconnect_times.len().saturating_sub(1) as f64 * part) as usize;
+            self.reconnect_times.get(index).map_or(0.0, |nanos| *nanos as f64 / 1e6)
         };
         service.unled = self.reconnect_times.len() as u64;
         (service.unled_p50_ms, service.unled_p99_ms, service.unled_most_ms) =
--- a/crates/craneknot-rehearsal/src/caller.rs
+++ b/crates/craneknot-rehearsal/src/caller.rs
@@ -94,16 +94,16 @@
     pub fn next(&mut self, now: Nanos, factor: f64) -> (Nanos, Operation) {
         let gap = Exp::new(self.rate * factor.max(1e-3)).map_or(1.0, |gaps| gaps.sample(&mut self.rng));
         let at = now + Nanos((gap * 1e9) as u64);
-        let place = self.classes.sample(&mut self.rng);
+        let index = self.classes.sample(&mut self.rng);
         self.next_id += 1;
         // Squared, so that a few keys are far more popular than the rest.
         let key = (self.rng.random::<f64>().powi(2) * f64::from(KEY_COUNT)) as u32;
         let operation = Operation {
             id: OpId(self.next_id),
-            class: self.class_of[place],
+            class: self.class_of[index],
             zone: self.rng.random_range(0..self.zones),
             key,
-            work: Nanos::from_secs(self.work[place].sample(&mut self.rng)),
+            work: Nanos::from_secs(self.work[index].sample(&mut self.rng)),
             asked: at,
             attempt: 0,
         };
@@ -112,8 +112,8 @@
 
     /// An operation of a known arrival, with random work and key.
     pub fn operation_at(&mut self, at: Nanos, class: usize, zone: usize) -> Operation {
-        let place = self.class_of.iter().position(|of| *of == class);
-        let work = place.map_or(0.0, |place| self.work[place].sample(&mut self.rng));
+        let index = self.class_of.iter().position(|of| *of == class);
+        let work = index.map_or(0.0, |index| self.work[index].sample(&mut self.rng));
         let key = (self.rng.random::<f64>().powi(2) * f64::from(KEY_COUNT)) as u32;
         self.next_id += 1;
         Operation {
--- a/crates/craneknot-rehearsal/src/load_totals.rs
+++ b/crates/craneknot-rehearsal/src/load_totals.rs
@@ -76,17 +76,17 @@
         }
     }
 
-    /// The load report of all totals; `place` maps a server to its address and zone.
+    /// The load report of all totals; `locate` maps a server to its address and zone.
     pub fn report<'a>(
         &self,
         interval: Seconds,
         classes: &[ClassSettings],
-        place: &dyn Fn(usize) -> (SocketAddr, &'a str),
+        locate: &dyn Fn(usize) -> (SocketAddr, &'a str),
     ) -> Vec<ClusterStats> {
         let class_stats = |(class, totals): (&usize, &ClassTotals)| {
             let mut zones: BTreeMap<&str, LocalityStats> = BTreeMap::new();
             for (server, totals) in &totals.servers {
-                let (address, zone) = place(*server);
+                let (address, zone) = locate(*server);
                 let locality = zones.entry(zone).or_default();
                 locality.locality = Locality::zone(zone);
                 locality.total_issued_requests.0 += totals.issued;
--- a/crates/craneknot-rehearsal/src/machine.rs
+++ b/crates/craneknot-rehearsal/src/machine.rs
@@ -37,7 +37,7 @@
         until: Nanos,
     },
     Queued,
-    /// Rejected without being looked at.
+    /// Rejected because the queue is full.
     Full,
     /// The operation overloads a cold server, which fails.
     Overloaded,
--- a/crates/craneknot-rehearsal/src/measure.rs
+++ b/crates/craneknot-rehearsal/src/measure.rs
@@ -269,10 +269,10 @@
     let result = thread::scope(|scope| {
         let begin = bench.clock.now();
         let first = bench.sample(address, process.id())?;
-        for place in 0..AGENT_THREADS {
+        for thread_index in 0..AGENT_THREADS {
             let (clock, swaps, stop) = (clock.clone(), bench.swaps.clone(), stop.clone());
             let folder = folder.path().to_owned();
-            scope.spawn(move || run_agents(requested, place, address, &folder, clock, swaps, &stop));
+            scope.spawn(move || run_agents(requested, thread_index, address, &folder, clock, swaps, &stop));
         }
         let measured = run_parts(&mut bench, process, address, first, begin, &mut parts);
         stop.store(true, Ordering::SeqCst);
@@ -285,14 +285,14 @@
 /// Runs a share of the agents until `stop` is set.
 fn run_agents(
     requested: MeasureSettings,
-    place: usize,
+    thread_index: usize,
     address: SocketAddr,
     folder: &Path,
     clock: Arc<dyn Clock>,
     swaps: Arc<Mutex<Swaps>>,
     stop: &AtomicBool,
 ) {
-    let mine = (0..requested.agents as usize).filter(|agent| agent % AGENT_THREADS == place);
+    let mine = (0..requested.agents as usize).filter(|agent| agent % AGENT_THREADS == thread_index);
     let node = |agent: usize| NodeSettings {
         id: format!("proxy-{agent}"),
         zone: if agent % 4 < 2 { "north" } else { "south" }.to_owned(),
@@ -308,7 +308,7 @@
         redial_most: Span::millis(1_000),
         silent_after: Span::millis(5_000),
         sync: requested.sync,
-        seed: Some(place as u64),
+        seed: Some(thread_index as u64),
     };
     let Ok(mut shell) = craneknot_agent::shell::Shell::new(settings, folder, clock.clone()) else { return };
     shell.on_swap(Box::new(move |name, kind, version| {
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -194,8 +194,8 @@
         let mut plan = Plan { weights: script.weights, seed: script.seed, ..Plan::default() };
         let mut cells = 0;
         for group in &script.servers {
-            for place in 0..usize::from(group.count) {
-                cells += usize::from(place % SERVERS_PER_CELL == 0);
+            for index in 0..usize::from(group.count) {
+                cells += usize::from(index % SERVERS_PER_CELL == 0);
                 plan.servers.push(ServerPlan { group: group.clone(), cell: cells as i64, from_start: true });
             }
         }
@@ -358,8 +358,8 @@
             TroubleKind::Deploy => {
                 let selected = self.select_servers(trouble);
                 let span = trouble.length.0 .0 / selected.len().max(1) as u64;
-                for (place, server) in selected.into_iter().enumerate() {
-                    let at = at + Nanos(span * place as u64);
+                for (index, server) in selected.into_iter().enumerate() {
+                    let at = at + Nanos(span * index as u64);
                     self.schedule_removal(server, at, DRAIN_NOTICE);
                     self.schedule_replacement(server, at + DRAIN_NOTICE + BOOT_TIME);
                 }
@@ -499,8 +499,8 @@
             TroubleKind::Preempt => {
                 let selected = self.select_servers(trouble);
                 let waves = 2.min(selected.len());
-                for (place, server) in selected.into_iter().enumerate() {
-                    let wave = Nanos(trouble.length.0 .0 / 3 * (place % waves) as u64);
+                for (index, server) in selected.into_iter().enumerate() {
+                    let wave = Nanos(trouble.length.0 .0 / 3 * (index % waves) as u64);
                     self.schedule_removal(server, at + wave, DRAIN_NOTICE);
                     self.schedule_replacement(server, end.max(at + wave + DRAIN_NOTICE + BOOT_TIME));
                 }
@@ -514,10 +514,10 @@
                 }
             }
             TroubleKind::Growth => {
-                let like = self.select_servers(trouble);
-                let span = trouble.length.0 .0 / like.len().max(1) as u64;
-                for (place, server) in like.into_iter().enumerate() {
-                    self.schedule_replacement(server, at + Nanos(span * place as u64));
+                let replaced = self.select_servers(trouble);
+                let span = trouble.length.0 .0 / replaced.len().max(1) as u64;
+                for (index, server) in replaced.into_iter().enumerate() {
+                    self.schedule_replacement(server, at + Nanos(span * index as u64));
                 }
                 self.plan.rates.push((end, strength(1.3)));
             }
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -182,16 +182,16 @@
         let mut watch = FolderWatch::new()?;
         let (mut proxies, mut by_listener, mut by_folder) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
         let classes: Vec<String> = script.classes.iter().map(|class| class.name.clone()).collect();
-        for (place, zone) in plan.proxy_zones.iter().enumerate() {
+        for (index, zone) in plan.proxy_zones.iter().enumerate() {
             let (reserve, address) = reserve(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
             let listener = reactor.listen_reserved(address)?;
-            by_listener.insert(listener, place);
-            let name = proxy_name(place);
-            let home = proxy_folder(folder, place);
+            by_listener.insert(listener, index);
+            let name = proxy_name(index);
+            let home = proxy_folder(folder, index);
             fs::create_dir_all(&home)?;
             watch.add(&home)?;
-            by_folder.insert(home.clone(), place);
-            let seed = script.seed.wrapping_mul(31).wrapping_add(place as u64);
+            by_folder.insert(home.clone(), index);
+            let seed = script.seed.wrapping_mul(31).wrapping_add(index as u64);
             proxies.push(Proxy {
                 name,
                 zone: script.zones.iter().position(|other| other == zone).unwrap_or(0),
@@ -230,7 +230,7 @@
             proxies,
             by_listener,
             by_folder,
-            numbers: servers.iter().enumerate().map(|(place, at)| (at.to_string(), place)).collect(),
+            numbers: servers.iter().enumerate().map(|(index, at)| (at.to_string(), index)).collect(),
             servers,
             server_zones: plan.servers.iter().map(|server| server.group.zone.clone()).collect(),
             roles: HashMap::new(),
@@ -255,11 +255,11 @@
     pub fn run(mut self, folder: &Path, begin: Nanos, stop: Nanos, end: Nanos) -> io::Result<Log> {
         let now = self.reactor.now();
         self.starts.iter_mut().for_each(|(at, _)| *at = begin + *at);
-        for place in 0..self.acts.len() {
-            self.reactor.set_timer(begin + self.acts[place].0, TimerEvent::Act(place));
+        for index in 0..self.acts.len() {
+            self.reactor.set_timer(begin + self.acts[index].0, TimerEvent::Act(index));
         }
-        for place in 0..self.rates.len() {
-            self.reactor.set_timer(begin + self.rates[place].0, TimerEvent::Rate(place));
+        for index in 0..self.rates.len() {
+            self.reactor.set_timer(begin + self.rates[index].0, TimerEvent::Rate(index));
         }
         for proxy in 0..self.proxies.len() {
             self.log.add(now, What::Proxy { proxy, up: true });
@@ -342,8 +342,8 @@
     fn handle_timer(&mut self, folder: &Path, due: TimerEvent) {
         let now = self.reactor.now();
         match due {
-            TimerEvent::Act(place) => self.act(place),
-            TimerEvent::Rate(place) => self.factor = self.rates[place].1,
+            TimerEvent::Act(index) => self.act(index),
+            TimerEvent::Rate(index) => self.factor = self.rates[index].1,
             TimerEvent::NextOperation => {
                 // From the due time, not from now: a late event loop must not reduce the traffic.
                 let mut due = now;
@@ -435,9 +435,9 @@
         let in_zone = |proxy: &Proxy| proxy.zone == zone;
         let all = || self.proxies.iter().enumerate().filter(|(_, proxy)| alive(proxy));
         let mut open: Vec<usize> =
-            all().filter(|(_, proxy)| in_zone(proxy)).map(|(place, _)| place).collect();
+            all().filter(|(_, proxy)| in_zone(proxy)).map(|(index, _)| index).collect();
         if open.is_empty() {
-            open = all().map(|(place, _)| place).collect();
+            open = all().map(|(index, _)| index).collect();
         }
         open.choose(&mut self.rng).copied()
     }
@@ -819,8 +819,8 @@
         self.handle_input(client);
     }
 
-    fn act(&mut self, place: usize) {
-        let (_, proxy, act) = self.acts[place].clone();
+    fn act(&mut self, index: usize) {
+        let (_, proxy, act) = self.acts[index].clone();
         let now = self.reactor.now();
         match act {
             ProxyAct::Die => {
@@ -890,8 +890,8 @@
         state.totals_since = now;
         let totals = std::mem::take(&mut state.totals);
         let node = Node { id: state.name.clone(), ..Node::default() };
-        let place = |server: usize| (self.servers[server], self.server_zones[server].as_str());
-        let cluster_stats = totals.report(interval, &self.script.classes, &place);
+        let locate = |server: usize| (self.servers[server], self.server_zones[server].as_str());
+        let cluster_stats = totals.report(interval, &self.script.classes, &locate);
         let body =
             serde_json::to_vec(&LoadStatsRequest { node: Some(node), cluster_stats }).unwrap_or_default();
         let json = [(http_header::CONTENT_TYPE, "application/json")];
--- a/crates/craneknot-rehearsal/src/proxy_policy.rs
+++ b/crates/craneknot-rehearsal/src/proxy_policy.rs
@@ -42,7 +42,7 @@
     until: Nanos,
 }
 
-/// A proxy's tables, bindings and levels, and the decisions that it takes by them.
+/// A proxy's tables, bindings and levels, and the decisions based on them.
 pub struct ProxyPolicy {
     classes: Vec<String>,
     failures_to_eject: u32,
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -204,7 +204,7 @@
             out.write_all(b"\n")
         };
         line(serde_json::to_vec(&self.head))?;
-        self.lines.iter().try_for_each(|one| line(serde_json::to_vec(one)))?;
+        self.lines.iter().try_for_each(|entry| line(serde_json::to_vec(entry)))?;
         out.finish()?.flush()
     }
 
@@ -256,13 +256,13 @@
 
     /// Times, classes and zones of the requested operations.
     pub fn arrivals(&self) -> Vec<(Nanos, usize, usize)> {
-        let one = |line: &Line| match line {
+        let requested = |line: &Line| match line {
             Line::Asked(at, class, zone) => {
                 Some((Nanos(at.max(&0).unsigned_abs() * 1_000), usize::from(*class), usize::from(*zone)))
             }
             _ => None,
         };
-        self.lines.iter().filter_map(one).collect()
+        self.lines.iter().filter_map(requested).collect()
     }
 }
 
@@ -348,11 +348,11 @@
             assert!(Recording::read(&path).is_err(), "cut at {cut}");
         }
         // The gzip header has bytes that don't affect the content (time, system).
-        for place in (10..whole.len()).step_by(11) {
+        for position in (10..whole.len()).step_by(11) {
             let mut flipped = whole.clone();
-            flipped[place] ^= 0x10;
+            flipped[position] ^= 0x10;
             fs::write(&path, &flipped).unwrap();
-            assert!(Recording::read(&path).is_err(), "flipped at {place}");
+            assert!(Recording::read(&path).is_err(), "flipped at {position}");
         }
     }
 
--- a/crates/craneknot-rehearsal/src/runner.rs
+++ b/crates/craneknot-rehearsal/src/runner.rs
@@ -171,8 +171,8 @@
         let dropped = self.cuts.drops(from, to);
         let mut buffer = vec![0; 64 * 1024];
         while let Ok((length, _)) = self.sockets[route].recv_from(&mut buffer) {
-            if let Some(place) = self.addresses.get(&to).filter(|_| !dropped) {
-                let _ = self.sockets[route].send_to(&buffer[..length], place);
+            if let Some(address) = self.addresses.get(&to).filter(|_| !dropped) {
+                let _ = self.sockets[route].send_to(&buffer[..length], address);
             }
         }
     }
@@ -194,9 +194,9 @@
     datagrams: SocketAddr,
     lease: Span,
 ) -> SharedSettings {
-    let member = |(coordinator, place): (usize, &SocketAddr)| MemberSettings {
+    let member = |(coordinator, address): (usize, &SocketAddr)| MemberSettings {
         name: coordinator_name(coordinator),
-        datagrams: *place,
+        datagrams: *address,
     };
     SharedSettings {
         members: places.iter().enumerate().map(member).collect(),
@@ -243,8 +243,8 @@
 /// What the auditor needs to know of the fleet.
 pub fn audit_settings(script: &Script, plan: &Plan) -> AuditSettings {
     let class = |class: &craneknot_settings::ClassSettings| {
-        let fits = |place: &usize| {
-            let group = &plan.servers[*place].group;
+        let fits = |server: &usize| {
+            let group = &plan.servers[*server].group;
             class.allows(&group.zone, &group.kind)
         };
         AuditedClass {
@@ -449,9 +449,9 @@
         let ready = fs::read(self.coordinator_settings_path(coordinator).with_extension("ready.json"))
             .unwrap_or_default();
         let ready: serde_json::Value = serde_json::from_slice(&ready).unwrap_or_default();
-        let place = ready.get("datagrams").and_then(|place| place.as_str()?.parse().ok());
-        if let Some(place) = place {
-            self.datagram_relay.addresses.insert(coordinator, place);
+        let datagram_address = ready.get("datagrams").and_then(|text| text.as_str()?.parse().ok());
+        if let Some(datagram_address) = datagram_address {
+            self.datagram_relay.addresses.insert(coordinator, datagram_address);
         }
     }
 
@@ -556,8 +556,8 @@
     /// Executes the plan from `begin` to `end`.
     fn play(&mut self, begin: Nanos, end: Nanos) -> io::Result<()> {
         self.begin = begin;
-        for place in 0..self.plan.fleet_acts.len() {
-            self.reactor.set_timer(begin + self.plan.fleet_acts[place].0, TimerEvent::Act(place));
+        for index in 0..self.plan.fleet_acts.len() {
+            self.reactor.set_timer(begin + self.plan.fleet_acts[index].0, TimerEvent::Act(index));
         }
         self.reactor.set_timer(self.reactor.now(), TimerEvent::Status);
         self.reactor.set_timer(end, TimerEvent::End);
@@ -583,8 +583,8 @@
                     ReactorEvent::Timer(TimerEvent::Deliver) => {
                         self.relays.deliver(&mut self.reactor, &mut self.log)
                     }
-                    ReactorEvent::Timer(TimerEvent::Act(place)) => {
-                        self.act(self.plan.fleet_acts[place].1.clone())?
+                    ReactorEvent::Timer(TimerEvent::Act(index)) => {
+                        self.act(self.plan.fleet_acts[index].1.clone())?
                     }
                     ReactorEvent::Timer(TimerEvent::Ready(coordinator)) => self.check_ready(coordinator),
                     ReactorEvent::Ready(route) => self.datagram_relay.forward(route),
--- a/crates/craneknot-rehearsal/src/servers.rs
+++ b/crates/craneknot-rehearsal/src/servers.rs
@@ -92,12 +92,12 @@
         let mut reactor = Reactor::new(clock, Limits::default())?;
         let mut servers = Vec::new();
         let mut by_listener = BTreeMap::new();
-        for (place, planned) in plan.servers.iter().enumerate() {
-            let spec = plan.server_spec(script, place);
+        for (index, planned) in plan.servers.iter().enumerate() {
+            let spec = plan.server_spec(script, index);
             let (reserve, address) = reserve(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
             let listener = planned.from_start.then(|| reactor.listen_reserved(address)).transpose()?;
             listener.into_iter().for_each(|listener| {
-                by_listener.insert(listener, place);
+                by_listener.insert(listener, index);
             });
             servers.push(Server {
                 machine: Machine::new(spec, None),
@@ -134,8 +134,8 @@
 
     /// Serves from now on, executes the plan from `begin` on, and returns the record at `end`.
     pub fn run(mut self, begin: Nanos, end: Nanos) -> io::Result<Log> {
-        for place in 0..self.acts.len() {
-            self.reactor.set_timer(begin + self.acts[place].0, TimerEvent::Act(place));
+        for index in 0..self.acts.len() {
+            self.reactor.set_timer(begin + self.acts[index].0, TimerEvent::Act(index));
         }
         self.reactor.set_timer(end, TimerEvent::End);
         loop {
@@ -145,7 +145,7 @@
                     ReactorEvent::Accepted { listener, conn, .. } => self.accept(listener, conn),
                     ReactorEvent::Received { conn } => self.handle_input(conn),
                     ReactorEvent::Closed { conn, .. } => self.handle_close(conn),
-                    ReactorEvent::Timer(TimerEvent::Act(place)) => self.act(place)?,
+                    ReactorEvent::Timer(TimerEvent::Act(index)) => self.act(index)?,
                     ReactorEvent::Timer(TimerEvent::Done { server, generation, job }) => {
                         self.finish_job(server, generation, job)
                     }
@@ -306,8 +306,8 @@
         self.log.add(self.reactor.now(), What::Stopped { server });
     }
 
-    fn act(&mut self, place: usize) -> io::Result<()> {
-        let (_, server, act) = self.acts[place];
+    fn act(&mut self, index: usize) -> io::Result<()> {
+        let (_, server, act) = self.acts[index];
         let now = self.reactor.now();
         match act {
             ServerAct::Start => {
--- a/crates/craneknot-rehearsal/src/soak/discovery.rs
+++ b/crates/craneknot-rehearsal/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery stand-in on sockets: full lists, and watches by long polling.
+//! Simulated discovery on sockets: full lists, and watches by long polling.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/craneknot-rehearsal/src/soak/http.rs
+++ b/crates/craneknot-rehearsal/src/soak/http.rs
@@ -1,4 +1,4 @@
-//! A minimal blocking HTTP/1.1 server for the stand-ins, with sequential requests on each connection.
+//! A minimal blocking HTTP/1.1 server for the simulated peers, with sequential requests on each connection.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     Ok(address)
 }
 
-/// The parts of a request that the stand-ins use.
+/// The parts of a request that the simulated peers use.
 pub struct Request {
     pub path: String,
     pub body: Vec<u8>,
--- a/crates/craneknot-rehearsal/src/soak/injection.rs
+++ b/crates/craneknot-rehearsal/src/soak/injection.rs
@@ -84,9 +84,9 @@
         self.threads.push(thread::spawn(move || {
             thread::sleep(REJOIN_DELAY);
             let mut fleet = fleet.lock().unwrap();
-            for (place, proxy) in fleet.joined(number).into_iter().enumerate() {
+            for (index, proxy) in fleet.joined(number).into_iter().enumerate() {
                 fleet.leave(proxy, number);
-                fleet.join(proxy, (number + 1 + place % (nodes - 1).max(1)) % nodes);
+                fleet.join(proxy, (number + 1 + index % (nodes - 1).max(1)) % nodes);
             }
         }));
     }
@@ -295,7 +295,7 @@
 /// Servers restart together, with one list update for each phase.
 fn restart_servers(fleet: &Mutex<Fleet>, restart: Restart) {
     let all = fleet.lock().unwrap().servers.len();
-    let servers: Vec<usize> = (0..restart.count).map(|place| (restart.first + place) % all).collect();
+    let servers: Vec<usize> = (0..restart.count).map(|offset| (restart.first + offset) % all).collect();
     let set_phase = |phase| fleet.lock().unwrap().set_phases(&servers, phase);
     if restart.form != RestartForm::ReadyAtOnce {
         set_phase(Phase::Draining);
--- a/crates/craneknot-rehearsal/src/soak/mod.rs
+++ b/crates/craneknot-rehearsal/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! A randomized fault soak of `craneknot node`: real processes among stand-ins of relay, discovery, collectors and
+//! A randomized fault soak of `craneknot node`: real processes among simulated relay, discovery, collectors and
 //! clients, with overlapping random faults and checks of the invariants.
 //!
 //! [`schedule`] draws all faults from one seed. [`fleet`] holds the state of relay and discovery, [`relay`] and
--- a/crates/craneknot-rehearsal/src/soak/relay.rs
+++ b/crates/craneknot-rehearsal/src/soak/relay.rs
@@ -1,4 +1,4 @@
-//! The relay stand-in on sockets: calls that carry orders, and event streams.
+//! A simulated relay on sockets: calls that carry orders, and event streams.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/craneknot-rehearsal/src/soak/schedule.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule.rs
@@ -150,7 +150,7 @@
 pub enum Scenario {
     /// Random faults only.
     Random,
-    /// An endless release, one coordinator killed, a zone lost with another, all proxies at the first, and its planned
+    /// A continuous release, one coordinator killed, a zone lost with another, all proxies at the first, and its planned
     /// restart, in addition to random faults.
     Incident,
 }
--- a/crates/craneknot-rehearsal/src/soak/schedule/incident.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule/incident.rs
@@ -1,4 +1,4 @@
-//! The faults of the incident scenario: an endless release in place, one coordinator killed, a zone lost with a second
+//! The faults of the incident scenario: a continuous in-place release, one coordinator killed, a zone lost with a second
 //! while the third is absent too, all proxies at the first, and its planned restart.
 
 use std::ops::Range;
--- a/crates/craneknot-rehearsal/src/soak/spans.rs
+++ b/crates/craneknot-rehearsal/src/soak/spans.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-/// A process that is able to run answers a request finally within this time.
+/// A process that is able to run gives its final answer to a request within this time.
 pub const RESPONSE_DEADLINE: Duration = Duration::from_millis(500);
 
 /// A span of time that may not have ended yet.
