--- a/crates/craneknot-model/src/experiment.rs
+++ b/crates/craneknot-model/src/experiment.rs
@@ -359,7 +359,7 @@
         Build::Own | Build::OwnQuantized | Build::Hosted(_) => build.clone(),
     };
     let (first, second) = (effective_build(first), effective_build(second));
-    let both = |number| {
+    let run_pair = |number| {
         let play = |script: &Script, build: &Build| {
             let run_options = RunOptions { build: Some(build), cost: options.cost, ..RunOptions::default() };
             play_single(&with_seed_offset(script, number), run_options, options.baselines)
@@ -367,7 +367,7 @@
         (play(base, &first), play(&other, &second))
     };
     let service_difference = |(first, second): &(SingleRun, SingleRun)| second.service - first.service;
-    let pairs = run_until_narrow(options, both, service_difference, |batch| {
+    let pairs = run_until_narrow(options, run_pair, service_difference, |batch| {
         batch.iter().for_each(|(first, second)| {
             progress(first);
             progress(second);
--- a/crates/craneknot-model/src/hosted.rs
+++ b/crates/craneknot-model/src/hosted.rs
@@ -1,9 +1,9 @@
 //! Runs the controller of another build in a separate process: a `craneknot-wirehost` of any commit, driven by the JSON
-//! lines that the users' simulator sends. This allows two builds of the controller to be compared on the same days.
+//! lines that the users' simulator sends. This allows two builds of the controller to be compared on the same runs.
 //!
 //! The lines carry times in microseconds, and zones, kinds and classes by their indices instead of their names.
 //! [`Quantized`] rounds the input and output of this program's own controller in the same way, so that the same build
-//! yields the same day to the last digit in either form.
+//! yields the same run to the last digit in either form.
 
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
--- a/crates/craneknot-model/src/plot.rs
+++ b/crates/craneknot-model/src/plot.rs
@@ -38,14 +38,14 @@
 
 /// Chart of a value over the seconds of a run, with the faults marked.
 fn time_chart(
-    line: &Timeline,
+    timeline: &Timeline,
     title: &str,
     unit: &str,
     top: Option<f64>,
     of: impl Fn(&Second) -> f64,
 ) -> Result<String, String> {
     let values: Vec<(f64, f64)> =
-        line.seconds.iter().enumerate().map(|(k, second)| (k as f64 + 0.5, of(second))).collect();
+        timeline.seconds.iter().enumerate().map(|(k, second)| (k as f64 + 0.5, of(second))).collect();
     let y_max = top.unwrap_or(values.iter().map(|value| value.1).fold(0.0, f64::max) * 1.08).max(1e-9);
     svg(CHART_SIZE, |area| {
         let mut chart = ChartBuilder::on(area)
@@ -53,13 +53,13 @@
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.0..line.seconds.len() as f64, 0.0..y_max)?;
+            .build_cartesian_2d(0.0..timeline.seconds.len() as f64, 0.0..y_max)?;
         chart.configure_mesh().light_line_style(TRANSPARENT).x_desc("s").y_desc(unit).draw()?;
-        for (_, from, to) in &line.troubles {
+        for (_, from, to) in &timeline.troubles {
             let style = FAULT_COLOUR.mix(0.13).filled();
             chart.draw_series([Rectangle::new([(*from, 0.0), (*to, y_max)], style)])?;
         }
-        for (index, (name, from, _)) in line.troubles.iter().enumerate() {
+        for (index, (name, from, _)) in timeline.troubles.iter().enumerate() {
             // Staggers the names of faults, since some start close to each other.
             let height = y_max * (0.08 + 0.09 * (index % 4) as f64);
             let style = ("sans-serif", 11).into_font().color(&FAULT_COLOUR);
@@ -71,9 +71,9 @@
 }
 
 /// Heat map of good answers per second: one row per server, darker for more.
-fn server_heatmap(line: &Timeline) -> Result<String, String> {
-    let rows = line.servers.len();
-    let peak = line.servers.values().flatten().copied().max().unwrap_or(1).max(1);
+fn server_heatmap(timeline: &Timeline) -> Result<String, String> {
+    let rows = timeline.servers.len();
+    let peak = timeline.servers.values().flatten().copied().max().unwrap_or(1).max(1);
     let height = (rows as u32 * 9 + 80).clamp(140, 1_400);
     svg((CHART_SIZE.0, height), |area| {
         let mut chart = ChartBuilder::on(area)
@@ -81,9 +81,9 @@
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.0..line.seconds.len() as f64, 0.0..rows.max(1) as f64)?;
+            .build_cartesian_2d(0.0..timeline.seconds.len() as f64, 0.0..rows.max(1) as f64)?;
         chart.configure_mesh().disable_mesh().x_desc("s").y_desc("server").draw()?;
-        for (row, counts) in line.servers.values().enumerate() {
+        for (row, counts) in timeline.servers.values().enumerate() {
             let cells = counts.iter().enumerate().filter(|(_, count)| **count > 0).map(|(second, count)| {
                 let part = f64::from(*count) / f64::from(peak);
                 let (x, y) = (second as f64, row as f64);
@@ -190,24 +190,24 @@
 
 /// The charts of a recording.
 pub fn recording_charts(recording: &Recording) -> Result<Vec<String>, String> {
-    let line = Timeline::from_recording(recording);
+    let timeline = Timeline::from_recording(recording);
     Ok(vec![
         time_chart(
-            &line,
+            &timeline,
             "Service weighted by importance, of operations requested in each second",
             "",
             Some(1.05),
             |s| s.service(),
         )?,
-        time_chart(&line, "Operations requested", "per second", None, |s| f64::from(s.asked))?,
-        time_chart(&line, "Rejected, failed and given up", "per second", None, |s| {
+        time_chart(&timeline, "Operations requested", "per second", None, |s| f64::from(s.asked))?,
+        time_chart(&timeline, "Rejected, failed and given up", "per second", None, |s| {
             f64::from(s.refused + s.failed)
         })?,
-        server_heatmap(&line)?,
-        time_chart(&line, "Servers added to or removed from proxies' tables", "per second", None, |s| {
+        server_heatmap(&timeline)?,
+        time_chart(&timeline, "Servers added to or removed from proxies' tables", "per second", None, |s| {
             f64::from(s.moved)
         })?,
-        time_chart(&line, "Longest queue of a channel", "lines", None, |s| s.queue)?,
+        time_chart(&timeline, "Longest queue of a channel", "lines", None, |s| s.queue)?,
     ])
 }
 
--- a/crates/craneknot-model/src/world/agents.rs
+++ b/crates/craneknot-model/src/world/agents.rs
@@ -5,16 +5,16 @@
 impl World<'_> {
     pub(super) fn dial_coordinator(&mut self, proxy: usize) {
         let state = &mut self.proxies[proxy];
-        if !state.agent_up || state.dial.handle(self.now, DialEvent::BackoffElapsed) != DialAction::Dial {
+        if !state.agent_up || state.dialer.handle(self.now, DialEvent::BackoffElapsed) != DialAction::Dial {
             return;
         }
-        let coordinator = state.coordinator_order[state.dial.coordinator()];
+        let coordinator = state.coordinator_order[state.dialer.coordinator()];
         if self.coordinators[coordinator].is_none() {
-            state.dial.handle(self.now, DialEvent::Lost);
-            let at = state.dial.next_dial_at().unwrap_or(self.now);
+            state.dialer.handle(self.now, DialEvent::Lost);
+            let at = state.dialer.next_dial_at().unwrap_or(self.now);
             return self.schedule(at, Event::Dial(proxy));
         }
-        state.dial.handle(self.now, DialEvent::Connected);
+        state.dialer.handle(self.now, DialEvent::Connected);
         self.next_id += 1;
         let stream = StreamId(self.next_id);
         state.stream = Some((coordinator, stream));
@@ -95,7 +95,7 @@
             let at = state.stalled_until;
             return self.schedule(at, Event::AgentResponse { proxy, stream, kind, response });
         }
-        state.dial.handle(self.now, DialEvent::Responded);
+        state.dialer.handle(self.now, DialEvent::Responded);
         let Some(response) = response else { return self.send_request(proxy, kind, None) };
         state.nonces.insert(kind, response.nonce.clone());
         match state.holding.evaluate(kind, &response) {
@@ -150,21 +150,21 @@
         state.unsent_totals.discard_in_flight();
         let index =
             state.coordinator_order.iter().position(|coordinator| *coordinator == to).unwrap_or(usize::MAX);
-        state.dial.redirect_to(self.now, index);
-        let at = state.dial.next_dial_at().unwrap_or(self.now);
+        state.dialer.redirect_to(self.now, index);
+        let at = state.dialer.next_dial_at().unwrap_or(self.now);
         self.schedule(at, Event::Dial(proxy));
     }
 
     pub(super) fn redial(&mut self, proxy: usize) {
         let state = &mut self.proxies[proxy];
-        let before = state.dial.coordinator();
-        if state.dial.state() != DialState::Backoff {
-            state.dial.handle(self.now, DialEvent::Lost);
+        let before = state.dialer.coordinator();
+        if state.dialer.state() != DialState::Backoff {
+            state.dialer.handle(self.now, DialEvent::Lost);
         }
-        if state.dial.coordinator() != before {
+        if state.dialer.coordinator() != before {
             state.unsent_totals.discard_in_flight();
         }
-        let at = state.dial.next_dial_at().unwrap_or(self.now);
+        let at = state.dialer.next_dial_at().unwrap_or(self.now);
         self.schedule(at, Event::Dial(proxy));
     }
 
--- a/crates/craneknot-model/src/world/faults.rs
+++ b/crates/craneknot-model/src/world/faults.rs
@@ -43,9 +43,9 @@
         match act {
             ProxyAct::Die => {
                 (state.up, state.down_since) = (false, Some(self.now));
-                let mine: Vec<u64> =
+                let numbers: Vec<u64> =
                     self.tries.iter().filter(|(_, t)| t.proxy == proxy).map(|(n, _)| *n).collect();
-                for number in mine {
+                for number in numbers {
                     self.tries.remove(&number);
                     self.schedule_after_hop(Event::ClientAnswered { number, answer: Answer::Failed });
                 }
--- a/crates/craneknot-model/src/world/mod.rs
+++ b/crates/craneknot-model/src/world/mod.rs
@@ -147,7 +147,7 @@
     policy: ProxyPolicy,
     holding: ProxyResources,
     nonces: BTreeMap<Kind, String>,
-    dial: Dialer,
+    dialer: Dialer,
     coordinator_order: Vec<usize>,
     stream: Option<(usize, StreamId)>,
     agent_up: bool,
@@ -377,7 +377,7 @@
                 ),
                 holding: ProxyResources::default(),
                 nonces: BTreeMap::new(),
-                dial: Dialer::new(count, least, most, seed ^ 0xd1a1, START),
+                dialer: Dialer::new(count, least, most, seed ^ 0xd1a1, START),
                 coordinator_order,
                 stream: None,
                 agent_up: true,
@@ -445,7 +445,7 @@
         }
         for proxy in 0..world.proxies.len() {
             world.log.add(world.now, What::Proxy { proxy, up: true });
-            let at = world.proxies[proxy].dial.next_dial_at().unwrap_or(world.now);
+            let at = world.proxies[proxy].dialer.next_dial_at().unwrap_or(world.now);
             world.schedule(at, Event::Dial(proxy));
             let spread = Nanos(world.rng.random_range(0..script.report_period.0 .0.max(1)));
             world.schedule(START + spread, Event::ProxyReport(proxy));
--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -695,11 +695,11 @@
     fn finish(mut self) -> Judgement {
         let ratio = |(asked, served): (f64, f64)| if asked > 0.0 { served / asked } else { 1.0 };
         let add = |sum: (f64, f64), part: &(f64, f64)| (sum.0 + part.0, sum.1 + part.1);
-        let whole = self.classes.values().fold((0.0, 0.0), add);
+        let total = self.classes.values().fold((0.0, 0.0), add);
         // Windows with 1 % or less of the demand are left out: the last one may be very short.
-        let full = self.windows.values().filter(|(asked, _)| *asked > whole.0 / 100.0);
+        let full = self.windows.values().filter(|(asked, _)| *asked > total.0 / 100.0);
         let service = &mut self.judgement.service;
-        service.service = ratio(whole);
+        service.service = ratio(total);
         service.worst_window = full.map(|window| ratio(*window)).fold(1.0, f64::min);
         let name = |class: usize| self.settings.classes[class].name.clone();
         service.by_class = self.classes.iter().map(|(class, sums)| (name(*class), ratio(*sums))).collect();
--- a/crates/craneknot-rehearsal/src/measure.rs
+++ b/crates/craneknot-rehearsal/src/measure.rs
@@ -292,7 +292,7 @@
     swaps: Arc<Mutex<Swaps>>,
     stop: &AtomicBool,
 ) {
-    let mine = (0..requested.agents as usize).filter(|agent| agent % AGENT_THREADS == thread_index);
+    let agents = (0..requested.agents as usize).filter(|agent| agent % AGENT_THREADS == thread_index);
     let node = |agent: usize| NodeSettings {
         id: format!("proxy-{agent}"),
         zone: if agent % 4 < 2 { "north" } else { "south" }.to_owned(),
@@ -300,7 +300,7 @@
         folder: PathBuf::from(format!("p{agent}")),
     };
     let settings = AgentSettings {
-        nodes: mine.map(node).collect(),
+        nodes: agents.map(node).collect(),
         coordinators: vec![CoordinatorAddress::Plain(address)],
         listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
         ready_file: None,
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -310,12 +310,12 @@
         self.plan.fleet_acts.push((at + self.script.roster_lag.0, FleetAct::List { server, state }));
     }
 
-    /// The server fails and starts again, being dead or silent in between.
+    /// The server fails and starts again, and is down or silent in between.
     fn schedule_outage(&mut self, server: usize, from: Nanos, to: Nanos, act: ServerAct, unlisted: bool) {
         self.plan.server_acts.push((from, server, act));
         self.plan.server_acts.push((to, server, ServerAct::Start));
         if !unlisted {
-            // The list shows a dead server at once, but not a silent one, which is detected late.
+            // The list shows at once that a server is down, but not that it is silent, which is detected late.
             if act == ServerAct::Die {
                 self.schedule_listing(from, server, ListedState::Unlisted);
             }
--- a/crates/craneknot-rehearsal/src/proxies.rs
+++ b/crates/craneknot-rehearsal/src/proxies.rs
@@ -105,7 +105,7 @@
     zone: usize,
     folder: PathBuf,
     address: SocketAddr,
-    /// Reserves the address while the proxy is dead.
+    /// Reserves the address while the proxy is down.
     _reserve: Socket,
     listener: Option<ListenerId>,
     policy: ProxyPolicy,
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Picks a proxy of the zone, or of any zone if there is none, that the front layer does not know to be dead.
+    /// Picks a proxy of the zone, or of any zone if there is none, that the front layer does not know to be down.
     fn pick_proxy(&mut self, zone: usize) -> Option<usize> {
         let (now, lag) = (self.reactor.now(), self.script.clients.front_lag.0);
         let alive = |proxy: &Proxy| proxy.down_since.is_none_or(|since| now - since < lag);
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -342,14 +342,14 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("r.jsonl.gz");
         recording().write(&path).unwrap();
-        let whole = fs::read(&path).unwrap();
-        for cut in (0..whole.len()).step_by(7) {
-            fs::write(&path, &whole[..cut]).unwrap();
+        let bytes = fs::read(&path).unwrap();
+        for cut in (0..bytes.len()).step_by(7) {
+            fs::write(&path, &bytes[..cut]).unwrap();
             assert!(Recording::read(&path).is_err(), "cut at {cut}");
         }
         // The gzip header has bytes that don't affect the content (time, system).
-        for position in (10..whole.len()).step_by(11) {
-            let mut flipped = whole.clone();
+        for position in (10..bytes.len()).step_by(11) {
+            let mut flipped = bytes.clone();
             flipped[position] ^= 0x10;
             fs::write(&path, &flipped).unwrap();
             assert!(Recording::read(&path).is_err(), "flipped at {position}");
--- a/crates/craneknot-rehearsal/src/soak/injection.rs
+++ b/crates/craneknot-rehearsal/src/soak/injection.rs
@@ -268,7 +268,7 @@
         }));
     }
 
-    /// A zone is lost together with a node; its proxies come back to the nodes that run by then.
+    /// A zone is lost together with a node; its proxies rejoin the nodes that run by then.
     fn lose_zone(&mut self, number: usize, zone: usize, span: Duration) {
         self.kill_and_restart(number, span);
         let left = self.fleet.lock().unwrap().lose_zone(zone);
--- a/crates/craneknot-rehearsal/src/soak/schedule.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule.rs
@@ -123,7 +123,7 @@
     /// The process is stopped for three quarters of the time, for that many milliseconds.
     Throttle { millis: u64 },
     /// A zone is lost together with this node for that many milliseconds: its servers are removed and its proxies
-    /// leave; then all come back, the servers cold under their old names.
+    /// leave; then all return, the servers cold under their old names.
     LoseZone { zone: usize, millis: u64 },
 }
 
@@ -150,8 +150,8 @@
 pub enum Scenario {
     /// Random faults only.
     Random,
-    /// A continuous release, one coordinator killed, a zone lost with another, all proxies at the first, and its planned
-    /// restart, in addition to random faults.
+    /// A continuous release, one coordinator killed, a zone lost with another, all proxies at the first, and its
+    /// planned restart, in addition to random faults.
     Incident,
 }
 
--- a/crates/craneknot-rehearsal/src/soak/schedule/incident.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule/incident.rs
@@ -1,5 +1,5 @@
-//! The faults of the incident scenario: a continuous in-place release, one coordinator killed, a zone lost with a second
-//! while the third is absent too, all proxies at the first, and its planned restart.
+//! The faults of the incident scenario: a continuous in-place release, one coordinator killed, a zone lost with a
+//! second while the third is absent too, all proxies at the first, and its planned restart.
 
 use std::ops::Range;
 
@@ -51,19 +51,19 @@
         planned.push(Planned { at: restarted - MOVED_BEFORE_MS, node: second, fault: Fault::MoveAll });
     }
     // Before and during the absence of the first coordinator, soon after its start, and when it gets all proxies.
-    let moments = [begin, killed - 300, killed + BACK_AFTER_KILL_MS, lost + MOVED_AFTER_MS];
-    let at = moments[extra_rng.random_range(0..moments.len())];
+    let times = [begin, killed - 300, killed + BACK_AFTER_KILL_MS, lost + MOVED_AFTER_MS];
+    let at = times[extra_rng.random_range(0..times.len())];
     planned.push(Planned { at, node: first, fault: Fault::List(restart_zone(extra_rng)) });
     planned
 }
 
 /// Restarts the only zone of a class: at once, all but one of its servers, or in waves.
 fn restart_zone(rng: &mut Pcg32) -> ListChange {
-    let whole = ZoneRestart { zone: ONLY_ZONE, spared: 0, wave: usize::MAX, pause: 0 };
+    let at_once = ZoneRestart { zone: ONLY_ZONE, spared: 0, wave: usize::MAX, pause: 0 };
     ListChange::RestartZone(match rng.random_range(0..4) {
-        0 | 1 => whole,
-        2 => ZoneRestart { spared: 1, ..whole },
-        _ => ZoneRestart { wave: rng.random_range(1..4), pause: rng.random_range(WAVE_PAUSE_MS), ..whole },
+        0 | 1 => at_once,
+        2 => ZoneRestart { spared: 1, ..at_once },
+        _ => ZoneRestart { wave: rng.random_range(1..4), pause: rng.random_range(WAVE_PAUSE_MS), ..at_once },
     })
 }
 
--- a/crates/craneknot-rehearsal/src/trial/relay.rs
+++ b/crates/craneknot-rehearsal/src/trial/relay.rs
@@ -106,8 +106,8 @@
             Err(io::ErrorKind::ConnectionReset.into())
         }
         CallOutcome::Spoilt { carried_out } => {
-            let whole = accepted_body(apply(carried_out));
-            respond(stream, "200 OK", &whole[..whole.len() / 2])
+            let body = accepted_body(apply(carried_out));
+            respond(stream, "200 OK", &body[..body.len() / 2])
         }
     }
 }
--- a/crates/craneknot-rehearsal/src/workload/proxy.rs
+++ b/crates/craneknot-rehearsal/src/workload/proxy.rs
@@ -236,11 +236,11 @@
 
     /// The level that applies to a class; the lower one if there are two.
     fn level(&self, class: usize) -> Option<f64> {
-        let own = self.table_level(class).map(|level| level.level);
+        let own_level = self.table_level(class).map(|level| level.level);
         let for_all = self.levels_for_all[class].map(|level| level.level);
-        match (own, for_all) {
-            (Some(own), Some(for_all)) => Some(own.min(for_all)),
-            (own, for_all) => own.or(for_all),
+        match (own_level, for_all) {
+            (Some(own_level), Some(for_all)) => Some(own_level.min(for_all)),
+            (own_level, for_all) => own_level.or(for_all),
         }
     }
 
