--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -195,11 +195,11 @@
     }
     let warm_median = median(&mut warm);
     let squared_error = |share: f64, after: f64| {
-        let make = ServerSpec { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_MAKE };
+        let spec = ServerSpec { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_SPEC };
         let bin = |tries: &Vec<(f64, f64)>| {
             // Each try is corrected by its own age: within a bin most ages are high, since a start is
             // reported late.
-            let as_warm = |(age, ratio): &(f64, f64)| ratio * make.warmth(Nanos::from_secs(*age));
+            let as_warm = |(age, ratio): &(f64, f64)| ratio * spec.warmth(Nanos::from_secs(*age));
             let mut ratios: Vec<f64> = tries.iter().map(as_warm).collect();
             (median(&mut ratios) / warm_median).ln().powi(2) * tries.len() as f64
         };
@@ -220,7 +220,7 @@
 }
 
 /// A server model in which only the warm-up matters, as the base for the evaluated ones.
-const BASE_MAKE: ServerSpec = ServerSpec {
+const BASE_SPEC: ServerSpec = ServerSpec {
     cores: 1,
     speed: 1.0,
     queue: 0,
--- a/crates/craneknot-rehearsal/src/auditor.rs
+++ b/crates/craneknot-rehearsal/src/auditor.rs
@@ -201,8 +201,8 @@
 }
 
 const INFORMED_SHARE: f64 = 2.0 / 3.0; // of the work must come from informed senders for an overload to count as a break
-const CAPACITY_INTERVAL: Nanos = Nanos::from_millis(1_000); // ms; interval over which work is compared with capacity
-const SERVICE_WINDOW: Nanos = Nanos::from_millis(10_000); // ms; the length of the worst window
+const CAPACITY_INTERVAL: Nanos = Nanos::from_millis(1_000); // interval over which work is compared with capacity
+const SERVICE_WINDOW: Nanos = Nanos::from_millis(10_000); // the length of the worst window
 
 struct Audit<'a> {
     settings: &'a AuditSettings,
--- a/crates/craneknot-rehearsal/src/machine.rs
+++ b/crates/craneknot-rehearsal/src/machine.rs
@@ -218,7 +218,7 @@
     }
 
     #[test]
-    fn the_busy_share_follows_the_cores() {
+    fn the_busy_share_approaches_the_share_of_busy_cores() {
         let mut machine = Machine::new(SPEC, None);
         machine.arrive(Nanos(0), job(1));
         assert!((machine.busy(Nanos::from_millis(5_000)) - 0.5).abs() < 0.01);
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -174,11 +174,11 @@
 }
 
 const SERVERS_PER_CELL: usize = 3; // servers of a zone that share stored keys
-const DRAIN_NOTICE: Nanos = Nanos::from_millis(1_500); // ms; how long a server that is removed is listed as draining
-const BOOT_TIME: Nanos = Nanos::from_millis(1_500); // ms; from the end of one server to the start of its replacement
-const RESTART_TIME: Nanos = Nanos::from_millis(1_500); // ms; how long a server that restarts is down
-const STALL_GAP: Nanos = Nanos::from_millis(2_500); // ms; between two stalls
-const FLAP_PERIOD: Nanos = Nanos::from_millis(5_000); // ms; period of a flapping server, which is down for three tenths of it
+const DRAIN_NOTICE: Nanos = Nanos::from_millis(1_500); // how long a server that is removed is listed as draining
+const BOOT_TIME: Nanos = Nanos::from_millis(1_500); // from the end of one server to the start of its replacement
+const RESTART_TIME: Nanos = Nanos::from_millis(1_500); // how long a server that restarts is down
+const STALL_GAP: Nanos = Nanos::from_millis(2_500); // between two stalls
+const FLAP_PERIOD: Nanos = Nanos::from_millis(5_000); // period of a flapping server, which is down for three tenths of it
 
 struct PlanBuilder<'a> {
     script: &'a Script,
--- a/crates/craneknot-rehearsal/src/proxy_policy.rs
+++ b/crates/craneknot-rehearsal/src/proxy_policy.rs
@@ -56,7 +56,7 @@
     rng: Pcg32,
 }
 
-const DEFAULT_RETRY_AFTER: Nanos = Nanos::from_millis(1_000); // ms; the retry delay for a rejected client where no better estimate exists
+const DEFAULT_RETRY_AFTER: Nanos = Nanos::from_millis(1_000); // the retry delay for a rejected client where no better estimate exists
 
 impl ProxyPolicy {
     pub fn new(classes: Vec<String>, failures_to_eject: u32, ejection_time: Nanos, seed: u64) -> Self {
--- a/crates/craneknot-rehearsal/src/runner.rs
+++ b/crates/craneknot-rehearsal/src/runner.rs
@@ -35,12 +35,12 @@
 const ROSTER: &str = "servers.json";
 const DISK: RealDisk = RealDisk { sync: false };
 const READY_TIMEOUT: Duration = Duration::from_secs(20); // for a process to start listening
-pub const START_DELAY: Nanos = Nanos::from_millis(1_500); // ms; from the start of the agents to the first operation
-pub const DRAIN_TIME: Nanos = Nanos::from_millis(2_500); // ms; after the last operation, for operations in flight
+pub const START_DELAY: Nanos = Nanos::from_millis(1_500); // from the start of the agents to the first operation
+pub const DRAIN_TIME: Nanos = Nanos::from_millis(2_500); // after the last operation, for operations in flight
 const MAX_PROXIES: usize = 200; // a rehearsal starts an agent process for each
-pub const RECONNECT_DELAY: (Nanos, Nanos) = (Nanos::from_millis(150), Nanos::from_millis(1_500)); // ms; an agent's shortest and longest delay
-pub const SILENCE_TIMEOUT: Nanos = Nanos::from_millis(2_000); // ms; an agent whose report stays unanswered for so long reconnects
-pub const STATUS_INTERVAL: Nanos = Nanos::from_millis(200); // ms; between two status requests to a coordinator
+pub const RECONNECT_DELAY: (Nanos, Nanos) = (Nanos::from_millis(150), Nanos::from_millis(1_500)); // an agent's shortest and longest delay
+pub const SILENCE_TIMEOUT: Nanos = Nanos::from_millis(2_000); // an agent whose report stays unanswered for so long reconnects
+pub const STATUS_INTERVAL: Nanos = Nanos::from_millis(200); // between two status requests to a coordinator
 
 fn loopback() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
--- a/crates/craneknot-rehearsal/src/script.rs
+++ b/crates/craneknot-rehearsal/src/script.rs
@@ -54,16 +54,16 @@
     pub work: Span,
     /// Shape of the gamma distribution of work: 1 is exponential, 4 spreads by half the mean.
     #[schemars(range(min = 0.1, max = 1000.0))]
-    #[serde(default = "four", skip_serializing_if = "is_four")]
+    #[serde(default = "default_shape", skip_serializing_if = "is_default_shape")]
     pub shape: f64,
 }
 
-fn four() -> f64 {
+fn default_shape() -> f64 {
     4.0
 }
 
-fn is_four(shape: &f64) -> bool {
-    *shape == four()
+fn is_default_shape(shape: &f64) -> bool {
+    *shape == default_shape()
 }
 
 /// The clients.
@@ -170,7 +170,7 @@
     pub length: Span,
     /// Share of the servers, proxies or coordinators that are affected; at least one.
     #[schemars(range(min = 0.0, max = 1.0))]
-    #[serde(default = "some")]
+    #[serde(default = "default_part")]
     pub part: f64,
     /// See the kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -186,7 +186,7 @@
     pub unlisted: bool,
 }
 
-fn some() -> f64 {
+fn default_part() -> f64 {
     0.2
 }
 
--- a/crates/craneknot-rehearsal/src/soak/schedule.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule.rs
@@ -9,7 +9,7 @@
 
 const FIRST_FAULT_AT_MS: u64 = 3_000;
 const FAULT_FREE_END_MS: u64 = 5_000; // after the last fault, for all nodes to recover
-const BURST_END: usize = 100; // exclusive; more than the smallest node holds, few of the soak's own
+const BURST_END: usize = 100; // exclusive; more descriptors than the smallest node has, but few of the soak's own
 const KILL_AFTER_TERM_MS: u64 = 700; // the earliest on the platform
 const DRAIN_MS: u64 = 2_000; // of one server that restarts amid random faults
 const REMOVED_MS: u64 = 1_000; // after draining, until it is back
--- a/crates/craneknot-rehearsal/src/trial/deployment.rs
+++ b/crates/craneknot-rehearsal/src/trial/deployment.rs
@@ -44,14 +44,14 @@
 /// Interval at which reports are collected (`extra.interval`).
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-const AIMS: [Duration; 3] =
+const LATENCY_GOALS: [Duration; 3] =
     [Duration::from_millis(1_000), Duration::from_millis(1_200), Duration::from_millis(1_500)];
 const DEADLINES: [Duration; 3] =
     [Duration::from_millis(2_500), Duration::from_millis(3_000), Duration::from_millis(4_000)];
 const UNSAFE_CLASS: usize = 2; // must not be executed twice
 const COLD_SHARE: f64 = 0.2; // of its full capacity, available to a server when it starts
-const FALL_MULTIPLE: f64 = 3.0; // of its present capacity; the load at which a cold server fails
-const FALL_WINDOW: Duration = Duration::from_secs(3); // over which the load of a cold server is measured
+const OVERLOAD_MULTIPLE: f64 = 3.0; // of its present capacity; the load at which a cold server fails
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(3); // over which the load of a cold server is measured
 const CORES: f64 = 2.0; // of each server
 const LOAD: f64 = 0.35; // share of the capacity of all warm servers
 
@@ -79,7 +79,7 @@
 pub fn settings(seed: u64) -> Value {
     let profile = |index: usize| {
         let semantics = if index == UNSAFE_CLASS { "single_shot" } else { "free" };
-        let mut profile = json!({"name": CLASSES[index], "aim": AIMS[index].as_secs_f64(),
+        let mut profile = json!({"name": CLASSES[index], "aim": LATENCY_GOALS[index].as_secs_f64(),
                                  "worth": 1.0 + index as f64, "deadline": DEADLINES[index].as_secs_f64(),
                                  "semantics": semantics});
         if let Some(zone) = confined_zone(seed).filter(|_| index == UNSAFE_CLASS) {
@@ -94,7 +94,7 @@
         "profiles": profiles,
         "caps": {"probing": false},
         "rules": {"ask-within": ASK_WITHIN.as_secs_f64(), "cold-share": COLD_SHARE,
-                  "fall": FALL_WINDOW.as_secs_f64(), "fall-multiple": FALL_MULTIPLE,
+                  "fall": OVERLOAD_WINDOW.as_secs_f64(), "fall-multiple": OVERLOAD_MULTIPLE,
                   "ramp-time": WARM_AFTER.as_secs_f64(), "stop-sending-within": DRAIN_GRACE.as_secs_f64()},
         "extra": {"data-plane-size": PROXIES, "bare": NO_LINE_LIMIT.as_secs_f64(), "admission": "rps",
                   "egress-per-s": LINES_PER_SECOND, "queue-cap": QUEUE_CAP, "envelope": MESSAGE_LINES,
@@ -118,7 +118,7 @@
         name: CLASSES[index].to_owned(),
         share: [0.5, 0.3, 0.2][index],
         work: Duration::from_millis([30, 50, 80][index]),
-        latency_goal: AIMS[index],
+        latency_goal: LATENCY_GOALS[index],
         deadline: DEADLINES[index],
         semantics: if index == UNSAFE_CLASS { Semantics::Unsafe } else { Semantics::Safe },
         only_zone: confined_zone(seed).filter(|_| index == UNSAFE_CLASS),
@@ -133,8 +133,8 @@
         rate_spread: 0.4,
         cold_share: COLD_SHARE,
         ramp_time: WARM_AFTER,
-        overload_multiple: FALL_MULTIPLE,
-        overload_window: FALL_WINDOW,
+        overload_multiple: OVERLOAD_MULTIPLE,
+        overload_window: OVERLOAD_WINDOW,
         no_line_limit: NO_LINE_LIMIT,
         drain_grace: DRAIN_GRACE,
         lines_per_second: LINES_PER_SECOND,
--- a/crates/craneknot-rehearsal/src/trial/script.rs
+++ b/crates/craneknot-rehearsal/src/trial/script.rs
@@ -12,9 +12,9 @@
 /// Length of the day of the incident; with another length, its times are scaled.
 pub const INCIDENT_LENGTH: Duration = Duration::from_secs(63);
 
-const BACK_AFTER: u64 = 500; // ms; from the end of a process to the start of the next, regardless of the scale
-const KILL_AFTER_TERMINATE: u64 = 700; // ms; the earliest that the platform sends SIGKILL
-const MOVE_WITHIN: u64 = 1_400; // ms; within which proxies move to a coordinator that has returned
+const BACK_AFTER_MS: u64 = 500; // from the end of a process to the start of the next, regardless of the scale
+const KILL_AFTER_TERM_MS: u64 = 700; // the earliest that the platform sends SIGKILL
+const MOVE_WITHIN_MS: u64 = 1_400; // within which proxies move to a coordinator that has returned
 
 /// The coordinator that is absent while another one returns.
 pub const ABSENT: usize = 0;
@@ -123,17 +123,17 @@
     let silent = rng.random_bool(0.5);
     vec![
         at(27.0, Step::Kill(LOADED)),
-        delayed(at(27.0, Step::Start(LOADED)), BACK_AFTER),
+        delayed(at(27.0, Step::Start(LOADED)), BACK_AFTER_MS),
         at(41.0, Step::Kill(LOST_WITH_ZONE)),
         at(41.0, Step::LoseZone { zone: LOST_ZONE, silent }),
         at(41.0, Step::Leave(ABSENT, absence)),
         at(46.0, Step::RegainZone { zone: LOST_ZONE, silent }),
         at(46.0, Step::Start(LOST_WITH_ZONE)),
         at(rng.random_range(49.5..50.4), Step::Return(ABSENT, absence)),
-        at(50.45, Step::Move { to: LOST_WITH_ZONE, within: MOVE_WITHIN, one_in: 2 }),
+        at(50.45, Step::Move { to: LOST_WITH_ZONE, within: MOVE_WITHIN_MS, one_in: 2 }),
         at(
             51.0,
-            Step::Restart { coordinator: LOADED, kill_after: KILL_AFTER_TERMINATE, back_after: BACK_AFTER },
+            Step::Restart { coordinator: LOADED, kill_after: KILL_AFTER_TERM_MS, back_after: BACK_AFTER_MS },
         ),
     ]
 }
