--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -130,12 +130,12 @@
 }
 
 impl NetworkCuts {
-    pub fn set(&mut self, coordinator: usize, sends: bool, gets: bool) {
-        for (of, lost) in [(&mut self.senders, sends), (&mut self.receivers, gets)] {
+    pub fn set(&mut self, coordinator: usize, sends: bool, receives: bool) {
+        for (cut, lost) in [(&mut self.senders, sends), (&mut self.receivers, receives)] {
             if lost {
-                of.insert(coordinator);
+                cut.insert(coordinator);
             } else {
-                of.remove(&coordinator);
+                cut.remove(&coordinator);
             }
         }
     }
--- a/crates/craneknot-rehearsal/src/trial/release.rs
+++ b/crates/craneknot-rehearsal/src/trial/release.rs
@@ -36,7 +36,7 @@
 enum RestartForm {
     DrainingGoneReady,
     DrainingReady,
-    ReadyAgain,
+    ReadyAtOnce,
 }
 
 impl RestartForm {
@@ -44,7 +44,7 @@
         match rng.random_range(0..10) {
             0..4 => RestartForm::DrainingGoneReady,
             4..7 => RestartForm::DrainingReady,
-            _ => RestartForm::ReadyAgain,
+            _ => RestartForm::ReadyAtOnce,
         }
     }
 
@@ -57,7 +57,7 @@
                 vec![(version, Phase::Draining), (drained, Phase::Gone), (restarted, Phase::Ready)]
             }
             RestartForm::DrainingReady => vec![(version, Phase::Draining), (drained, Phase::Ready)],
-            RestartForm::ReadyAgain => vec![(version, Phase::Ready)],
+            RestartForm::ReadyAtOnce => vec![(version, Phase::Ready)],
         }
     }
 }
