--- a/crates/craneknot-model/src/fit.rs
+++ b/crates/craneknot-model/src/fit.rs
@@ -83,7 +83,7 @@
             _ => {}
         }
     }
-    tries.sort_by_key(|one| (one.0, one.1, one.2));
+    tries.sort_by_key(|entry| (entry.0, entry.1, entry.2));
     // From the first fault other than a start or stop, a server's times don't show its own speed.
     let mut distorted_from: BTreeMap<u32, f64> = BTreeMap::new();
     for (at, server, act) in &plan.server_acts {
@@ -132,9 +132,10 @@
     let mut work_ms = BTreeMap::new();
     let mut means: BTreeMap<usize, f64> = BTreeMap::new();
     for (class, settings) in script.classes.iter().enumerate() {
-        let warm =
-            samples.iter().filter(|one| one.class == class && one.age.is_none() && one.work.is_finite());
-        let works: Vec<f64> = warm.map(|one| one.work * 1e3).collect();
+        let warm = samples
+            .iter()
+            .filter(|sample| sample.class == class && sample.age.is_none() && sample.work.is_finite());
+        let works: Vec<f64> = warm.map(|sample| sample.work * 1e3).collect();
         if works.len() < MIN_TRIES {
             continue;
         }
@@ -194,11 +195,11 @@
     }
     let warm_median = median(&mut warm);
     let squared_error = |share: f64, after: f64| {
-        let make = ServerSpec { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_MAKE };
+        let spec = ServerSpec { cold_share: share, warm_after: Nanos::from_secs(after), ..BASE_SPEC };
         let bin = |tries: &Vec<(f64, f64)>| {
             // Each try is corrected by its own age: within a bin most ages are high, since a start is
             // reported late.
-            let as_warm = |(age, ratio): &(f64, f64)| ratio * make.warmth(Nanos::from_secs(*age));
+            let as_warm = |(age, ratio): &(f64, f64)| ratio * spec.warmth(Nanos::from_secs(*age));
             let mut ratios: Vec<f64> = tries.iter().map(as_warm).collect();
             (median(&mut ratios) / warm_median).ln().powi(2) * tries.len() as f64
         };
@@ -219,7 +220,7 @@
 }
 
 /// A server model in which only the warm-up matters, as the base for the evaluated ones.
-const BASE_MAKE: ServerSpec = ServerSpec {
+const BASE_SPEC: ServerSpec = ServerSpec {
     cores: 1,
     speed: 1.0,
     queue: 0,
--- a/crates/craneknot-rehearsal/src/plan.rs
+++ b/crates/craneknot-rehearsal/src/plan.rs
@@ -130,12 +130,12 @@
 }
 
 impl NetworkCuts {
-    pub fn set(&mut self, coordinator: usize, sends: bool, gets: bool) {
-        for (of, lost) in [(&mut self.senders, sends), (&mut self.receivers, gets)] {
+    pub fn set(&mut self, coordinator: usize, sends: bool, receives: bool) {
+        for (cut, lost) in [(&mut self.senders, sends), (&mut self.receivers, receives)] {
             if lost {
-                of.insert(coordinator);
+                cut.insert(coordinator);
             } else {
-                of.remove(&coordinator);
+                cut.remove(&coordinator);
             }
         }
     }
@@ -174,11 +174,11 @@
 }
 
 const SERVERS_PER_CELL: usize = 3; // servers of a zone that share stored keys
-const DRAIN_NOTICE: Nanos = Nanos::from_millis(1_500); // ms; how long a server that is removed is listed as draining
-const BOOT_TIME: Nanos = Nanos::from_millis(1_500); // ms; from the end of one server to the start of its replacement
-const RESTART_TIME: Nanos = Nanos::from_millis(1_500); // ms; how long a server that restarts is down
-const STALL_GAP: Nanos = Nanos::from_millis(2_500); // ms; between two stalls
-const FLAP_PERIOD: Nanos = Nanos::from_millis(5_000); // ms; period of a flapping server, which is down for three tenths of it
+const DRAIN_NOTICE: Nanos = Nanos::from_millis(1_500); // how long a server that is removed is listed as draining
+const BOOT_TIME: Nanos = Nanos::from_millis(1_500); // from the end of one server to the start of its replacement
+const RESTART_TIME: Nanos = Nanos::from_millis(1_500); // how long a server that restarts is down
+const STALL_GAP: Nanos = Nanos::from_millis(2_500); // between two stalls
+const FLAP_PERIOD: Nanos = Nanos::from_millis(5_000); // period of a flapping server, which is down for three tenths of it
 
 struct PlanBuilder<'a> {
     script: &'a Script,
@@ -194,8 +194,8 @@
         let mut plan = Plan { weights: script.weights, seed: script.seed, ..Plan::default() };
         let mut cells = 0;
         for group in &script.servers {
-            for place in 0..usize::from(group.count) {
-                cells += usize::from(place % SERVERS_PER_CELL == 0);
+            for index in 0..usize::from(group.count) {
+                cells += usize::from(index % SERVERS_PER_CELL == 0);
                 plan.servers.push(ServerPlan { group: group.clone(), cell: cells as i64, from_start: true });
             }
         }
@@ -310,12 +310,12 @@
         self.plan.fleet_acts.push((at + self.script.roster_lag.0, FleetAct::List { server, state }));
     }
 
-    /// The server fails and starts again, being dead or silent in between.
+    /// The server fails and starts again, and is down or silent in between.
     fn schedule_outage(&mut self, server: usize, from: Nanos, to: Nanos, act: ServerAct, unlisted: bool) {
         self.plan.server_acts.push((from, server, act));
         self.plan.server_acts.push((to, server, ServerAct::Start));
         if !unlisted {
-            // The list shows a dead server at once, but not a silent one, which is detected late.
+            // The list shows at once that a server is down, but not that it is silent, which is detected late.
             if act == ServerAct::Die {
                 self.schedule_listing(from, server, ListedState::Unlisted);
             }
@@ -358,8 +358,8 @@
             TroubleKind::Deploy => {
                 let selected = self.select_servers(trouble);
                 let span = trouble.length.0 .0 / selected.len().max(1) as u64;
-                for (place, server) in selected.into_iter().enumerate() {
-                    let at = at + Nanos(span * place as u64);
+                for (index, server) in selected.into_iter().enumerate() {
+                    let at = at + Nanos(span * index as u64);
                     self.schedule_removal(server, at, DRAIN_NOTICE);
                     self.schedule_replacement(server, at + DRAIN_NOTICE + BOOT_TIME);
                 }
@@ -499,8 +499,8 @@
             TroubleKind::Preempt => {
                 let selected = self.select_servers(trouble);
                 let waves = 2.min(selected.len());
-                for (place, server) in selected.into_iter().enumerate() {
-                    let wave = Nanos(trouble.length.0 .0 / 3 * (place % waves) as u64);
+                for (index, server) in selected.into_iter().enumerate() {
+                    let wave = Nanos(trouble.length.0 .0 / 3 * (index % waves) as u64);
                     self.schedule_removal(server, at + wave, DRAIN_NOTICE);
                     self.schedule_replacement(server, end.max(at + wave + DRAIN_NOTICE + BOOT_TIME));
                 }
@@ -514,10 +514,10 @@
                 }
             }
             TroubleKind::Growth => {
-                let like = self.select_servers(trouble);
-                let span = trouble.length.0 .0 / like.len().max(1) as u64;
-                for (place, server) in like.into_iter().enumerate() {
-                    self.schedule_replacement(server, at + Nanos(span * place as u64));
+                let replaced = self.select_servers(trouble);
+                let span = trouble.length.0 .0 / replaced.len().max(1) as u64;
+                for (index, server) in replaced.into_iter().enumerate() {
+                    self.schedule_replacement(server, at + Nanos(span * index as u64));
                 }
                 self.plan.rates.push((end, strength(1.3)));
             }
--- a/crates/craneknot-rehearsal/src/recording.rs
+++ b/crates/craneknot-rehearsal/src/recording.rs
@@ -204,7 +204,7 @@
             out.write_all(b"\n")
         };
         line(serde_json::to_vec(&self.head))?;
-        self.lines.iter().try_for_each(|one| line(serde_json::to_vec(one)))?;
+        self.lines.iter().try_for_each(|entry| line(serde_json::to_vec(entry)))?;
         out.finish()?.flush()
     }
 
@@ -256,13 +256,13 @@
 
     /// Times, classes and zones of the requested operations.
     pub fn arrivals(&self) -> Vec<(Nanos, usize, usize)> {
-        let one = |line: &Line| match line {
+        let requested = |line: &Line| match line {
             Line::Asked(at, class, zone) => {
                 Some((Nanos(at.max(&0).unsigned_abs() * 1_000), usize::from(*class), usize::from(*zone)))
             }
             _ => None,
         };
-        self.lines.iter().filter_map(one).collect()
+        self.lines.iter().filter_map(requested).collect()
     }
 }
 
@@ -342,17 +342,17 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("r.jsonl.gz");
         recording().write(&path).unwrap();
-        let whole = fs::read(&path).unwrap();
-        for cut in (0..whole.len()).step_by(7) {
-            fs::write(&path, &whole[..cut]).unwrap();
+        let bytes = fs::read(&path).unwrap();
+        for cut in (0..bytes.len()).step_by(7) {
+            fs::write(&path, &bytes[..cut]).unwrap();
             assert!(Recording::read(&path).is_err(), "cut at {cut}");
         }
         // The gzip header has bytes that don't affect the content (time, system).
-        for place in (10..whole.len()).step_by(11) {
-            let mut flipped = whole.clone();
-            flipped[place] ^= 0x10;
+        for position in (10..bytes.len()).step_by(11) {
+            let mut flipped = bytes.clone();
+            flipped[position] ^= 0x10;
             fs::write(&path, &flipped).unwrap();
-            assert!(Recording::read(&path).is_err(), "flipped at {place}");
+            assert!(Recording::read(&path).is_err(), "flipped at {position}");
         }
     }
 
--- a/crates/craneknot-rehearsal/src/soak/schedule.rs
+++ b/crates/craneknot-rehearsal/src/soak/schedule.rs
@@ -9,7 +9,7 @@
 
 const FIRST_FAULT_AT_MS: u64 = 3_000;
 const FAULT_FREE_END_MS: u64 = 5_000; // after the last fault, for all nodes to recover
-const BURST_END: usize = 100; // exclusive; more than the smallest node holds, few of the soak's own
+const BURST_END: usize = 100; // exclusive; more descriptors than the smallest node has, but few of the soak's own
 const KILL_AFTER_TERM_MS: u64 = 700; // the earliest on the platform
 const DRAIN_MS: u64 = 2_000; // of one server that restarts amid random faults
 const REMOVED_MS: u64 = 1_000; // after draining, until it is back
@@ -123,7 +123,7 @@
     /// The process is stopped for three quarters of the time, for that many milliseconds.
     Throttle { millis: u64 },
     /// A zone is lost together with this node for that many milliseconds: its servers are removed and its proxies
-    /// leave; then all come back, the servers cold under their old names.
+    /// leave; then all return, the servers cold under their old names.
     LoseZone { zone: usize, millis: u64 },
 }
 
@@ -150,8 +150,8 @@
 pub enum Scenario {
     /// Random faults only.
     Random,
-    /// An endless release, one coordinator killed, a zone lost with another, all proxies at the first, and its planned
-    /// restart, in addition to random faults.
+    /// A continuous release, one coordinator killed, a zone lost with another, all proxies at the first, and its
+    /// planned restart, in addition to random faults.
     Incident,
 }
 
